--- a/src/placer/connected_test.go
+++ b/src/placer/connected_test.go
@@ -11,72 +11,73 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// simulated is one entry of a fleet, with its own connections.
-type simulated struct {
+// simulatedEntry is one entry with its own connections.
+type simulatedEntry struct {
 	*Placer
 	fleet Fleet
-	// idleSince holds when each idle connection was used last, by upstream.
+	// idleSince holds the time of last use of each idle connection, by upstream.
 	idleSince map[units.Upstream][]time.Time
 }
 
-// underWayCall is a call that ends at a moment.
-type underWayCall struct {
+// inFlightCall is a call in flight that ends at a given time.
+type inFlightCall struct {
 	entry    int
 	upstream *tracker.Upstream
 	ends     time.Time
 }
 
-// fleetRun plays entries that place calls at upstreams for some time.
-type fleetRun struct {
+// fleetSimulation configures a simulation of entries that place calls at upstreams.
+type fleetSimulation struct {
 	entries, upstreams int
-	// rate is the calls a second of the whole fleet, lasting how long one runs.
-	rate    float64
-	lasting time.Duration
-	// keeps is how long a connection may idle.
-	keeps time.Duration
+	// rate is the number of calls per second at all entries together, and callDuration the
+	// mean duration of one call.
+	rate         float64
+	callDuration time.Duration
+	// idleTimeout is how long a connection may stay idle before it is closed.
+	idleTimeout time.Duration
 }
 
-// result is what a run came to: the part of calls that made a connection, and the most
-// calls that were at one upstream beside the mean.
-type result struct {
-	made   float64
-	uneven float64
+// simulationResult is the outcome of a run: the fraction of calls that opened a connection,
+// and the ratio of the most calls at one upstream to the mean, averaged over the run.
+type simulationResult struct {
+	newConnections float64
+	imbalance      float64
 }
 
-// playedRun is a run under way.
-type playedRun struct {
-	fleetRun
+// runningSimulation is a simulation in progress.
+type runningSimulation struct {
+	fleetSimulation
 	now    time.Time
 	random *rand.Rand
-	fleet  []*simulated
-	calls  []underWayCall
-	// at counts the calls at each upstream.
-	at           map[units.Upstream]int
-	placed, made int
-	uneven       float64
-	samples      int
+	fleet  []*simulatedEntry
+	calls  []inFlightCall
+	// callsAt counts the calls at each upstream.
+	callsAt                map[units.Upstream]int
+	placed, newConnections int
+	imbalance              float64
+	samples                int
 }
 
-func (r fleetRun) play(seed uint64) result {
+func (r fleetSimulation) simulate(seed uint64) simulationResult {
 	const step = 20 * time.Millisecond
 	const steps, warm, poll = 1000, 300, 10
-	p := &playedRun{
-		fleetRun: r,
-		now:      start,
-		random:   rand.New(rand.NewPCG(seed, 1)),
-		at:       make(map[units.Upstream]int),
+	p := &runningSimulation{
+		fleetSimulation: r,
+		now:             start,
+		random:          rand.New(rand.NewPCG(seed, 1)),
+		callsAt:         make(map[units.Upstream]int),
 	}
 	for i := range r.entries {
 		p.fleet = append(p.fleet, p.entry(i))
 	}
 	for n := range steps {
 		p.now = p.now.Add(step)
-		p.end()
+		p.endCalls()
 		if n%poll == 0 {
 			p.poll()
 		}
 		if n == warm {
-			p.placed, p.made = 0, 0
+			p.placed, p.newConnections = 0, 0
 		}
 		for expected := r.rate * step.Seconds(); p.random.Float64() < expected; expected-- {
 			p.place(p.random.IntN(r.entries))
@@ -85,14 +86,14 @@
 			p.sample()
 		}
 	}
-	return result{
-		made:   float64(p.made) / float64(p.placed),
-		uneven: p.uneven / float64(p.samples),
+	return simulationResult{
+		newConnections: float64(p.newConnections) / float64(p.placed),
+		imbalance:      p.imbalance / float64(p.samples),
 	}
 }
 
-func (p *playedRun) entry(i int) *simulated {
-	e := &simulated{idleSince: make(map[units.Upstream][]time.Time)}
+func (p *runningSimulation) entry(i int) *simulatedEntry {
+	e := &simulatedEntry{idleSince: make(map[units.Upstream][]time.Time)}
 	e.Placer = &Placer{
 		DataCentre: units.DataCentre(fmt.Sprintf("dc-%d", i%6)),
 		Now:        func() time.Time { return p.now },
@@ -112,8 +113,8 @@
 	return e
 }
 
-// end takes out the calls that are over and leaves their connections idle.
-func (p *playedRun) end() {
+// endCalls removes the calls that have ended and marks their connections idle.
+func (p *runningSimulation) endCalls() {
 	kept := p.calls[:0]
 	for _, c := range p.calls {
 		if p.now.Before(c.ends) {
@@ -121,7 +122,7 @@
 			continue
 		}
 		e := p.fleet[c.entry]
-		p.at[c.upstream.Name]--
+		p.callsAt[c.upstream.Name]--
 		c.upstream.Live.InFlight.Add(-1)
 		c.upstream.Live.Idle.Add(1)
 		e.idleSince[c.upstream.Name] = append(e.idleSince[c.upstream.Name], p.now)
@@ -129,10 +130,11 @@
 	p.calls = kept
 }
 
-// poll tells each entry what the others have under way, and closes what idles too long.
-func (p *playedRun) poll() {
+// poll gives each entry the load of the other entries, and closes connections that have
+// been idle for longer than idleTimeout.
+func (p *runningSimulation) poll() {
 	total := make(map[Hash]UnderWay)
-	for name, count := range p.at {
+	for name, count := range p.callsAt {
 		total[HashOf(name)] = UnderWay{Calls: int64(count)}
 	}
 	for _, e := range p.fleet {
@@ -142,7 +144,7 @@
 		})
 		for _, c := range e.fleet["s"] {
 			idle := e.idleSince[c.Name]
-			for len(idle) > 0 && p.now.Sub(idle[0]) > p.keeps {
+			for len(idle) > 0 && p.now.Sub(idle[0]) > p.idleTimeout {
 				idle = idle[1:]
 				c.Live.Idle.Add(-1)
 			}
@@ -151,66 +153,67 @@
 	}
 }
 
-func (p *playedRun) place(i int) {
+func (p *runningSimulation) place(i int) {
 	e := p.fleet[i]
 	u := e.Pick(&dispatcher.Call{Service: "s"}, nil)
 	u.Live.InFlight.Add(1)
-	p.at[u.Name]++
+	p.callsAt[u.Name]++
 	p.placed++
-	p.calls = append(p.calls, underWayCall{
+	p.calls = append(p.calls, inFlightCall{
 		entry:    i,
 		upstream: u,
-		ends:     p.now.Add(time.Duration((0.5 + p.random.Float64()) * float64(p.lasting))),
+		ends:     p.now.Add(time.Duration((0.5 + p.random.Float64()) * float64(p.callDuration))),
 	})
 	idle := e.idleSince[u.Name]
 	if len(idle) == 0 {
-		p.made++
+		p.newConnections++
 		return
 	}
 	e.idleSince[u.Name] = idle[:len(idle)-1]
 	u.Live.Idle.Add(-1)
 }
 
-// sample notes how uneven the upstreams are used at the moment.
-func (p *playedRun) sample() {
+// sample records the current imbalance between upstreams.
+func (p *runningSimulation) sample() {
 	most := 0
-	for _, count := range p.at {
+	for _, count := range p.callsAt {
 		most = max(most, count)
 	}
-	p.uneven += float64(most) * float64(p.upstreams) / float64(max(1, len(p.calls)))
+	p.imbalance += float64(most) * float64(p.upstreams) / float64(max(1, len(p.calls)))
 	p.samples++
 }
 
-// Two hundred entries place four calls a second each among a hundred upstreams. Placed
-// by load alone, nearly every call goes where its entry has no connection: each waits for
-// the set-up of one, and upstreams spend their time and their bound of connections on it.
-// Most calls must find a connection, and upstreams must be used as evenly as before.
-func TestCallsGoWhereConnectionsAre(t *testing.T) {
+// About two hundred entries place some calls per second each among a hundred upstreams.
+// Placed by load alone, nearly every call goes to an upstream that its entry has no connection
+// to: each call waits for connection setup, which also takes the upstreams' time and uses up
+// their connection limits. Most calls must find an idle connection, and the load must be as
+// even as without this preference.
+func TestCallsPreferIdleConnections(t *testing.T) {
 	cases := map[string]struct {
-		run    fleetRun
-		made   float64
-		uneven float64
+		run            fleetSimulation
+		newConnections float64
+		imbalance      float64
 	}{
 		"large fleet": {
-			run:    fleetRun{entries: 195, upstreams: 100, rate: 600, lasting: 600 * time.Millisecond, keeps: 2500 * time.Millisecond},
-			made:   0.25,
-			uneven: 3,
+			run:            fleetSimulation{entries: 195, upstreams: 100, rate: 600, callDuration: 600 * time.Millisecond, idleTimeout: 2500 * time.Millisecond},
+			newConnections: 0.25,
+			imbalance:      3,
 		},
 		"small fleet": {
-			run:    fleetRun{entries: 8, upstreams: 18, rate: 150, lasting: 600 * time.Millisecond, keeps: 2500 * time.Millisecond},
-			made:   0.1,
-			uneven: 3,
+			run:            fleetSimulation{entries: 8, upstreams: 18, rate: 150, callDuration: 600 * time.Millisecond, idleTimeout: 2500 * time.Millisecond},
+			newConnections: 0.1,
+			imbalance:      3,
 		},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			got := c.run.play(1)
-			t.Logf("connections made by %.2f of calls, the fullest upstream has %.1f times the mean", got.made, got.uneven)
-			if got.made > c.made {
-				t.Errorf("calls that made a connection: got %.2f, want at most %.2f", got.made, c.made)
+			got := c.run.simulate(1)
+			t.Logf("calls that opened a connection: %.2f; busiest upstream: %.1f times the mean load", got.newConnections, got.imbalance)
+			if got.newConnections > c.newConnections {
+				t.Errorf("fraction of calls that opened a connection: got %.2f, want at most %.2f", got.newConnections, c.newConnections)
 			}
-			if got.uneven > c.uneven {
-				t.Errorf("fullest upstream: got %.1f times the mean, want at most %.1f", got.uneven, c.uneven)
+			if got.imbalance > c.imbalance {
+				t.Errorf("load of the busiest upstream: got %.1f times the mean, want at most %.1f", got.imbalance, c.imbalance)
 			}
 		})
 	}
--- a/src/placer/doc.go
+++ b/src/placer/doc.go
@@ -1,14 +1,14 @@
 // Package placer chooses the upstream for each attempt of a call.
 //
-// The load it answers: calls arrive in clumps at several entries that see each
-// other's work only through the load that upstreams state in their answers;
-// prompts share long parts whose reading again costs an upstream's time; some
-// upstreams are slow, refuse, or are dead without saying so.
+// Calls arrive in bursts at several entries, which see each other's traffic only through
+// the load that upstreams report in their answers. Prompts share long prefixes, and
+// computing one again costs an upstream's time. Some upstreams are slow, refuse calls, or
+// have failed without any notice.
 //
-// Each call compares a few upstreams by what it would wait for there: the prompt
-// tokens that wait to be read, its own that the upstream lacks, and the places
-// taken. The few are two that its shared part belongs to by rendezvous hashing,
-// which all entries work out alike without a message, and some drawn by lot: what
-// an entry knows of others' calls is a poll old, and all of them would send to the
-// one that was least busy then.
+// Each call compares a few upstreams by the expected wait there: the prompt tokens that
+// are queued for prefill, the call's own tokens that the upstream has not cached, and the
+// slots in use. The few are the two owners of the call's prompt prefix by rendezvous
+// hashing, which all entries compute alike without a message, and a random sample: an
+// entry's knowledge of other entries' calls is one poll old, and if every entry compared
+// all upstreams, all would send to the one that was least busy at that poll.
 package placer
--- a/src/placer/donor.go
+++ b/src/placer/donor.go
@@ -5,39 +5,40 @@
 	"github.com/rosecroft/rosecroft/src/tracker"
 )
 
-// leastFetched is the least part worth fetching, in tokens: a smaller one is read in
-// some milliseconds, as long as it takes to ask another upstream for it.
-const leastFetched = 1000
+// minFetchedTokens is the minimum size, in tokens, of a prompt prefix that is worth
+// fetching: the prefill of a smaller one takes some milliseconds, as long as asking another
+// upstream for it.
+const minFetchedTokens = 1000
 
-// Donor returns the upstream from which the one that was chosen for a call may fetch
-// what it lacks of the parts that the call shares with others, or nil.
+// Donor returns the upstream from which the one that was chosen for a call may fetch the
+// part of the call's prompt prefix that it has not cached, or nil.
 //
-// The load it answers: a long shared part is read at its home, and read again at each
-// upstream that calls go to when the home is busy, at each new home when one joins,
-// and at all of them when a data centre is taken back. The chosen upstream fetches
-// only what it lacks, so that asking for what it has costs nothing, and nobody needs
-// to know what each of them holds. One that is leaving still gives what it has, which
-// is the last chance to keep that.
+// Without fetching, a long prompt prefix is computed at its owner, and again at each
+// upstream that calls go to when the owner is busy, at each new owner when an upstream
+// joins, and at all new owners when a data centre is reclaimed. The chosen upstream fetches
+// only what it lacks, so that asking for what it holds costs nothing, and no entry needs
+// to know what each upstream holds. A leaving upstream still serves its cache: this is the
+// last chance to preserve it.
 func (p *Placer) Donor(call *dispatcher.Call, chosen *tracker.Upstream) *tracker.Upstream {
-	if len(call.Parts) < 2 || call.Shared() < leastFetched {
+	if len(call.Parts) < 2 || call.Shared() < minFetchedTokens {
 		return nil
 	}
-	part := call.Parts[len(call.Parts)-2].ID
+	prefix := call.Parts[len(call.Parts)-2].ID
 	var best *Candidate
-	var highest uint64
+	var bestRank uint64
 	now := p.Now()
 	consider := func(candidates []*Candidate) {
 		for _, c := range candidates {
-			// Another version may keep what it has read in another form.
+			// Another version may store its KV cache in another format.
 			if c.Release != chosen.Release {
 				continue
 			}
 			gone := !c.Until.IsZero() && !now.Before(c.Until)
-			if c.Name == chosen.Name || gone || c.Silent && !c.answered(now) || p.ejected(now, c.Upstream) {
+			if c.Name == chosen.Name || gone || c.Silent && !c.hasAnsweredRecently(now) || p.isEjected(now, c.Upstream) {
 				continue
 			}
-			if r := rank(part, c.hash); best == nil || r > highest {
-				best, highest = c, r
+			if r := ownerRank(prefix, c.hash); best == nil || r > bestRank {
+				best, bestRank = c, r
 			}
 		}
 	}
--- a/src/placer/donor_test.go
+++ b/src/placer/donor_test.go
@@ -11,22 +11,22 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// A call goes to an upstream that has not read its long shared part. It must be told
-// to fetch the part from where it lives, the same place from every entry, and never
-// from itself; read again, the part delays that call and those behind it.
-func TestDonorIsWhereThePartLives(t *testing.T) {
+// A call goes to an upstream that has not cached its long prompt prefix. The donor must be
+// the prefix's owner, the same one at every entry, and never the chosen upstream itself. An
+// upstream that computes the prefix again delays the call and those behind it.
+func TestDonorOwnsPrefix(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		upstreams := rapid.IntRange(2, 20).Draw(t, "upstreams")
-		call := prompt(rapid.Uint64().Draw(t, "part"))
-		a, b := newWorld(upstreams), newWorld(upstreams)
-		homes := homesOf(call.Parts[1].ID, a.fleet["s"])
+		call := callWithPrefix(rapid.Uint64().Draw(t, "part"))
+		a, b := newFixture(upstreams), newFixture(upstreams)
+		owners := ownersOf(call.Parts[1].ID, a.fleet["s"])
 		for _, c := range a.fleet["s"] {
-			want := homes[0].Name
+			want := owners[0].Name
 			if c.Name == want {
-				want = homes[1].Name
+				want = owners[1].Name
 			}
-			for _, w := range []*world{a, b} {
-				if got := w.Donor(call, c.Upstream); got == nil || got.Name != want {
+			for _, f := range []*fixture{a, b} {
+				if got := f.Donor(call, c.Upstream); got == nil || got.Name != want {
 					t.Fatalf("donor for %s: got %v, want %s", c.Name, got, want)
 				}
 			}
@@ -35,52 +35,52 @@
 }
 
 func TestDonor(t *testing.T) {
-	call := prompt(7)
-	leave := func(w *world, until time.Time) {
-		home := homesOf(7, w.fleet["s"])[0]
-		home.Until = until
-		w.Leaving = func() Fleet { return Fleet{"s": {home}} }
+	call := callWithPrefix(7)
+	leave := func(f *fixture, until time.Time) {
+		owner := ownersOf(7, f.fleet["s"])[0]
+		owner.Until = until
+		f.Leaving = func() Fleet { return Fleet{"s": {owner}} }
 		var left []*Candidate
-		for _, c := range w.fleet["s"] {
-			if c != home {
+		for _, c := range f.fleet["s"] {
+			if c != owner {
 				left = append(left, c)
 			}
 		}
-		w.fleet = Fleet{"s": left}
+		f.fleet = Fleet{"s": left}
 	}
 	cases := map[string]struct {
-		change func(w *world)
+		change func(f *fixture)
 		call   *dispatcher.Call
-		// want is the place in the part's order of homes, -1 for none.
+		// want is the index of the donor among the prefix's owners, -1 for none.
 		want int
 	}{
-		"the home":                     {call: call},
-		"the home that is leaving":     {call: call, change: func(w *world) { leave(w, w.now.Add(time.Second)) }},
-		"not the home that has left":   {call: call, change: func(w *world) { leave(w, w.now) }, want: 1},
-		"not one that is silent":       {call: call, change: func(w *world) { homesOf(7, w.fleet["s"])[0].Silent = true }, want: 1},
-		"not one that fails":           {call: call, change: func(w *world) { w.fail(homesOf(7, w.fleet["s"])[0].Upstream) }, want: 1},
-		"none for a call by itself":    {call: &dispatcher.Call{Service: "s", Prompt: 5000, Parts: call.Parts[2:]}, want: -1},
-		"none for a short shared part": {call: &dispatcher.Call{Service: "s", Prompt: 110, Parts: []dispatcher.Part{{ID: 7, Tokens: 100}, {ID: 9, Tokens: 10}}}, want: -1},
+		"the owner":                    {call: call},
+		"the owner while it leaves":    {call: call, change: func(f *fixture) { leave(f, f.now.Add(time.Second)) }},
+		"not an owner that has left":   {call: call, change: func(f *fixture) { leave(f, f.now) }, want: 1},
+		"not a silent owner":           {call: call, change: func(f *fixture) { ownersOf(7, f.fleet["s"])[0].Silent = true }, want: 1},
+		"not an ejected owner":         {call: call, change: func(f *fixture) { f.eject(ownersOf(7, f.fleet["s"])[0].Upstream) }, want: 1},
+		"none without a shared prefix": {call: &dispatcher.Call{Service: "s", Prompt: 5000, Parts: call.Parts[2:]}, want: -1},
+		"none for a short prefix":      {call: &dispatcher.Call{Service: "s", Prompt: 110, Parts: []dispatcher.Part{{ID: 7, Tokens: 100}, {ID: 9, Tokens: 10}}}, want: -1},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(6)
-			homes := homesOf(7, w.fleet["s"])
+			f := newFixture(6)
+			owners := ownersOf(7, f.fleet["s"])
 			var chosen *tracker.Upstream
-			for _, other := range w.fleet["s"] {
-				if other != homes[0] && other != homes[1] {
+			for _, other := range f.fleet["s"] {
+				if other != owners[0] && other != owners[1] {
 					chosen = other.Upstream
 				}
 			}
 			if c.change != nil {
-				c.change(w)
+				c.change(f)
 			}
 			var got, want units.Upstream
-			if donor := w.Donor(c.call, chosen); donor != nil {
+			if donor := f.Donor(c.call, chosen); donor != nil {
 				got = donor.Name
 			}
 			if c.want >= 0 {
-				want = homes[c.want].Name
+				want = owners[c.want].Name
 			}
 			if got != want {
 				t.Errorf("donor: got %q, want %q", got, want)
@@ -89,9 +89,9 @@
 	}
 }
 
-// fail makes an upstream fail until it is left out.
-func (w *world) fail(u *tracker.Upstream) {
+// eject makes calls fail at an upstream until it is ejected.
+func (f *fixture) eject(u *tracker.Upstream) {
 	for range 3 {
-		w.Observe(u, dispatcher.Result{Kind: dispatcher.Lost})
+		f.Observe(u, dispatcher.Result{Kind: dispatcher.Lost})
 	}
 }
--- a/src/placer/engine_test.go
+++ b/src/placer/engine_test.go
@@ -13,123 +13,130 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// engineModel is how a model engine runs calls: in steps, each of which brings every call
-// a token and reads some prompt tokens of those that are not read yet.
+// engineModel is the timing of a simulated engine, which runs calls in steps: each step
+// generates one token for every call whose prompt is done, and prefills prompt tokens of the
+// others.
 type engineModel struct {
 	slots int
-	// step is what a step takes at least, perCall more for each call, perToken for each
-	// prompt token that is read, perPair for each of them and each token before it.
+	// step is the minimum duration of a step. Added to it are perCall for each call, perToken
+	// for each prompt token prefilled, and perPair for every pairUnit pairs of such a token and
+	// a token before it.
 	step, perCall, perToken, perPair time.Duration
-	// pairUnit is how many pairs perPair stands for.
+	// pairUnit is how many pairs take perPair.
 	pairUnit float64
-	// chunk is how many prompt tokens one step reads at most, stride how many tokens go
-	// into one event.
-	chunk, stride int
-	// memory is how many tokens of shared parts are kept.
-	memory int
+	// chunk is the maximum number of prompt tokens that one step prefills, and eventTokens
+	// the number of generated tokens in one event of a stream.
+	chunk, eventTokens int
+	// cacheTokens is the capacity of the prefix cache.
+	cacheTokens int
 }
 
 func modelEngine() engineModel {
 	return engineModel{
-		slots:    12,
-		step:     3 * time.Millisecond,
-		perCall:  20 * time.Microsecond,
-		perToken: 10 * time.Microsecond,
-		perPair:  184 * time.Microsecond,
-		pairUnit: 1e6,
-		chunk:    4096,
-		stride:   9,
-		memory:   300_000,
+		slots:       12,
+		step:        3 * time.Millisecond,
+		perCall:     20 * time.Microsecond,
+		perToken:    10 * time.Microsecond,
+		perPair:     184 * time.Microsecond,
+		pairUnit:    1e6,
+		chunk:       4096,
+		eventTokens: 9,
+		cacheTokens: 300_000,
 	}
 }
 
-// kind is one kind of call of a replayed load.
+// kind is one kind of call of a replayed load. Its prompts have systemTokens common to all
+// of its calls, one of prefixes prompt prefixes of prefixTokens on average, and ownTokens on
+// average of their own, which follow a log-normal distribution with the given spread.
 type kind struct {
-	name    string
-	rate    float64
-	urgency int
-	first   int
-	parts   int
-	shared  float64
-	own     float64
-	spread  float64
-	mostOwn float64
-	output  float64
-	target  time.Duration
-	worth   float64
+	name         string
+	rate         float64
+	urgency      int
+	systemTokens int
+	prefixes     int
+	prefixTokens float64
+	ownTokens    float64
+	logSigma     float64
+	maxOwnTokens float64
+	outputTokens float64
+	target       time.Duration
+	value        float64
 }
 
-// reports, replies and triage are calls with long, short and middling prompts.
+// mixedKinds returns reports, replies and triage: calls with long, short and medium prompts.
 func mixedKinds(load float64) []kind {
 	return []kind{
 		{
-			name: "report", rate: 150 * load, urgency: 1, first: 512, parts: 873, shared: 4870, own: 6610, spread: 1.4, mostOwn: 54_600,
-			output: 380, target: 800 * time.Millisecond, worth: 3.9,
+			name: "report", rate: 150 * load, urgency: 1, systemTokens: 512, prefixes: 873, prefixTokens: 4870, ownTokens: 6610, logSigma: 1.4, maxOwnTokens: 54_600,
+			outputTokens: 380, target: 800 * time.Millisecond, value: 3.9,
 		},
 		{
-			name: "reply", rate: 153 * load, urgency: 0, first: 119, parts: 592, shared: 79, own: 628, spread: 1, mostOwn: 3310,
-			output: 290, target: 400 * time.Millisecond, worth: 2.5,
+			name: "reply", rate: 153 * load, urgency: 0, systemTokens: 119, prefixes: 592, prefixTokens: 79, ownTokens: 628, logSigma: 1, maxOwnTokens: 3310,
+			outputTokens: 290, target: 400 * time.Millisecond, value: 2.5,
 		},
 		{
-			name: "triage", rate: 314 * load, urgency: 2, first: 341, parts: 2737, shared: 227, own: 1800, spread: 1.3, mostOwn: 6870,
-			output: 22, target: 500 * time.Millisecond, worth: 0.31,
+			name: "triage", rate: 314 * load, urgency: 2, systemTokens: 341, prefixes: 2737, prefixTokens: 227, ownTokens: 1800, logSigma: 1.3, maxOwnTokens: 6870,
+			outputTokens: 22, target: 500 * time.Millisecond, value: 0.31,
 		},
 	}
 }
 
-// mostPause is the longest pause between events with which a stream is on time.
-const mostPause = 500 * time.Millisecond
+// defaultMaxPause is the longest pause between events of a stream that is on time.
+const defaultMaxPause = 500 * time.Millisecond
 
-// job is one call at an engine.
+// job is one call at an engine. countedPrefill is what it added to its upstream's Prefill.
 type job struct {
-	call     *dispatcher.Call
-	kind     *kind
-	weight   float64
-	entry    *replayEntry
-	upstream *tracker.Upstream
-	engine   *engine
-	sent     time.Duration
-	unread   int
-	context  int
-	left     int
-	made     int
-	firstAt  time.Duration
-	lastAt   time.Duration
-	pause    time.Duration
-	told     int64
+	call           *dispatcher.Call
+	kind           *kind
+	weight         float64
+	entry          *replayEntry
+	upstream       *tracker.Upstream
+	engine         *engine
+	sent           time.Duration
+	unread         int
+	context        int
+	maxTokens      int
+	generated      int
+	firstAt        time.Duration
+	lastAt         time.Duration
+	pause          time.Duration
+	countedPrefill int64
 }
 
+// engine is a simulated engine. cached holds prompt prefixes, the least recently used first,
+// and sizes their tokens.
 type engine struct {
 	engineModel
-	name    units.Upstream
-	speed   float64
-	waiting []*job
-	running []*job
-	reading []int
-	busy    bool
-	kept    []uint64
-	sizes   map[uint64]int
-	total   int
+	name         units.Upstream
+	speed        float64
+	waiting      []*job
+	running      []*job
+	prefilling   []int
+	busy         bool
+	cached       []uint64
+	sizes        map[uint64]int
+	cachedTokens int
 }
 
-// keep notes that a part was read or used, and returns how much of it had to be read.
-func (e *engine) keep(part uint64, tokens int) int {
-	if i := slices.Index(e.kept, part); i >= 0 {
-		e.kept = append(slices.Delete(e.kept, i, i+1), part)
+// touch marks a prompt prefix as most recently used, and returns how many of its tokens were
+// not cached.
+func (e *engine) touch(prefix uint64, tokens int) int {
+	if i := slices.Index(e.cached, prefix); i >= 0 {
+		e.cached = append(slices.Delete(e.cached, i, i+1), prefix)
 		return 0
 	}
-	e.kept = append(e.kept, part)
-	e.sizes[part] = tokens
-	e.total += tokens
-	for e.total > e.memory {
-		e.total -= e.sizes[e.kept[0]]
-		e.kept = e.kept[1:]
+	e.cached = append(e.cached, prefix)
+	e.sizes[prefix] = tokens
+	e.cachedTokens += tokens
+	for e.cachedTokens > e.cacheTokens {
+		e.cachedTokens -= e.sizes[e.cached[0]]
+		e.cached = e.cached[1:]
 	}
 	return tokens
 }
 
-// begin starts the next step and returns how long it takes, 0 where there is nothing to do.
-func (e *engine) begin() time.Duration {
+// beginStep starts the next step and returns its duration, 0 if there are no calls.
+func (e *engine) beginStep() time.Duration {
 	slices.SortStableFunc(e.waiting, func(a, b *job) int { return a.kind.urgency - b.kind.urgency })
 	for len(e.running) < e.slots && len(e.waiting) > 0 {
 		e.running = append(e.running, e.waiting[0])
@@ -139,12 +146,12 @@
 		return 0
 	}
 	took := e.step + time.Duration(len(e.running))*e.perCall
-	room := e.chunk
-	e.reading = e.reading[:0]
+	budget := e.chunk
+	e.prefilling = e.prefilling[:0]
 	for _, j := range e.running {
-		part := min(room, j.unread)
-		room -= part
-		e.reading = append(e.reading, part)
+		part := min(budget, j.unread)
+		budget -= part
+		e.prefilling = append(e.prefilling, part)
 		took += time.Duration(part) * e.perToken
 		took += time.Duration(float64(e.perPair) * float64(part) * float64(j.context) / e.pairUnit)
 		j.context += part
@@ -152,26 +159,26 @@
 	return time.Duration(float64(took) * e.speed)
 }
 
-// end ends a step: calls that are read get a token.
-func (e *engine) end(now time.Duration, done func(*job), first func(*job)) {
+// endStep ends a step: calls whose prompts are done get a token.
+func (e *engine) endStep(now time.Duration, done func(*job), first func(*job)) {
 	kept := e.running[:0]
 	for i, j := range e.running {
-		if i < len(e.reading) {
-			j.unread -= e.reading[i]
+		if i < len(e.prefilling) {
+			j.unread -= e.prefilling[i]
 		}
-		if i >= len(e.reading) || j.unread > 0 {
+		if i >= len(e.prefilling) || j.unread > 0 {
 			kept = append(kept, j)
 			continue
 		}
-		j.made++
-		if j.made == 1 {
+		j.generated++
+		if j.generated == 1 {
 			j.firstAt, j.lastAt = now, now
 			first(j)
-		} else if j.made%e.stride == 1 || j.made == j.left {
+		} else if j.generated%e.eventTokens == 1 || j.generated == j.maxTokens {
 			j.pause = max(j.pause, now-j.lastAt)
 			j.lastAt = now
 		}
-		if j.made < j.left {
+		if j.generated < j.maxTokens {
 			kept = append(kept, j)
 			continue
 		}
@@ -180,95 +187,98 @@
 	e.running = kept
 }
 
-// replayEntry is one entry of a replayed fleet.
+// replayEntry is one entry of a replay.
 type replayEntry struct {
 	*Placer
 	fleet Fleet
 }
 
-// moment is something that happens in a replay.
-type moment struct {
-	at   time.Duration
-	what func()
+// event is a function that runs at a given time of a replay.
+type event struct {
+	at  time.Duration
+	run func()
 }
 
-type moments []moment
+type eventQueue []event
 
-func (m moments) Len() int           { return len(m) }
-func (m moments) Less(i, j int) bool { return m[i].at < m[j].at }
-func (m moments) Swap(i, j int)      { m[i], m[j] = m[j], m[i] }
-func (m *moments) Push(x any)        { *m = append(*m, x.(moment)) }
-func (m *moments) Pop() any {
+func (m eventQueue) Len() int           { return len(m) }
+func (m eventQueue) Less(i, j int) bool { return m[i].at < m[j].at }
+func (m eventQueue) Swap(i, j int)      { m[i], m[j] = m[j], m[i] }
+func (m *eventQueue) Push(x any)        { *m = append(*m, x.(event)) }
+func (m *eventQueue) Pop() any {
 	last := (*m)[len(*m)-1]
 	*m = (*m)[:len(*m)-1]
 	return last
 }
 
-// replay plays a load on a fleet with a policy of placement.
+// replay configures the replay of a load on a fleet of engines under a placement policy.
 type replay struct {
 	entries, engines int
 	kinds            []kind
 	model            *engineModel
-	gap              time.Duration
+	maxPause         time.Duration
 	length           time.Duration
-	// slow is the part of the engines that run slowed times as slow.
-	slow   float64
-	slowed float64
-	seed   uint64
-	// alike takes all upstreams to stand at the same place of their order.
-	alike bool
-	// place overrides the entry's own choice; it may be nil.
+	// slowShare is the fraction of engines whose steps take slowdown times as long.
+	slowShare float64
+	slowdown  float64
+	seed      uint64
+	// uniform gives all upstreams the same position in the common order.
+	uniform bool
+	// place replaces the entry's own choice; it may be nil.
 	place func(r *running, e *replayEntry, call *dispatcher.Call) *tracker.Upstream
 }
 
+// running is a replay in progress. earned, offered, late, stalled and arrived are by kind of
+// call: value earned and offered, calls beyond their latency target, calls with too long a
+// pause, and calls that arrived.
 type running struct {
 	replay
-	now     time.Duration
-	random  *rand.Rand
-	queue   moments
-	fleet   []*replayEntry
-	engines []*engine
-	byName  map[units.Upstream]*engine
-	earned  map[string]float64
-	owed    map[string]float64
-	late    map[string]int
-	stalled map[string]int
-	asked   map[string]int
-	read    int
-	fetched int
-	refused int
+	now       time.Duration
+	random    *rand.Rand
+	queue     eventQueue
+	fleet     []*replayEntry
+	engines   []*engine
+	byName    map[units.Upstream]*engine
+	earned    map[string]float64
+	offered   map[string]float64
+	late      map[string]int
+	stalled   map[string]int
+	arrived   map[string]int
+	prefilled int
+	fetched   int
+	refused   int
 }
 
-func (r *running) modelOf() engineModel {
+func (r *running) modelOrDefault() engineModel {
 	if r.model != nil {
 		return *r.model
 	}
 	return modelEngine()
 }
 
-func (r *running) at(d time.Duration, what func()) { heap.Push(&r.queue, moment{at: d, what: what}) }
+func (r *running) at(d time.Duration, run func()) { heap.Push(&r.queue, event{at: d, run: run}) }
 
-// play returns the part of the worth that was earned, and of each kind.
-func (p replay) play() *running {
+// simulate runs the replay to its end and returns it with its results.
+func (p replay) simulate() *running {
 	r := &running{
 		replay:  p,
 		random:  rand.New(rand.NewPCG(p.seed, 2)),
 		byName:  make(map[units.Upstream]*engine),
 		earned:  make(map[string]float64),
-		owed:    make(map[string]float64),
+		offered: make(map[string]float64),
 		late:    make(map[string]int),
 		stalled: make(map[string]int),
-		asked:   make(map[string]int),
+		arrived: make(map[string]int),
 	}
 	for i := range p.engines {
 		e := &engine{
-			engineModel: r.modelOf(),
+			engineModel: r.modelOrDefault(),
 			name:        units.Upstream(fmt.Sprintf("u%03d", i)),
 			speed:       []float64{1, 1, 1.3}[i%3],
 			sizes:       make(map[uint64]int),
 		}
-		if float64(i) < p.slow*float64(p.engines) {
-			e.speed *= p.slowed
+		if float64(i) < p.slowShare*float64(p.engines) {
+			e.speed *= p.slowdown
 		}
 		r.engines = append(r.engines, e)
 		r.byName[e.name] = e
@@ -279,9 +289,9 @@
 			DataCentre: units.DataCentre(fmt.Sprintf("dc-%d", i%6)),
 			Now:        func() time.Time { return start.Add(r.now) },
 			Fleet:      func() Fleet { return e.fleet },
-			MostCalls:  func(*tracker.Upstream) int { return r.modelOf().slots },
+			MostCalls:  func(*tracker.Upstream) int { return r.modelOrDefault().slots },
 			Random:     r.random,
-			Each:       func(units.Service) time.Duration { return r.modelOf().perToken },
+			Each:       func(units.Service) time.Duration { return r.modelOrDefault().perToken },
 		}
 		e.fleet = make(Fleet)
 		for u := range r.engines {
@@ -289,11 +299,11 @@
 				Name:       r.engines[u].name,
 				Service:    "s",
 				DataCentre: units.DataCentre(fmt.Sprintf("dc-%d", u%6)),
-				Slots:      r.modelOf().slots,
+				Slots:      r.modelOrDefault().slots,
 				Live:       &tracker.Live{},
 			}, false, false))
-			if r.alike {
-				e.fleet["s"][u].place = 0.5
+			if r.uniform {
+				e.fleet["s"][u].position = 0.5
 			}
 		}
 		r.fleet = append(r.fleet, e)
@@ -303,9 +313,9 @@
 	}
 	r.at(0, r.poll)
 	for len(r.queue) > 0 && r.now < p.length {
-		m := heap.Pop(&r.queue).(moment)
+		m := heap.Pop(&r.queue).(event)
 		r.now = m.at
-		m.what()
+		m.run()
 	}
 	return r
 }
@@ -313,31 +323,31 @@
 func (r *running) arrive(k *kind) {
 	r.at(r.now+time.Duration(r.random.ExpFloat64()/k.rate*float64(time.Second)), func() { r.arrive(k) })
 	e := r.fleet[r.random.IntN(len(r.fleet))]
-	sigma := k.spread
-	own := min(k.mostOwn, k.own*math.Exp(sigma*r.random.NormFloat64()-sigma*sigma/2))
-	part := uint64(r.random.IntN(k.parts))
-	shared := 0.5*k.shared + k.shared*float64(part*2654435761%1000)/1000
+	sigma := k.logSigma
+	ownTokens := min(k.maxOwnTokens, k.ownTokens*math.Exp(sigma*r.random.NormFloat64()-sigma*sigma/2))
+	part := uint64(r.random.IntN(k.prefixes))
+	prefixTokens := 0.5*k.prefixTokens + k.prefixTokens*float64(part*2654435761%1000)/1000
 	base := uint64(len(k.name)) << 40
 	call := &dispatcher.Call{
 		Service: "s",
-		Prompt:  units.Tokens(float64(k.first) + shared + own),
+		Prompt:  units.Tokens(float64(k.systemTokens) + prefixTokens + ownTokens),
 		Parts: []dispatcher.Part{
-			{ID: base | 1<<32, Tokens: units.Tokens(k.first)},
-			{ID: base | part, Tokens: units.Tokens(shared)},
-			{ID: r.random.Uint64(), Tokens: units.Tokens(own)},
+			{ID: base | 1<<32, Tokens: units.Tokens(k.systemTokens)},
+			{ID: base | part, Tokens: units.Tokens(prefixTokens)},
+			{ID: r.random.Uint64(), Tokens: units.Tokens(ownTokens)},
 		},
 		Target:  k.target,
-		Pause:   r.gapOf(),
+		Pause:   r.pauseLimit(),
 		Urgency: k.urgency,
 		Rank:    k.urgency,
 		Stream:  true,
 	}
-	mean := float64(k.first) + k.shared + k.own
-	weight := min(4, 0.3+0.7*float64(call.Prompt)/mean) * k.worth
+	mean := float64(k.systemTokens) + k.prefixTokens + k.ownTokens
+	weight := min(4, 0.3+0.7*float64(call.Prompt)/mean) * k.value
 	warm := r.now > 4*time.Second && r.now < r.length-4*time.Second
 	if warm {
-		r.owed[k.name] += weight
-		r.asked[k.name]++
+		r.offered[k.name] += weight
+		r.arrived[k.name]++
 	}
 	var u *tracker.Upstream
 	if r.place != nil {
@@ -351,27 +361,27 @@
 	}
 	target := r.byName[u.Name]
 	j := &job{
-		call:     call,
-		kind:     k,
-		entry:    e,
-		upstream: u,
-		engine:   target,
-		sent:     r.now,
-		left:     max(1, int(k.output*(0.5+r.random.Float64()))),
-		told:     int64(call.Unread()),
+		call:           call,
+		kind:           k,
+		entry:          e,
+		upstream:       u,
+		engine:         target,
+		sent:           r.now,
+		maxTokens:      max(1, int(k.outputTokens*(0.5+r.random.Float64()))),
+		countedPrefill: int64(call.Unread()),
 	}
 	if warm {
 		j.weight = weight
 	}
 	u.Live.InFlight.Add(1)
-	u.Live.Prefill.Add(j.told)
+	u.Live.Prefill.Add(j.countedPrefill)
 	if u.Live.Idle.Load() > 0 {
 		u.Live.Idle.Add(-1)
 	}
 	r.at(r.now+3*time.Millisecond, func() {
-		unread := int(own) + target.keep(call.Parts[0].ID, k.first)
-		missing := target.keep(call.Parts[1].ID, int(shared))
-		if missing > 0 && r.holds(e.Donor(call, u), call.Parts[1].ID) {
+		unread := int(ownTokens) + target.touch(call.Parts[0].ID, k.systemTokens)
+		missing := target.touch(call.Parts[1].ID, int(prefixTokens))
+		if missing > 0 && r.hasCached(e.Donor(call, u), call.Parts[1].ID) {
 			if warm {
 				r.fetched += missing
 			}
@@ -380,35 +390,35 @@
 		unread += missing
 		j.unread = max(1, unread)
 		j.context = int(call.Prompt) - j.unread
-		r.read += j.unread
+		r.prefilled += j.unread
 		target.waiting = append(target.waiting, j)
-		r.kick(target)
+		r.startStep(target)
 	})
 }
 
-// holds reports whether an upstream keeps a part.
-func (r *running) holds(u *tracker.Upstream, part uint64) bool {
-	return u != nil && slices.Contains(r.byName[u.Name].kept, part)
+// hasCached reports whether an upstream has cached a prompt prefix.
+func (r *running) hasCached(u *tracker.Upstream, prefix uint64) bool {
+	return u != nil && slices.Contains(r.byName[u.Name].cached, prefix)
 }
 
-func (r *running) kick(e *engine) {
+func (r *running) startStep(e *engine) {
 	if e.busy {
 		return
 	}
-	took := e.begin()
+	took := e.beginStep()
 	if took == 0 {
 		return
 	}
 	e.busy = true
 	r.at(r.now+took, func() {
 		e.busy = false
-		e.end(r.now, r.done, r.first)
-		r.kick(e)
+		e.endStep(r.now, r.done, r.first)
+		r.startStep(e)
 	})
 }
 
 func (r *running) first(j *job) {
-	j.upstream.Live.Prefill.Add(-j.told)
+	j.upstream.Live.Prefill.Add(-j.countedPrefill)
 	j.entry.State(j.upstream, Load{
 		Running: len(j.engine.running),
 		Waiting: len(j.engine.waiting),
@@ -427,7 +437,7 @@
 	case wait > j.kind.target:
 		r.late[j.kind.name]++
 		r.earned[j.kind.name] += 0.1 * j.weight
-	case j.pause > r.gapOf():
+	case j.pause > r.pauseLimit():
 		r.stalled[j.kind.name]++
 		r.earned[j.kind.name] += 0.1 * j.weight
 	default:
@@ -435,18 +445,18 @@
 	}
 }
 
-func (r *running) gapOf() time.Duration {
-	if r.gap > 0 {
-		return r.gap
+func (r *running) pauseLimit() time.Duration {
+	if r.maxPause > 0 {
+		return r.maxPause
 	}
-	return mostPause
+	return defaultMaxPause
 }
 
-// pollEvery is how often entries hear of each other's load.
-const pollEvery = 200 * time.Millisecond
+// pollInterval is the interval at which entries receive each other's load.
+const pollInterval = 200 * time.Millisecond
 
 func (r *running) poll() {
-	r.at(r.now+pollEvery, r.poll)
+	r.at(r.now+pollInterval, r.poll)
 	total := make(map[Hash]UnderWay)
 	own := make([]map[Hash]UnderWay, len(r.fleet))
 	for i, e := range r.fleet {
@@ -458,8 +468,8 @@
 			total[hash] = sum
 		}
 	}
-	// What an entry hears is as old as the others' last polls.
-	r.at(r.now+pollEvery/2, func() {
+	// The load that an entry receives is as old as the other entries' last polls.
+	r.at(r.now+pollInterval/2, func() {
 		for i, e := range r.fleet {
 			e.SetOthers(&Others{
 				At:    start.Add(r.now),
@@ -469,36 +479,36 @@
 	})
 }
 
-// served returns the part of the worth that was earned.
+// served returns the fraction of the offered value that was earned.
 func (r *running) served() float64 {
-	earned, owed := 0.0, 0.0
-	for name := range r.owed {
+	earned, offered := 0.0, 0.0
+	for name := range r.offered {
 		earned += r.earned[name]
-		owed += r.owed[name]
+		offered += r.offered[name]
 	}
-	return earned / owed
+	return earned / offered
 }
 
-// movedEach is what moving the memory of one prompt token between engines costs, in the
-// worth of calls.
-const movedEach = 2.3e-5
+// transferCost is the cost of transferring one prompt token's KV cache between engines, in
+// units of the value of calls.
+const transferCost = 2.3e-5
 
-// net returns the part of the worth that is left when what was moved is paid for.
+// net returns the fraction of the offered value that remains after transfer costs.
 func (r *running) net() float64 {
-	owed := 0.0
-	for _, worth := range r.owed {
-		owed += worth
+	offered := 0.0
+	for _, value := range r.offered {
+		offered += value
 	}
-	return r.served() - movedEach*float64(r.fetched)/owed
+	return r.served() - transferCost*float64(r.fetched)/offered
 }
 
-// String tells how a replay went, kind by kind.
+// String summarizes the results by kind of call.
 func (r *running) String() string {
-	text := fmt.Sprintf("net %.3f, served %.3f, refused %d, read %d, fetched %d", r.net(), r.served(), r.refused, r.read, r.fetched)
+	text := fmt.Sprintf("net %.3f, served %.3f, refused %d, read %d, fetched %d", r.net(), r.served(), r.refused, r.prefilled, r.fetched)
 	for i := range r.kinds {
 		k := r.kinds[i].name
-		text += fmt.Sprintf("; %s %.3f (late %.3f, stalled %.3f)", k, r.earned[k]/r.owed[k],
-			float64(r.late[k])/float64(r.asked[k]), float64(r.stalled[k])/float64(r.asked[k]))
+		text += fmt.Sprintf("; %s %.3f (late %.3f, stalled %.3f)", k, r.earned[k]/r.offered[k],
+			float64(r.late[k])/float64(r.arrived[k]), float64(r.stalled[k])/float64(r.arrived[k]))
 	}
 	return text
 }
--- a/src/placer/load.go
+++ b/src/placer/load.go
@@ -9,69 +9,71 @@
 	"github.com/rosecroft/rosecroft/src/tracker"
 )
 
-// stats is what this entry knows of one incarnation from its own calls.
+// stats is what this entry knows of one incarnation of an upstream from its own calls.
 type stats struct {
 	mu sync.Mutex
-	// others is what the upstream had to do for others at statedAt.
-	others   int
-	statedAt time.Time
-	// answeredAt is when it last answered.
+	// peerCalls is how many calls of other entries the upstream had at reportedAt.
+	peerCalls  int
+	reportedAt time.Time
+	// answeredAt is when the upstream last answered.
 	answeredAt time.Time
 }
 
-// Load is what an upstream states of itself in an answer.
+// Load is the load that an upstream reports in an answer.
 type Load struct {
 	Running int
 	Waiting int
 	Slots   int
 }
 
-func (c *Candidate) answered(now time.Time) bool {
+func (c *Candidate) hasAnsweredRecently(now time.Time) bool {
 	c.stats.mu.Lock()
 	defer c.stats.mu.Unlock()
-	return now.Sub(c.stats.answeredAt) < soundFor
+	return now.Sub(c.stats.answeredAt) < answerTTL
 }
 
-// busy returns what an upstream has to do: what this entry sent, which it knows
-// exactly, and what others did, by the more recent of their polls and its answers.
-func (c *Candidate) busy(now time.Time, others *Others) (calls, prefill int64) {
+// estimatedLoad returns the calls and the prompt tokens queued at an upstream: this entry's
+// own, which it knows exactly, and those of other entries. The other entries' calls are
+// the larger of their polled number and the number by the upstream's answers.
+func (c *Candidate) estimatedLoad(now time.Time, peers *Others) (calls, prefill int64) {
 	calls = c.Live.InFlight.Load()
 	prefill = c.Live.Prefill.Load()
-	if others == nil || now.Sub(others.At) > othersExpiry {
-		return calls + int64(c.others(now)), prefill
+	if peers == nil || now.Sub(peers.At) > peerLoadExpiry {
+		return calls + int64(c.peerCalls(now)), prefill
 	}
-	load := others.Loads[c.hash]
-	return calls + max(load.Calls, int64(c.others(now))), prefill + load.Prefill
+	load := peers.Loads[c.hash]
+	return calls + max(load.Calls, int64(c.peerCalls(now))), prefill + load.Prefill
 }
 
-// others returns what the upstream does for others, which fades with its age.
-func (c *Candidate) others(now time.Time) float64 {
+// peerCalls returns the number of other entries' calls by the upstream's last answer. It
+// decays linearly to 0 within loadExpiry.
+func (c *Candidate) peerCalls(now time.Time) float64 {
 	c.stats.mu.Lock()
 	defer c.stats.mu.Unlock()
-	age := now.Sub(c.stats.statedAt)
+	age := now.Sub(c.stats.reportedAt)
 	if age >= loadExpiry {
 		return 0
 	}
-	return float64(c.stats.others) * (1 - float64(age)/float64(loadExpiry))
+	return float64(c.stats.peerCalls) * (1 - float64(age)/float64(loadExpiry))
 }
 
-// State takes the load that an upstream states in an answer. What this entry has
-// there itself it knows better and without lag.
+// State records the load that an upstream reports in an answer, less this entry's own
+// calls there, which it knows more exactly and without delay.
 func (p *Placer) State(u *tracker.Upstream, load Load) {
 	p.mu.Lock()
-	s := p.known[keyOf(u)]
+	s := p.statsByKey[keyOf(u)]
 	p.mu.Unlock()
 	if s == nil {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.others = max(0, load.Running+load.Waiting-int(u.Live.InFlight.Load()))
-	s.statedAt = p.Now()
-	s.answeredAt = s.statedAt
+	s.peerCalls = max(0, load.Running+load.Waiting-int(u.Live.InFlight.Load()))
+	s.reportedAt = p.Now()
+	s.answeredAt = s.reportedAt
 }
 
-// Observe learns how an exchange ended.
+// Observe records how an exchange ended.
 func (p *Placer) Observe(u *tracker.Upstream, result dispatcher.Result) {
 	now := p.Now()
 	key := keyOf(u)
@@ -80,7 +82,7 @@
 	switch result.Kind {
 	case dispatcher.Answered, dispatcher.Moved:
 		p.ejector.Step(now, ejector.Succeeded{Key: key})
-		if s := p.known[key]; s != nil {
+		if s := p.statsByKey[key]; s != nil {
 			s.mu.Lock()
 			s.answeredAt = now
 			s.mu.Unlock()
@@ -89,7 +91,7 @@
 	case dispatcher.CallerGone:
 		return
 	case dispatcher.NotRun:
-		// A full upstream is not a broken one.
+		// An upstream that refuses a call because it is full has not failed.
 		if !result.Unreached {
 			return
 		}
@@ -101,35 +103,36 @@
 		Total:     len(p.Fleet()[u.Service]),
 	}) {
 		if eject, ok := action.(ejector.Eject); ok {
-			if p.out == nil {
-				p.out = make(map[ejector.Key]time.Time)
+			if p.ejectedUntil == nil {
+				p.ejectedUntil = make(map[ejector.Key]time.Time)
 			}
-			p.out[eject.Key] = eject.Until
+			p.ejectedUntil[eject.Key] = eject.Until
 		}
 	}
 }
 
-// Belief is what this entry takes an upstream to be like.
+// Belief is this entry's estimate of an upstream's state.
 type Belief struct {
-	// Others is what the other entries have under way there, by their last polls.
+	// Others is the load of the other entries there, by their last polls.
 	Others UnderWay
-	// Stated is what the upstream did for others by its last answer, faded with its age.
+	// Stated is the number of other entries' calls by the upstream's last answer, decayed
+	// with its age.
 	Stated int
 	// AnsweredAt is when it last answered this entry, zero for never.
 	AnsweredAt time.Time
-	// Ejected says that calls have failed there and go elsewhere for a while.
+	// Ejected is set while the upstream gets no calls because calls failed there.
 	Ejected bool
 }
 
-// Believes returns what this entry takes an upstream to be like.
+// Believes returns this entry's estimate of an upstream's state.
 func (p *Placer) Believes(c *Candidate) Belief {
 	now := p.Now()
 	b := Belief{
-		Stated:  int(c.others(now)),
-		Ejected: p.ejected(now, c.Upstream),
+		Stated:  int(c.peerCalls(now)),
+		Ejected: p.isEjected(now, c.Upstream),
 	}
-	if others := p.others.Load(); others != nil && now.Sub(others.At) <= othersExpiry {
-		b.Others = others.Loads[c.hash]
+	if peers := p.peerLoads.Load(); peers != nil && now.Sub(peers.At) <= peerLoadExpiry {
+		b.Others = peers.Loads[c.hash]
 	}
 	c.stats.mu.Lock()
 	defer c.stats.mu.Unlock()
@@ -137,8 +140,8 @@
 	return b
 }
 
-func (p *Placer) ejected(now time.Time, u *tracker.Upstream) bool {
+func (p *Placer) isEjected(now time.Time, u *tracker.Upstream) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return now.Before(p.out[keyOf(u)])
+	return now.Before(p.ejectedUntil[keyOf(u)])
 }
--- /dev/null
+++ b/src/placer/peer_loads.go
@@ -0,0 +1,154 @@
+package placer
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+
+	"github.com/rosecroft/rosecroft/src/units"
+)
+
+// Hash identifies an upstream in lists of loads.
+type Hash uint64
+
+// HashOf returns the hash of an upstream's name.
+func HashOf(name units.Upstream) Hash { return Hash(xxhash.Sum64String(string(name))) }
+
+// UnderWay is the load in flight at an upstream.
+type UnderWay struct {
+	Calls int64
+	// Prefill is the number of prompt tokens queued for prefill.
+	Prefill int64
+}
+
+// Others is the load of the other entries at one time.
+type Others struct {
+	At    time.Time
+	Loads map[Hash]UnderWay
+}
+
+// Less subtracts loads, such as an entry's own, from a total.
+func Less(loads, own map[Hash]UnderWay) map[Hash]UnderWay {
+	rest := make(map[Hash]UnderWay, len(loads))
+	for hash, load := range loads {
+		load.Calls -= own[hash].Calls
+		load.Prefill -= own[hash].Prefill
+		if load != (UnderWay{}) {
+			rest[hash] = load
+		}
+	}
+	return rest
+}
+
+// Busiest returns the limit highest loads.
+//
+// Thousands of upstreams are busy, and hundreds of entries ask for their loads several
+// times a second. Entries need to know which upstreams to avoid; the others are compared
+// by the load that they report in their own answers.
+func Busiest(loads map[Hash]UnderWay, limit int) map[Hash]UnderWay {
+	if len(loads) <= limit {
+		return loads
+	}
+	hashes := slices.SortedFunc(maps.Keys(loads), func(a, b Hash) int {
+		return cmp.Or(cmp.Compare(loads[b].weight(), loads[a].weight()), cmp.Compare(a, b))
+	})
+	busiest := make(map[Hash]UnderWay, limit)
+	for _, hash := range hashes[:limit] {
+		busiest[hash] = loads[hash]
+	}
+	return busiest
+}
+
+// weight ranks loads without the upstreams' numbers of slots, which are not known here.
+func (u UnderWay) weight() float64 {
+	return float64(u.Calls)/defaultSlots + float64(u.Prefill)/fullPrefillTokens
+}
+
+// Report is the sequence number of an entry's load report.
+type Report uint64
+
+// Sum adds up the loads that entries report; it is a state machine without a clock.
+//
+// All entries receive the same total and subtract their own load themselves, so that one
+// message serves all entries.
+type Sum struct {
+	entries map[units.Instance]*contribution
+	total   map[Hash]UnderWay
+	// generation counts the totals taken.
+	generation uint64
+}
+
+// contribution is one entry's load within the total.
+type contribution struct {
+	loads  map[Hash]UnderWay
+	report Report
+	// generation is the number of totals taken before the last report, and previousReport
+	// the report that the last of these totals included.
+	generation     uint64
+	previousReport Report
+}
+
+// Hear replaces an entry's load by that of its latest report.
+func (s *Sum) Hear(entry units.Instance, report Report, loads map[Hash]UnderWay) {
+	if s.entries == nil {
+		s.entries = make(map[units.Instance]*contribution)
+		s.total = make(map[Hash]UnderWay)
+	}
+	e := s.entries[entry]
+	if e == nil {
+		e = &contribution{generation: s.generation}
+		s.entries[entry] = e
+	}
+	if e.generation < s.generation {
+		e.previousReport = e.report
+		e.generation = s.generation
+	}
+	s.add(e.loads, -1)
+	s.add(loads, 1)
+	e.report = report
+	e.loads = loads
+}
+
+func (s *Sum) add(loads map[Hash]UnderWay, sign int64) {
+	for hash, load := range loads {
+		sum := s.total[hash]
+		sum.Calls += sign * load.Calls
+		sum.Prefill += sign * load.Prefill
+		if sum == (UnderWay{}) {
+			delete(s.total, hash)
+			continue
+		}
+		s.total[hash] = sum
+	}
+}
+
+// Freeze takes a total of the entries that are still members, and drops the others.
+func (s *Sum) Freeze(isMember func(units.Instance) bool) map[Hash]UnderWay {
+	for entry, e := range s.entries {
+		if !isMember(entry) {
+			s.add(e.loads, -1)
+			delete(s.entries, entry)
+		}
+	}
+	s.generation++
+	return maps.Clone(s.total)
+}
+
+// Total returns the current total of all entries that have reported. The caller must not
+// keep it.
+func (s *Sum) Total() map[Hash]UnderWay { return s.total }
+
+// Counted returns which report of an entry the last total taken includes, 0 for none.
+func (s *Sum) Counted(entry units.Instance) Report {
+	e := s.entries[entry]
+	switch {
+	case e == nil:
+		return 0
+	case e.generation < s.generation:
+		return e.report
+	}
+	return e.previousReport
+}
--- a/src/placer/others_test.go
+++ b/src/placer/peer_loads_test.go
@@ -10,14 +10,14 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// Entries report what they have under way, and all get one total. An entry that took
-// its own part of another moment out of it would see calls where there are none, and
-// send its next ones elsewhere; entries that are gone must leave nothing behind.
-func TestTotalWithoutOnesOwnIsTheOthers(t *testing.T) {
+// Entries report their load and all receive one total. An entry that subtracted a report
+// other than the one in the total would see calls where there are none and avoid these
+// upstreams. The load of entries that are gone must not remain in the total.
+func TestTotalMinusOwnReportIsPeerLoad(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var s Sum
-		told := make(map[units.Instance]map[Report]map[Hash]UnderWay)
-		now := make(map[units.Instance]map[Hash]UnderWay)
+		reported := make(map[units.Instance]map[Report]map[Hash]UnderWay)
+		current := make(map[units.Instance]map[Hash]UnderWay)
 		frozen := make(map[units.Instance]map[Hash]UnderWay)
 		var total map[Hash]UnderWay
 		next := Report(1000)
@@ -35,21 +35,21 @@
 					}
 				}
 				next++
-				if told[from] == nil {
-					told[from] = make(map[Report]map[Hash]UnderWay)
+				if reported[from] == nil {
+					reported[from] = make(map[Report]map[Hash]UnderWay)
 				}
-				told[from][next] = loads
-				now[from] = loads
+				reported[from][next] = loads
+				current[from] = loads
 				s.Hear(from, next, loads)
 			},
 			"freeze": func(t *rapid.T) {
 				gone := entry.Draw(t, "gone")
-				delete(now, gone)
+				delete(current, gone)
 				total = s.Freeze(func(from units.Instance) bool { return from != gone })
-				frozen = maps.Clone(now)
+				frozen = maps.Clone(current)
 			},
 			"": func(t *rapid.T) {
-				for from := range now {
+				for from := range current {
 					want := make(map[Hash]UnderWay)
 					for other, loads := range frozen {
 						for hash, load := range loads {
@@ -62,12 +62,12 @@
 							want[hash] = sum
 						}
 					}
-					got := Less(total, told[from][s.Counted(from)])
+					got := Less(total, reported[from][s.Counted(from)])
 					if frozen[from] == nil && s.Counted(from) != 0 {
-						t.Fatalf("report of %s that is counted: got %d, want none", from, s.Counted(from))
+						t.Fatalf("report of %s in the total: got %d, want none", from, s.Counted(from))
 					}
 					if !maps.Equal(got, want) {
-						t.Fatalf("others of %s: got %v, want %v", from, got, want)
+						t.Fatalf("load of the other entries at %s: got %v, want %v", from, got, want)
 					}
 				}
 			},
--- a/src/placer/placer.go
+++ b/src/placer/placer.go
@@ -14,138 +14,139 @@
 )
 
 const (
-	// loadExpiry is how long a stated load counts: at a few answers a second from
-	// each upstream, several come within it.
+	// loadExpiry is how long a reported load counts. Each upstream sends a few answers
+	// per second, so several reports arrive within it.
 	loadExpiry = 2 * time.Second
-	// distance is what another data centre adds to an upstream's fill: enough to
-	// decide among equals, less than one call in ten places.
-	distance = 0.05
-	// coldness is what an upstream that has just started adds to its fill.
-	coldness = 0.3
-	// connecting is what a connection that has to be made first adds to an upstream's
-	// fill: the set-up takes the upstream's time and keeps the caller waiting.
-	connecting = 0.2
-	// homes is how many upstreams a part may live at.
-	homes = 2
-	// secondMisses is the part of a shared part that its second home is taken to
-	// lack.
-	secondMisses = 0.3
-	// drawn is how many upstreams are compared beside the homes. With stale loads,
-	// two are much better than one, and more than a few make entries choose alike.
-	drawn = 4
-	// connected is how many are compared, beside these, of those that this entry has a
-	// connection to. Of a hundred upstreams, those drawn by lot are hardly ever among the
-	// few that one entry of hundreds is connected to.
-	connected = 2
-	// tokensEach is how many prompt tokens weigh as much as all places of an
-	// upstream: a tenth of a second's reading.
-	tokensEach = 8000
-	// readEach is how long a token takes to read where this entry has not learnt it yet.
-	readEach = 12 * time.Microsecond
-	// patience is how many times the wanted time a call may have to wait for its
-	// first byte before it is refused: what is known of the wait is rough.
-	patience = 1.6
-	// othersExpiry is how long what others have under way counts, some polls.
-	othersExpiry = time.Second
-	// longRead is the part of the longest pause that a stream may make from which on the
-	// reading of a prompt counts as long, and lean how far the order of upstreams counts
-	// in their fill.
-	longRead = 0.75
-	lean     = 1.0
-	// overfull is what an upstream without a free place adds to its fill: a call
-	// there waits for another to end.
-	overfull = 1.0
-	// noise spreads calls that arrive together among near equals.
-	noise = 0.04
-	// soundFor is how long an answer shows that an upstream which control has not
-	// heard lately can still be reached from here.
-	soundFor = 1500 * time.Millisecond
-	// defaultSlots stands for upstreams that state no number of places.
+	// remotePenalty is added to the score of an upstream in another data centre: enough to
+	// decide among equals, but less than one call on ten slots.
+	remotePenalty = 0.05
+	// coldPenalty is added to the score of an upstream that has just started.
+	coldPenalty = 0.3
+	// connectPenalty is added to the score of an upstream without an idle connection:
+	// connection setup takes the upstream's time and delays the caller.
+	connectPenalty = 0.2
+	// ownerCount is how many upstreams own a prompt prefix.
+	ownerCount = 2
+	// secondaryMissRatio is the fraction of a prompt prefix that its second owner is
+	// assumed not to have cached.
+	secondaryMissRatio = 0.3
+	// sampleSize is how many random upstreams are compared in addition to the owners. With
+	// stale loads, two are much better than one, and with more than a few all entries
+	// choose the same upstream.
+	sampleSize = 4
+	// maxConnected is how many upstreams with an idle connection from this entry are
+	// compared in addition. Of a hundred upstreams, a random sample hardly ever includes
+	// the few that one entry of hundreds is connected to.
+	maxConnected = 2
+	// fullPrefillTokens is how many queued prompt tokens add as much to a score as all
+	// slots of an upstream in use: a tenth of a second of prefill.
+	fullPrefillTokens = 8000
+	// defaultPrefillTime is the prefill time of one token while this entry has not measured it.
+	defaultPrefillTime = 12 * time.Microsecond
+	// maxWaitFactor is how many times its latency target a call may be expected to wait for
+	// its first byte before it is refused: the estimate of the wait is rough.
+	maxWaitFactor = 1.6
+	// peerLoadExpiry is how long the polled load of other entries counts: several polls.
+	peerLoadExpiry = time.Second
+	// longPromptRatio is the fraction of a stream's longest allowed pause above which the
+	// prefill of a prompt counts as long. separationWeight is the weight in a score of the
+	// upstream's distance from the end of the common order that a call prefers.
+	longPromptRatio  = 0.75
+	separationWeight = 1.0
+	// fullPenalty is added to the score of an upstream without a free slot: a call there
+	// waits for another one to end.
+	fullPenalty = 1.0
+	// maxJitter bounds the random part of a score, which spreads calls that arrive together
+	// over upstreams with nearly equal scores.
+	maxJitter = 0.04
+	// answerTTL is how long after an answer an upstream that control has lost contact with
+	// still counts as reachable from this entry.
+	answerTTL = 1500 * time.Millisecond
+	// defaultSlots is used for upstreams that report no number of slots.
 	defaultSlots = 8
 )
 
-// Fleet holds the upstreams of each service; it is not changed once handed over.
+// Fleet holds the upstreams of each service; it is immutable once passed on.
 type Fleet map[units.Service][]*Candidate
 
 // Candidate is one upstream that takes calls.
 type Candidate struct {
 	*tracker.Upstream
-	// Cold says that it has just started and is slow.
+	// Cold is set while the upstream has just started and is slow.
 	Cold bool
-	// Silent says that control has not heard it lately.
+	// Silent is set while control receives no heartbeats from the upstream.
 	Silent bool
-	// Until is when one that leaves will be gone, as far as is known.
+	// Until is the expected time at which a leaving upstream terminates.
 	Until time.Time
 	stats *stats
 	hash  Hash
 	life  units.Life
-	// place is where the upstream stands in an order that all entries work out alike,
-	// from 0 to 1.
-	place float64
+	// position is the upstream's place, from 0 to 1, in an order that all entries compute
+	// alike.
+	position float64
 }
 
-// Placer chooses among the candidates of a fleet; it may be used from several
-// goroutines, and its fields are set before use.
+// Placer chooses among the candidates of a fleet. It is safe for concurrent use; its
+// fields are set before the first call.
 type Placer struct {
 	DataCentre units.DataCentre
-	// Now is the clock.
-	Now func() time.Time
-	// Fleet returns the upstreams of the moment.
+	Now        func() time.Time
+	// Fleet returns the current upstreams.
 	Fleet func() Fleet
-	// Leaving returns those that take no more calls and still hold what they have
-	// read; it may be nil.
+	// Leaving returns the upstreams that take no more calls but still hold their cached
+	// prefixes; it may be nil.
 	Leaving func() Fleet
-	// Split returns how a service's calls are split while they move to another version, and
-	// false where no version is told apart; it may be nil.
+	// Split returns how a service's calls are divided during a rollout, and false where no
+	// rollout is running; it may be nil.
 	Split func(service units.Service) (Split, bool)
-	// Each returns how long a service's upstreams take to read a token, 0 where it is
-	// not known; it may be nil.
+	// Each returns the prefill time of one token at a service's upstreams, 0 where it is
+	// unknown; it may be nil.
 	Each func(service units.Service) time.Duration
-	// MostCalls returns how many calls this entry may have at an upstream at once.
+	// MostCalls returns how many concurrent calls this entry may have at an upstream.
 	MostCalls func(upstream *tracker.Upstream) int
-	// Gate holds calls to what upstreams say that they take; it may be nil.
+	// Gate keeps calls within the rates that upstreams accept; it may be nil.
 	Gate Gate
-	// Random draws; nil stands for the process's own source.
+	// Random is the source of randomness; nil selects the process's own source.
 	Random Random
 
-	others atomic.Pointer[Others]
+	peerLoads atomic.Pointer[Others]
 
-	mu      sync.Mutex
-	known   map[ejector.Key]*stats
-	ejector ejector.Ejector
-	out     map[ejector.Key]time.Time
+	mu           sync.Mutex
+	statsByKey   map[ejector.Key]*stats
+	ejector      ejector.Ejector
+	ejectedUntil map[ejector.Key]time.Time
 }
 
-// Gate lets calls go to upstreams that take only so many.
+// Gate admits calls to upstreams that limit their rate of calls.
 type Gate interface {
-	// Closed returns the upstreams that may get no call now.
+	// Closed returns the upstreams that may not receive a call now.
 	Closed(now time.Time) map[units.Life]bool
-	// Want notes that a call would have gone to an upstream that may get none.
+	// Want records that a call was withheld from an upstream at its limit.
 	Want(life units.Life)
-	// Take lets one call go to an upstream, and reports false where it may get none.
+	// Take admits one call to an upstream, or returns false where it is at its limit.
 	Take(now time.Time, life units.Life) bool
 }
 
-// Random is what the placer draws by, from several goroutines.
+// Random is the placer's source of randomness; it must be safe for concurrent use.
 type Random interface {
 	Float64() float64
 	IntN(n int) int
 }
 
-// ownRandom draws from the process's own source.
-type ownRandom struct{}
+// processRandom is the process's own source of randomness.
+type processRandom struct{}
 
-// Float64 returns a number from 0 to 1.
-func (ownRandom) Float64() float64 { return rand.Float64() }
+// Float64 returns a number in [0, 1).
+func (processRandom) Float64() float64 { return rand.Float64() }
 
-// IntN returns a number from 0 to n-1.
-func (ownRandom) IntN(n int) int { return rand.IntN(n) }
+// IntN returns a number in [0, n).
+func (processRandom) IntN(n int) int { return rand.IntN(n) }
 
 func (p *Placer) random() Random {
 	if p.Random != nil {
 		return p.Random
 	}
-	return ownRandom{}
+	return processRandom{}
 }
 
 func keyOf(u *tracker.Upstream) ejector.Key {
@@ -156,17 +157,18 @@
 	}
 }
 
-// Candidate returns an upstream as a candidate, with what is known of it from before.
+// Candidate returns an upstream as a candidate, with the statistics that this entry holds
+// of it.
 func (p *Placer) Candidate(u *tracker.Upstream, cold, silent bool) *Candidate {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.known == nil {
-		p.known = make(map[ejector.Key]*stats)
+	if p.statsByKey == nil {
+		p.statsByKey = make(map[ejector.Key]*stats)
 	}
-	s := p.known[keyOf(u)]
+	s := p.statsByKey[keyOf(u)]
 	if s == nil {
 		s = &stats{}
-		p.known[keyOf(u)] = s
+		p.statsByKey[keyOf(u)] = s
 	}
 	hash := HashOf(u.Name)
 	return &Candidate{
@@ -176,11 +178,11 @@
 		stats:    s,
 		hash:     hash,
 		life:     units.LifeOf(u.Name, u.Incarnation),
-		place:    placeOf(hash),
+		position: positionOf(hash),
 	}
 }
 
-// Keep forgets all upstreams but those of some fleets.
+// Keep drops the statistics of all upstreams that are in none of the fleets.
 func (p *Placer) Keep(fleets ...Fleet) {
 	kept := make(map[ejector.Key]bool)
 	for _, fleet := range fleets {
@@ -192,15 +194,15 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for key := range p.known {
+	for key := range p.statsByKey {
 		if !kept[key] {
-			delete(p.known, key)
-			delete(p.out, key)
+			delete(p.statsByKey, key)
+			delete(p.ejectedUntil, key)
 		}
 	}
 }
 
-// Pick returns the upstream for the next attempt, or nil for none.
+// Pick returns the upstream for the next attempt, or nil if there is none.
 func (p *Placer) Pick(call *dispatcher.Call, tried []units.Upstream) *tracker.Upstream {
 	now := p.Now()
 	for {
@@ -208,7 +210,7 @@
 		if c == nil {
 			return nil
 		}
-		// Another call may have taken what was left since it was looked at.
+		// Another call may have used up the limit since the candidates were selected.
 		if p.Gate == nil || p.Gate.Take(now, c.life) {
 			return c.Upstream
 		}
@@ -216,148 +218,152 @@
 }
 
 func (p *Placer) pick(now time.Time, call *dispatcher.Call, tried []units.Upstream) *Candidate {
-	candidates := p.sound(now, p.version(call.Service, len(tried) == 0), tried)
+	candidates := p.eligible(now, p.versionCandidates(call.Service, len(tried) == 0), tried)
 	if len(candidates) == 0 {
 		return nil
 	}
-	best, least, ahead := (*Candidate)(nil), 0.0, int64(0)
-	long := isLong(call, p.each(call.Service))
-	compare := func(c *Candidate, unread units.Tokens) {
-		calls, prefill := c.busy(now, p.others.Load())
-		prefill += int64(unread)
-		if score := p.score(c, calls, prefill) + lean*c.apart(call, long); best == nil || score < least {
-			best, least, ahead = c, score, prefill
+	best, bestScore, bestPrefill := (*Candidate)(nil), 0.0, int64(0)
+	long := isLongPrompt(call, p.prefillTime(call.Service))
+	compare := func(c *Candidate, uncached units.Tokens) {
+		calls, prefill := c.estimatedLoad(now, p.peerLoads.Load())
+		prefill += int64(uncached)
+		if score := p.score(c, calls, prefill) + separationWeight*c.separation(call, long); best == nil || score < bestScore {
+			best, bestScore, bestPrefill = c, score, prefill
 		}
 	}
 	if len(call.Parts) > 1 {
-		for i, c := range homesOf(call.Parts[len(call.Parts)-2].ID, candidates) {
-			// The second home is for when the first is busy; used alike, each of
-			// them would read the part.
-			missing := units.Tokens(float64(i) * secondMisses * float64(call.Shared()))
+		for i, c := range ownersOf(call.Parts[len(call.Parts)-2].ID, candidates) {
+			// The second owner is for when the first is busy. Used alike, both would
+			// prefill the prefix.
+			missing := units.Tokens(float64(i) * secondaryMissRatio * float64(call.Shared()))
 			compare(c, call.Prompt-call.Shared()+missing)
 		}
 	}
-	first := p.random().IntN(len(candidates))
-	draws := min(drawn, len(candidates))
+	offset := p.random().IntN(len(candidates))
+	samples := min(sampleSize, len(candidates))
 	if long {
-		// They are few, and which upstream has the fewest streams matters to each of them.
-		draws = len(candidates)
+		// Long prompts are few, and for each of them it matters which upstream has the
+		// fewest streams.
+		samples = len(candidates)
 	}
-	for i := range draws {
-		// A step that is drawn too would visit one twice; neighbours do as well.
-		compare(candidates[(first+i*stride(len(candidates), draws))%len(candidates)], call.Prompt)
+	for i := range samples {
+		// A random stride could visit a candidate twice; a fixed one serves as well.
+		compare(candidates[(offset+i*stride(len(candidates), samples))%len(candidates)], call.Prompt)
 	}
-	for _, c := range connectedOf(candidates, first) {
+	for _, c := range withIdleConnection(candidates, offset) {
 		compare(c, call.Prompt)
 	}
-	if len(tried) == 0 && hopeless(call, time.Duration(ahead)*p.each(call.Service)) {
+	if len(tried) == 0 && isTooLate(call, time.Duration(bestPrefill)*p.prefillTime(call.Service)) {
 		return nil
 	}
 	return best
 }
 
-func (p *Placer) each(service units.Service) time.Duration {
+func (p *Placer) prefillTime(service units.Service) time.Duration {
 	if p.Each != nil {
-		if each := p.Each(service); each > 0 {
-			return each
+		if prefillTime := p.Each(service); prefillTime > 0 {
+			return prefillTime
 		}
 	}
-	return readEach
+	return defaultPrefillTime
 }
 
-// hopeless reports whether a call would wait far beyond what its caller wants,
-// at the best of several upstreams. Its answer would come late and cost the calls
-// behind it their time; refused at once, its caller can come back when the burst
-// is over. The most urgent calls of an account go before what waits, and are never refused.
+// isTooLate reports whether a call would wait far beyond its latency target even at the
+// best of the compared upstreams. Its answer would come late and delay the calls behind it;
+// refused at once, the caller can retry when the burst is over. The most urgent calls of an
+// account go ahead of the queue and are never refused.
 //
-// The wait is what is to be read before its first byte, at the speed that this entry
-// has seen: upstreams that read at half the speed of others took on twice what they
-// could answer in time.
-func hopeless(call *dispatcher.Call, wait time.Duration) bool {
-	return call.Urgency > 0 && call.RouteUrgency > 0 && call.Target > 0 && len(call.Parts) > 0 && wait > time.Duration(patience*float64(call.Target))
+// The wait is the prefill before the call's first byte, at the speed that this entry has
+// measured: under a fixed speed, upstreams with half the prefill speed of others accepted
+// twice as many calls as they could answer in time.
+func isTooLate(call *dispatcher.Call, wait time.Duration) bool {
+	return call.Urgency > 0 && call.RouteUrgency > 0 && call.Target > 0 && len(call.Parts) > 0 && wait > time.Duration(maxWaitFactor*float64(call.Target))
 }
 
-// stride spreads the drawn candidates over the list, which is sorted by name.
-func stride(count, draws int) int { return max(1, count/draws) }
+// stride spreads the sampled candidates over the list, which is sorted by name.
+func stride(count, samples int) int { return max(1, count/samples) }
 
-// isLong reports whether reading a call's prompt makes the streams beside it pause for
-// too long: an upstream reads prompts between the tokens of the streams that it runs.
-func isLong(call *dispatcher.Call, each time.Duration) bool {
-	return call.Pause > 0 && time.Duration(call.Unread())*each > time.Duration(longRead*float64(call.Pause))
+// isLongPrompt reports whether the prefill of a call's prompt makes other streams at the
+// upstream pause for too long: an upstream prefills between the decode steps of its streams.
+func isLongPrompt(call *dispatcher.Call, prefillTime time.Duration) bool {
+	return call.Pause > 0 && time.Duration(call.Unread())*prefillTime > time.Duration(longPromptRatio*float64(call.Pause))
 }
 
-// apart returns how far an upstream is from where a call belongs, from 0 to 1.
+// separation returns the distance, from 0 to 1, of an upstream from the end of the common
+// order that a call prefers.
 //
-// The load it answers: one prompt in fifty takes as long to read as a stream may pause.
-// Placed by load alone it goes where five streams run, each of which is late for it, and
-// what others send there is known too late to send them elsewhere. So long prompts lean to
-// one end of an order that all entries work out alike, and all other calls to the other
-// one: few streams run where prompts are long, at any load and without a message. Calls
-// that no pause can spoil are spread evenly.
-func (c *Candidate) apart(call *dispatcher.Call, long bool) float64 {
+// The prefill of one prompt in fifty takes as long as a stream may pause. Placed by load
+// alone, such a prompt goes to an upstream with five streams and makes each of them late,
+// and other entries' calls there are known too late to avoid them. So long prompts prefer
+// one end of an order that all entries compute alike, and all other calls the other end: few
+// streams run where prompts are long, at any load and without a message. Calls without a
+// limit on pauses are spread evenly.
+func (c *Candidate) separation(call *dispatcher.Call, long bool) float64 {
 	switch {
 	case call.Pause == 0:
 		return 0
 	case long:
-		return 1 - c.place
+		return 1 - c.position
 	}
-	return c.place
+	return c.position
 }
 
-// placeMix is odd and has its bits spread, so that names which differ little are far
-// apart in the order.
-const placeMix = 0x9e3779b97f4a7c15
+// positionMix is odd and its bits are spread, so that similar names are far apart in the
+// order.
+const positionMix = 0x9e3779b97f4a7c15
 
-func placeOf(hash Hash) float64 {
+func positionOf(hash Hash) float64 {
 	const bits = 53
-	return float64(uint64(hash)*placeMix>>(64-bits)) / (1 << bits)
+	return float64(uint64(hash)*positionMix>>(64-bits)) / (1 << bits)
 }
 
-// score returns what a call would wait for at an upstream that has so many calls and
-// so many tokens to read, the call's own among them, in its places.
+// score returns the expected wait for a call at an upstream, as a utilization of its slots:
+// calls is the number of calls there, prefill the number of prompt tokens queued there, the
+// call's own included. The lowest score wins.
 func (p *Placer) score(c *Candidate, calls, prefill int64) float64 {
 	slots := c.Slots
 	if slots <= 0 {
 		slots = defaultSlots
 	}
-	score := float64(calls)/float64(slots) + float64(prefill)/tokensEach + noise*p.random().Float64()
+	score := float64(calls)/float64(slots) + float64(prefill)/fullPrefillTokens + maxJitter*p.random().Float64()
 	if calls >= int64(slots) {
-		score += overfull
+		score += fullPenalty
 	}
 	if c.DataCentre != p.DataCentre {
-		score += distance
+		score += remotePenalty
 	}
 	if c.Cold {
-		score += coldness
+		score += coldPenalty
 	}
 	if c.Live.Idle.Load() <= 0 {
-		score += connecting
+		score += connectPenalty
 	}
 	return score
 }
 
-// connectedOf returns a few of the upstreams that a connection waits for, from a place
-// in the list on.
-func connectedOf(candidates []*Candidate, first int) []*Candidate {
+// withIdleConnection returns at most maxConnected candidates that this entry has an idle
+// connection to, starting at an index of the list.
+func withIdleConnection(candidates []*Candidate, start int) []*Candidate {
 	var found []*Candidate
 	for i := range candidates {
-		c := candidates[(first+i)%len(candidates)]
+		c := candidates[(start+i)%len(candidates)]
 		if c.Live.Idle.Load() <= 0 {
 			continue
 		}
-		if found = append(found, c); len(found) == connected {
+		if found = append(found, c); len(found) == maxConnected {
 			break
 		}
 	}
 	return found
 }
 
-// homesOf returns the upstreams that a shared part belongs to.
-func homesOf(part uint64, candidates []*Candidate) []*Candidate {
-	var best [homes]*Candidate
-	var ranks [homes]uint64
+// ownersOf returns the upstreams that own a prompt prefix, the one with the highest rank
+// first.
+func ownersOf(prefix uint64, candidates []*Candidate) []*Candidate {
+	var best [ownerCount]*Candidate
+	var ranks [ownerCount]uint64
 	for _, c := range candidates {
-		r := rank(part, c.hash)
+		r := ownerRank(prefix, c.hash)
 		switch {
 		case best[0] == nil || r > ranks[0]:
 			best[0], best[1] = c, best[0]
@@ -373,18 +379,18 @@
 	return best[:]
 }
 
-// rank orders upstreams for a part, the same on every entry, by mixing both hashes.
-func rank(part uint64, upstream Hash) uint64 {
-	x := part ^ uint64(upstream)
+// ownerRank is the rendezvous hash of a prompt prefix and an upstream, the same at every entry.
+func ownerRank(prefix uint64, upstream Hash) uint64 {
+	x := prefix ^ uint64(upstream)
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
 	return x ^ x>>31
 }
 
-// SetOthers takes over what other entries have under way.
-func (p *Placer) SetOthers(others *Others) { p.others.Store(others) }
+// SetOthers replaces the load of the other entries.
+func (p *Placer) SetOthers(peerLoads *Others) { p.peerLoads.Store(peerLoads) }
 
-// UnderWay returns what this entry has under way at the upstreams of the moment.
+// UnderWay returns the load that this entry has in flight at the current upstreams.
 func (p *Placer) UnderWay() map[Hash]UnderWay {
 	loads := make(map[Hash]UnderWay)
 	for _, candidates := range p.Fleet() {
@@ -401,10 +407,11 @@
 	return loads
 }
 
-// sound returns the candidates to choose from: those that seem well, else those
-// that may be, and none that was tried where another is left.
-func (p *Placer) sound(now time.Time, all []*Candidate, tried []units.Upstream) []*Candidate {
-	var well, doubtful []*Candidate
+// eligible returns the candidates to choose from: the healthy ones, or the suspect ones
+// where none is healthy. Those that were tried, are at the limit of calls or are closed by
+// the gate are left out.
+func (p *Placer) eligible(now time.Time, all []*Candidate, tried []units.Upstream) []*Candidate {
+	var healthy, suspect []*Candidate
 	var closed map[units.Life]bool
 	if p.Gate != nil {
 		closed = p.Gate.Closed(now)
@@ -417,14 +424,14 @@
 		if slices.Contains(tried, c.Name) || int(c.Live.InFlight.Load()) >= p.MostCalls(c.Upstream) {
 			continue
 		}
-		if p.ejected(now, c.Upstream) || c.Silent && !c.answered(now) {
-			doubtful = append(doubtful, c)
+		if p.isEjected(now, c.Upstream) || c.Silent && !c.hasAnsweredRecently(now) {
+			suspect = append(suspect, c)
 			continue
 		}
-		well = append(well, c)
+		healthy = append(healthy, c)
 	}
-	if len(well) > 0 {
-		return well
+	if len(healthy) > 0 {
+		return healthy
 	}
-	return doubtful
+	return suspect
 }
--- a/src/placer/split.go
+++ b/src/placer/split.go
@@ -8,21 +8,21 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// Split says which part of a service's calls goes to upstreams of a version.
+// Split is the share of a service's calls that goes to upstreams of one version.
 type Split struct {
 	Target units.Release
-	// Share is the part of the calls, from 0 to 1, that go there first.
+	// Share is the fraction, from 0 to 1, of calls whose first attempt goes there.
 	Share float64
-	// Only says that the other versions take no calls any more.
+	// Only is set when the other versions take no more calls.
 	Only bool
 }
 
-// version returns the upstreams that an attempt is drawn for.
+// versionCandidates returns the upstreams of the version that an attempt is assigned to.
 //
-// While a version is judged, few of its upstreams get its share, so that each of them is as
-// busy as with all calls: a version may be bad under load alone. Further attempts go to the
-// other versions, which are known to be good.
-func (p *Placer) version(service units.Service, first bool) []*Candidate {
+// While a version is under evaluation, its share goes to only a few of its upstreams, so
+// that each of them is as busy as with all calls: a version may fail under load only.
+// Retries go to the other versions, which are known to be good.
+func (p *Placer) versionCandidates(service units.Service, firstAttempt bool) []*Candidate {
 	all := p.Fleet()[service]
 	if p.Split == nil {
 		return all
@@ -44,8 +44,8 @@
 		return target
 	case split.Share >= 1 && len(target) > 0:
 		return target
-	case first && len(target) > 0 && p.random().Float64() < split.Share:
-		slices.SortFunc(target, func(a, b *Candidate) int { return cmp.Compare(a.place, b.place) })
+	case firstAttempt && len(target) > 0 && p.random().Float64() < split.Share:
+		slices.SortFunc(target, func(a, b *Candidate) int { return cmp.Compare(a.position, b.position) })
 		return target[:int(math.Ceil(split.Share*float64(len(target))))]
 	}
 	return other
--- a/src/placer/split_test.go
+++ b/src/placer/split_test.go
@@ -11,8 +11,8 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// rolledOut returns a placer with ten upstreams of each of two versions.
-func rolledOut(split Split) *Placer {
+// newRolloutPlacer returns a placer with ten upstreams of each of two versions.
+func newRolloutPlacer(split Split) *Placer {
 	p := &Placer{
 		Now:       time.Now,
 		MostCalls: func(*tracker.Upstream) int { return 1000 },
@@ -36,27 +36,27 @@
 	return p
 }
 
-// Guards against a version that gets more calls than its share, or spreads them so thin that
-// it is never under load.
-func TestShareOfAVersion(t *testing.T) {
+// Guards against a version that gets more calls than its share, and against a share that is
+// spread over so many upstreams that none of them is under load.
+func TestTrafficSplit(t *testing.T) {
 	cases := map[string]struct {
-		split         Split
-		tried         []units.Upstream
-		least, most   float64
-		mostUpstreams int
+		split              Split
+		tried              []units.Upstream
+		minShare, maxShare float64
+		maxUpstreams       int
 	}{
-		"no share":              {split: Split{Target: "v2"}},
-		"a small share":         {split: Split{Target: "v2", Share: 0.15}, least: 0.12, most: 0.18, mostUpstreams: 2},
-		"a further attempt":     {split: Split{Target: "v2", Share: 0.15}, tried: []units.Upstream{"v1-0"}},
-		"all calls":             {split: Split{Target: "v2", Share: 1}, least: 1, most: 1, mostUpstreams: 10},
-		"all further attempts":  {split: Split{Target: "v2", Share: 1}, tried: []units.Upstream{"v1-0"}, least: 1, most: 1, mostUpstreams: 10},
-		"completed":             {split: Split{Target: "v2", Only: true}, least: 1, most: 1, mostUpstreams: 10},
-		"a target without any":  {split: Split{Target: "v3", Share: 1}, least: 0.4, most: 0.6, mostUpstreams: 10},
-		"completed without any": {split: Split{Target: "v3", Only: true}},
+		"no share":                    {split: Split{Target: "v2"}},
+		"a small share":               {split: Split{Target: "v2", Share: 0.15}, minShare: 0.12, maxShare: 0.18, maxUpstreams: 2},
+		"a retry":                     {split: Split{Target: "v2", Share: 0.15}, tried: []units.Upstream{"v1-0"}},
+		"all calls":                   {split: Split{Target: "v2", Share: 1}, minShare: 1, maxShare: 1, maxUpstreams: 10},
+		"all retries":                 {split: Split{Target: "v2", Share: 1}, tried: []units.Upstream{"v1-0"}, minShare: 1, maxShare: 1, maxUpstreams: 10},
+		"completed":                   {split: Split{Target: "v2", Only: true}, minShare: 1, maxShare: 1, maxUpstreams: 10},
+		"target without upstreams":    {split: Split{Target: "v3", Share: 1}, minShare: 0.4, maxShare: 0.6, maxUpstreams: 10},
+		"completed without upstreams": {split: Split{Target: "v3", Only: true}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			p := rolledOut(c.split)
+			p := newRolloutPlacer(c.split)
 			const calls = 2000
 			at := make(map[units.Upstream]int)
 			target := 0
@@ -70,11 +70,11 @@
 					at[u.Name]++
 				}
 			}
-			if got := float64(target) / calls; got < c.least || got > c.most {
-				t.Errorf("share of the target: got %.3f, want from %.2f to %.2f", got, c.least, c.most)
+			if got := float64(target) / calls; got < c.minShare || got > c.maxShare {
+				t.Errorf("share of calls at the target version: got %.3f, want from %.2f to %.2f", got, c.minShare, c.maxShare)
 			}
-			if got := len(at); got > c.mostUpstreams {
-				t.Errorf("upstreams of the target: got %d, want at most %d", got, c.mostUpstreams)
+			if got := len(at); got > c.maxUpstreams {
+				t.Errorf("upstreams of the target version in use: got %d, want at most %d", got, c.maxUpstreams)
 			}
 		})
 	}
