--- a/src/tracker/doc.go
+++ b/src/tracker/doc.go
@@ -1,2 +1,2 @@
-// Package tracker knows which upstreams live, from what they announce of themselves.
+// Package tracker tracks which upstreams are live, by their announcements.
 package tracker
--- a/src/tracker/event.go
+++ b/src/tracker/event.go
@@ -7,69 +7,71 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// Event is something that happened to the table.
+// Event is an input of the tracker's state machine.
 type Event interface{ event() }
 
-// Announced says that an upstream's own announcement has arrived here.
+// Announced reports that an upstream's own announcement has arrived at this entry.
 type Announced struct {
 	Announcement *messages.Announcement
 }
 
-// Told says that another entry has told of an upstream.
+// Told reports a rumour about an upstream that another entry has sent.
 type Told struct {
 	Rumour *messages.Rumour
 }
 
-// Ticked says that time has passed.
+// Ticked reports that time has passed.
 type Ticked struct{}
 
 func (Announced) event() {}
 func (Told) event()      {}
 func (Ticked) event()    {}
 
-// Action is something that the caller of Step must carry out.
+// Action is an effect that the caller of Step must carry out.
 type Action interface{ action() }
 
-// Changed says that the set of usable upstreams is new.
+// Changed reports that the set of usable upstreams has changed.
 type Changed struct{}
 
-// Left says that an upstream leaves or is gone.
+// Left reports that an upstream is leaving or gone.
 type Left struct {
 	Upstream *Upstream
 	Reason   string
 }
 
-// Suspected says that an upstream is silent; others may have heard it.
+// Suspected reports that an upstream is silent here; other entries may still receive its
+// announcements.
 type Suspected struct {
 	Upstream *Upstream
 	Silence  string
-	// Health is the multiplier under which the silence counted, 1 when all is well.
+	// Health is the multiplier of the timeouts that applied, 1 while this process is healthy.
 	Health int
 }
 
-// Refuted says that a suspected upstream has been heard again.
+// Refuted reports that a suspected upstream has announced itself again.
 type Refuted struct {
 	Upstream *Upstream
 }
 
-// Probe asks for other entries' knowledge of a silent upstream.
+// Probe requests what other entries know of a silent upstream.
 type Probe struct {
 	Upstream units.Upstream
 }
 
-// Spread says that other entries should know.
+// Spread requests that a rumour be gossiped to other entries.
 type Spread struct {
 	Rumour *messages.Rumour
-	// Urgent is set for more than a sign of life.
+	// Urgent is set when the rumour says more than that the upstream is live.
 	Urgent bool
 }
 
-// Lacking says that a rumour named an upstream whose whole announcement is not known here.
+// Lacking requests the full announcement of an upstream that a rumour has named and whose
+// announcement is not known here.
 type Lacking struct {
 	Upstream units.Upstream
 }
 
-// Refused says that an announcement changed nothing.
+// Refused reports that an announcement was refused and changed nothing.
 type Refused struct {
 	Err error
 }
@@ -83,14 +85,14 @@
 func (Lacking) action()   {}
 func (Refused) action()   {}
 
-// RefusedError says why an announcement was refused.
+// RefusedError is the reason why an announcement was refused, and the remedy.
 type RefusedError struct {
 	Upstream units.Upstream
 	Reason   string
 	Remedy   string
 }
 
-// Error names the remedy.
+// Error includes the remedy.
 func (e *RefusedError) Error() string {
 	return fmt.Sprintf("announcement of %q refused: %s; %s", e.Upstream, e.Reason, e.Remedy)
 }
--- a/src/tracker/load_test.go
+++ b/src/tracker/load_test.go
@@ -7,9 +7,9 @@
 	"github.com/rosecroft/rosecroft/src/messages"
 )
 
-// An engine reports a load that is 200 ms old and holds this entry's own calls
-// of then. If they counted again beside those in flight now, the entry would shun
-// an engine that only it uses; only what others have there may be added.
+// An engine reports a load that is 200 ms old and includes the calls that this entry had in
+// flight then. If these were counted in addition to those in flight now, the entry would avoid an
+// engine that only it uses. Only the calls of other entries may be added.
 func TestReportCountsOwnCallsOnce(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	table := &Tracker{
@@ -31,6 +31,6 @@
 	}
 	table.Step(now, Announced{Announcement: report})
 	if got, want := table.Find("ember-1").Load.Others, 4; got != want {
-		t.Errorf("calls of others: got %d, want %d", got, want)
+		t.Errorf("calls of other entries: got %d, want %d", got, want)
 	}
 }
--- a/src/tracker/rumour.go
+++ b/src/tracker/rumour.go
@@ -9,72 +9,76 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// hearRumour merges what another entry tells.
-func (t *Tracker) hearRumour(now time.Time, r *messages.Rumour) []Action {
+// mergeRumour merges a rumour that another entry has sent.
+func (t *Tracker) mergeRumour(now time.Time, r *messages.Rumour) []Action {
 	a := r.GetAnnouncement()
 	age := time.Duration(r.GetAgeMs()) * time.Millisecond
-	// What lay in a frozen process for longer than an upstream may be silent
-	// says nothing of the present.
-	stale := age >= toldPatience*t.Expiry && r.GetState() == messages.UpstreamState_UPSTREAM_STATE_ANNOUNCED
+	// A rumour that was held in a suspended process for longer than an upstream may be
+	// silent says nothing about the present.
+	stale := age >= indirectTimeoutFactor*t.Expiry && r.GetState() == messages.UpstreamState_UPSTREAM_STATE_ANNOUNCED
 	if a.GetUpstream() == "" || age < 0 || stale {
 		return nil
 	}
 	known := t.upstreams[units.Upstream(a.GetUpstream())]
 	switch r.GetState() {
 	case messages.UpstreamState_UPSTREAM_STATE_SUSPECTED:
-		return t.hearSuspicion(now, known, a)
+		return t.mergeSuspicion(now, known, a)
 	case messages.UpstreamState_UPSTREAM_STATE_GONE:
-		return t.hearEnd(now, known, a)
+		return t.mergeEnd(now, known, a)
 	case messages.UpstreamState_UPSTREAM_STATE_ANNOUNCED, messages.UpstreamState_UPSTREAM_STATE_LEAVING:
-		return t.hearLife(now, known, a, age)
+		return t.mergeAnnouncement(now, known, a, age)
 	}
 	return nil
 }
 
-func (t *Tracker) hearLife(now time.Time, known *Upstream, a *messages.Announcement, age time.Duration) []Action {
+func (t *Tracker) mergeAnnouncement(now time.Time, known *Upstream, a *messages.Announcement, age time.Duration) []Action {
 	if a.GetAddress() == "" {
-		whole := t.complete(known, a)
-		if whole == nil {
-			return t.lacking(known, a)
+		full := t.completeAnnouncement(known, a)
+		if full == nil {
+			return t.requestAnnouncement(known, a)
 		}
-		a = whole
+		a = full
 	}
-	if check(a) != nil {
+	if validate(a) != nil {
 		return nil
 	}
 	next := fromAnnouncement(now.Add(-age), a)
 	next.LeavesAt = now.Add(time.Duration(a.GetLeavingWithinMs()) * time.Millisecond)
-	if contests(known, next) {
-		return []Action{Refused{Err: contested(known)}}
+	if isNameConflict(known, next) {
+		return []Action{Refused{Err: nameConflictError(known)}}
 	}
 	return t.accept(now, known, next)
 }
 
-// complete adds the constant part of a known announcement to a sign of life.
-func (t *Tracker) complete(known *Upstream, a *messages.Announcement) *messages.Announcement {
+// completeAnnouncement adds the static fields of the known announcement to a rumour's, which
+// may carry the sequence number and the load alone. It returns nil where the incarnation is not
+// known.
+func (t *Tracker) completeAnnouncement(known *Upstream, a *messages.Announcement) *messages.Announcement {
 	if known == nil || known.Incarnation != units.Incarnation(a.GetIncarnation()) {
 		return nil
 	}
-	whole := proto.CloneOf(known.Announcement)
-	whole.Sequence = a.GetSequence()
-	whole.Load = a.GetLoad()
-	return whole
+	full := proto.CloneOf(known.Announcement)
+	full.Sequence = a.GetSequence()
+	full.Load = a.GetLoad()
+	return full
 }
 
-func (t *Tracker) lacking(known *Upstream, a *messages.Announcement) []Action {
+// requestAnnouncement requests the full announcement that a rumour names, unless the
+// incarnation is older than the known one or is known to have ended.
+func (t *Tracker) requestAnnouncement(known *Upstream, a *messages.Announcement) []Action {
 	incarnation := units.Incarnation(a.GetIncarnation())
 	if known != nil && known.Incarnation > incarnation {
 		return nil
 	}
-	stone := t.gone[units.Upstream(a.GetUpstream())]
-	if stone != nil && (incarnation < stone.incarnation || stone.ends(incarnation, a.GetSequence())) {
+	ended := t.tombstones[units.Upstream(a.GetUpstream())]
+	if ended != nil && (incarnation < ended.incarnation || ended.covers(incarnation, a.GetSequence())) {
 		return nil
 	}
 	return []Action{Lacking{Upstream: units.Upstream(a.GetUpstream())}}
 }
 
-// hearSuspicion takes over another entry's suspicion, or refutes it with something newer.
-func (t *Tracker) hearSuspicion(now time.Time, known *Upstream, a *messages.Announcement) []Action {
+// mergeSuspicion adopts another entry's suspicion, or refutes it by a newer announcement.
+func (t *Tracker) mergeSuspicion(now time.Time, known *Upstream, a *messages.Announcement) []Action {
 	if known == nil || known.Incarnation != units.Incarnation(a.GetIncarnation()) || known.Leaving {
 		return nil
 	}
@@ -90,12 +94,13 @@
 	return t.suspect(now, known, true)
 }
 
-// hearEnd takes over that an incarnation has ended.
-func (t *Tracker) hearEnd(now time.Time, known *Upstream, a *messages.Announcement) []Action {
+// mergeEnd adopts a rumour that an incarnation has ended, or refutes it by a newer
+// announcement.
+func (t *Tracker) mergeEnd(now time.Time, known *Upstream, a *messages.Announcement) []Action {
 	name := units.Upstream(a.GetUpstream())
 	incarnation := units.Incarnation(a.GetIncarnation())
 	if known == nil {
-		t.bury(now, name, incarnation, a.GetSequence(), a.GetLeaving())
+		t.recordEnd(now, name, incarnation, a.GetSequence(), a.GetLeaving())
 		return nil
 	}
 	if known.Incarnation > incarnation {
@@ -107,10 +112,10 @@
 			Urgent: true,
 		}}
 	}
-	return t.end(now, known, "told")
+	return t.remove(now, known, "told")
 }
 
-// rumour is what this entry tells others of an upstream.
+// rumour returns the rumour about an upstream that this entry sends to others.
 func (u *Upstream) rumour(now time.Time) *messages.Rumour {
 	state := messages.UpstreamState_UPSTREAM_STATE_ANNOUNCED
 	a := u.Announcement
@@ -129,19 +134,19 @@
 	}
 }
 
-// Rumour returns what to tell of one upstream, nil where it is not known.
+// Rumour returns the rumour about one upstream, nil where it is unknown.
 func (t *Tracker) Rumour(now time.Time, name units.Upstream) *messages.Rumour {
 	if known := t.upstreams[name]; known != nil {
 		return known.rumour(now)
 	}
-	if stone := t.gone[name]; stone != nil {
-		return stone.rumour(name)
+	if ended := t.tombstones[name]; ended != nil {
+		return ended.rumour(name)
 	}
 	return nil
 }
 
-// Digest returns how far this entry's knowledge goes; without all, of the
-// upstreams that it hears itself.
+// Digest returns the version of each upstream's state that this entry holds. Unless all is
+// set, it covers only the upstreams that announce themselves to this entry.
 func (t *Tracker) Digest(all bool) []*messages.DigestLine {
 	lines := make([]*messages.DigestLine, 0, len(t.upstreams))
 	for name, u := range t.upstreams {
@@ -158,29 +163,30 @@
 	return lines
 }
 
-// Compare returns what this entry knows better than a digest, and what it lacks.
+// Compare returns rumours about the upstreams whose state here is newer than the digest's, and
+// the names of those whose incarnation in the digest is newer or unknown here.
 func (t *Tracker) Compare(now time.Time, digest []*messages.DigestLine) (better []*messages.Rumour, wanted []string) {
 	for _, line := range digest {
 		name := units.Upstream(line.GetUpstream())
-		own := t.Rumour(now, name)
+		local := t.Rumour(now, name)
 		switch {
-		case own == nil || own.GetAnnouncement().GetIncarnation() < line.GetIncarnation():
+		case local == nil || local.GetAnnouncement().GetIncarnation() < line.GetIncarnation():
 			wanted = append(wanted, line.GetUpstream())
-		case tells(own, line):
-			better = append(better, own)
+		case isAhead(local, line):
+			better = append(better, local)
 		}
 	}
 	return better, wanted
 }
 
-// tells reports whether a rumour goes beyond a digest's line.
-func tells(own *messages.Rumour, line *messages.DigestLine) bool {
-	a := own.GetAnnouncement()
+// isAhead reports whether a rumour is newer than a digest's line.
+func isAhead(local *messages.Rumour, line *messages.DigestLine) bool {
+	a := local.GetAnnouncement()
 	if a.GetIncarnation() != line.GetIncarnation() {
 		return a.GetIncarnation() > line.GetIncarnation()
 	}
 	if a.GetSequence() != line.GetSequence() {
 		return a.GetSequence() > line.GetSequence()
 	}
-	return own.GetState() > line.GetState()
+	return local.GetState() > line.GetState()
 }
--- a/src/tracker/tracker.go
+++ b/src/tracker/tracker.go
@@ -11,56 +11,57 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// Tracker is the table of announced upstreams; its fields are set before the first Step.
+// Tracker is the table of announced upstreams. It is a state machine; its fields are set
+// before the first Step.
 type Tracker struct {
 	// Suspicion is the silence after which an upstream is suspected; 0 suspects none.
 	Suspicion time.Duration
 	// Expiry is how long an upstream counts as live without an announcement.
 	Expiry time.Duration
-	// Late is the time between two ticks from which this process counts as
-	// having been asleep; 0 never does.
+	// Late is the time between two ticks from which this process counts as having been
+	// suspended; with 0 it never does.
 	Late time.Duration
 
-	upstreams map[units.Upstream]*Upstream
-	gone      map[units.Upstream]*tombstone
-	health    health
-	numbered  uint32
+	upstreams  map[units.Upstream]*Upstream
+	tombstones map[units.Upstream]*tombstone
+	health     health
+	lastNumber uint32
 }
 
 // Step takes one event and returns the actions to carry out, in order.
 func (t *Tracker) Step(now time.Time, event Event) []Action {
 	if t.upstreams == nil {
 		t.upstreams = make(map[units.Upstream]*Upstream)
-		t.gone = make(map[units.Upstream]*tombstone)
+		t.tombstones = make(map[units.Upstream]*tombstone)
 	}
-	t.noteSleep(now)
+	t.detectPause(now)
 	switch e := event.(type) {
 	case Announced:
-		if t.drowsy(now) {
-			return []Action{Refused{Err: drowsy(e.Announcement)}}
+		if t.isJustResumed(now) {
+			return []Action{Refused{Err: justResumedError(e.Announcement)}}
 		}
 		return t.announce(now, e.Announcement)
 	case Told:
-		if t.drowsy(now) {
+		if t.isJustResumed(now) {
 			return nil
 		}
-		return t.hearRumour(now, e.Rumour)
+		return t.mergeRumour(now, e.Rumour)
 	case Ticked:
 		return t.tick(now)
 	}
 	return nil
 }
 
-// Usable returns the upstreams that may get new work.
+// Usable returns the upstreams that may get new calls.
 //
-// Suspected ones are left out, except where more than half of a service is
-// suspected at once: then the fault is more likely on this side, and leaving
-// them out would refuse calls that the upstreams could serve.
+// Suspected ones are excluded, unless more than half of a service's upstreams are suspected at
+// once: then the fault is more likely on this side, and excluding them would refuse calls that
+// the upstreams could serve.
 func (t *Tracker) Usable() []*Upstream {
 	live := make(map[units.Service]int)
 	suspected := make(map[units.Service]int)
 	for _, upstream := range t.upstreams {
-		if !upstream.serves() {
+		if !upstream.acceptsWork() {
 			continue
 		}
 		live[upstream.Service]++
@@ -70,7 +71,7 @@
 	}
 	usable := make([]*Upstream, 0, len(t.upstreams))
 	for _, upstream := range t.upstreams {
-		if !upstream.serves() {
+		if !upstream.acceptsWork() {
 			continue
 		}
 		if upstream.Suspected && 2*suspected[upstream.Service] <= live[upstream.Service] {
@@ -86,7 +87,7 @@
 	return t.upstreams[name]
 }
 
-// All returns every known upstream, the leaving ones included.
+// All returns all known upstreams, including leaving ones.
 func (t *Tracker) All() []*Upstream {
 	all := make([]*Upstream, 0, len(t.upstreams))
 	for _, upstream := range t.upstreams {
@@ -95,43 +96,43 @@
 	return all
 }
 
-// Upstream returns what is known of one upstream, nil where it is not known.
+// Upstream returns an upstream by name, or nil.
 func (t *Tracker) Upstream(name units.Upstream) *Upstream { return t.upstreams[name] }
 
 func (t *Tracker) announce(now time.Time, a *messages.Announcement) []Action {
-	if err := check(a); err != nil {
+	if err := validate(a); err != nil {
 		return []Action{Refused{Err: err}}
 	}
 	next := fromAnnouncement(now, a)
 	next.Direct = true
 	next.DirectAt = now
 	known := t.upstreams[next.Name]
-	if contests(known, next) {
-		return []Action{Refused{Err: contested(known)}}
+	if isNameConflict(known, next) {
+		return []Action{Refused{Err: nameConflictError(known)}}
 	}
 	return t.accept(now, known, next)
 }
 
-// accept takes an announcement that is newer than what is known.
+// accept enters an announcement into the table if it is newer than the known one.
 func (t *Tracker) accept(now time.Time, known, next *Upstream) []Action {
-	if !t.revives(now, next) || (known != nil && !newer(known, next)) {
+	if !t.canEnter(now, next) || (known != nil && !isNewer(known, next)) {
 		return nil
 	}
-	// A leaving mark is final for its incarnation: a repeated older
-	// announcement would send new work to a machine that is taken back.
+	// Leaving is final for an incarnation: after a repeated older announcement, new calls
+	// would go to a machine that is being reclaimed.
 	sameLife := known != nil && known.Incarnation == next.Incarnation
 	if sameLife && known.Leaving {
 		return nil
 	}
-	delete(t.gone, next.Name)
-	urgent := known == nil || news(known, next)
+	delete(t.tombstones, next.Name)
+	urgent := known == nil || isSignificant(known, next)
 	if sameLife {
-		next.keep(known)
+		next.inheritFrom(known)
 	} else {
-		t.numbered++
-		next.Live.Number = t.numbered
+		t.lastNumber++
+		next.Live.Number = t.lastNumber
 	}
-	next.Load.correct(next.Live)
+	next.Load.subtractOwnCalls(next.Live)
 	t.upstreams[next.Name] = next
 	actions := []Action{Changed{}, Spread{
 		Rumour: next.rumour(now),
@@ -149,34 +150,34 @@
 	return actions
 }
 
-// news reports whether an announcement is more than a sign of life.
+// isSignificant reports whether an announcement says more than that its upstream is live.
 //
-// An upstream that moved its announcements here is news: the entry that heard
-// it before would else take it for dead.
-func news(known, next *Upstream) bool {
+// That an upstream has moved its announcements to this entry is significant: the entry that
+// received them before would otherwise take it for dead.
+func isSignificant(known, next *Upstream) bool {
 	moved := next.Direct && !known.Direct
-	return known.Suspected || moved || !sameConstants(known.Announcement, next.Announcement)
+	return known.Suspected || moved || !hasSameStaticFields(known.Announcement, next.Announcement)
 }
 
-// keep takes over what outlasts a single announcement.
-func (u *Upstream) keep(known *Upstream) {
+// inheritFrom copies what outlasts a single announcement from the known one.
+func (u *Upstream) inheritFrom(known *Upstream) {
 	u.Live = known.Live
 	u.Direct = u.Direct || known.Direct
-	u.DirectAt = later(u.DirectAt, known.DirectAt)
-	u.HeardAt = later(u.HeardAt, known.HeardAt)
+	u.DirectAt = latest(u.DirectAt, known.DirectAt)
+	u.HeardAt = latest(u.HeardAt, known.HeardAt)
 }
 
-// contests reports whether next takes the name of an upstream that lives elsewhere.
+// isNameConflict reports whether next claims the name of a live upstream at another address.
 //
-// Otherwise a misconfigured or hostile instance could draw a live upstream's
-// calls to itself by announcing its name with a higher incarnation. Once the
-// known one leaves or falls silent, the name is free.
-func contests(known, next *Upstream) bool {
+// Without this check, a misconfigured or hostile instance could take over a live upstream's
+// calls by announcing its name with a higher incarnation. The name is free once the known
+// upstream leaves or is suspected.
+func isNameConflict(known, next *Upstream) bool {
 	return known != nil && !known.Leaving && !known.Suspected &&
 		known.Address != next.Address && next.Incarnation > known.Incarnation
 }
 
-func contested(known *Upstream) error {
+func nameConflictError(known *Upstream) error {
 	return &RefusedError{
 		Upstream: known.Name,
 		Reason:   fmt.Sprintf("the name belongs to a live upstream at %s", known.Address),
@@ -184,7 +185,7 @@
 	}
 }
 
-func newer(known, next *Upstream) bool {
+func isNewer(known, next *Upstream) bool {
 	if known.Incarnation != next.Incarnation {
 		return next.Incarnation > known.Incarnation
 	}
@@ -194,13 +195,14 @@
 	return next.Sequence > known.Sequence
 }
 
-// sameConstants reports whether two announcements differ in their sequence and load alone.
-func sameConstants(a, b *messages.Announcement) bool {
-	a, b = constants(a), constants(b)
+// hasSameStaticFields reports whether two announcements differ at most in sequence, load and
+// time to leave.
+func hasSameStaticFields(a, b *messages.Announcement) bool {
+	a, b = staticFields(a), staticFields(b)
 	return proto.Equal(a, b)
 }
 
-func constants(a *messages.Announcement) *messages.Announcement {
+func staticFields(a *messages.Announcement) *messages.Announcement {
 	c := proto.CloneOf(a)
 	c.Sequence = 0
 	c.Load = nil
@@ -208,14 +210,14 @@
 	return c
 }
 
-func later(a, b time.Time) time.Time {
+func latest(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
 	return b
 }
 
-func check(a *messages.Announcement) error {
+func validate(a *messages.Announcement) error {
 	refused := &RefusedError{
 		Upstream: units.Upstream(a.GetUpstream()),
 	}
--- a/src/tracker/tracker_test.go
+++ b/src/tracker/tracker_test.go
@@ -9,11 +9,11 @@
 
 const testExpiry = 3 * time.Second
 
-// A caller would get an error from an upstream that is taken back, if a late
-// announcement could undo its leaving mark: the announcement is sent, overtaken
-// by the mark, and arrives after it. The mark ends the incarnation, so only a
-// newer one counts.
-func TestLateAnnouncementRevivesNothing(t *testing.T) {
+// Guards against a late announcement that undoes the leaving state of an upstream that is being
+// reclaimed, whose callers would get errors: the announcement is sent, overtaken by the one
+// that marks the upstream as leaving, and arrives after it. Leaving ends the incarnation, so only
+// a newer one counts.
+func TestLateAnnouncementDoesNotReviveUpstream(t *testing.T) {
 	cases := map[string]struct {
 		late       *messages.Announcement
 		wantUsable int
@@ -47,8 +47,8 @@
 	}
 }
 
-// An upstream that leaves and is forgotten must not come back by a message
-// that was under way for longer than the upstream lived.
+// An upstream that has left and been removed must not come back by a message that was in
+// transit until after its removal.
 func TestForgottenUpstreamStaysGone(t *testing.T) {
 	now := time.Unix(0, 0)
 	table := &Tracker{
@@ -66,11 +66,11 @@
 	}
 }
 
-// An upstream is given up for its silence; then one of its announcements, which
-// waited somewhere on its way, arrives. It must not come back by that one, or
-// calls would go to a dead machine; it must come back if it goes on announcing
-// itself, since the silence may have been a cut.
-func TestGivenUpUpstreamComesBackBySteadyLifeAlone(t *testing.T) {
+// An upstream is removed for its silence; then one of its announcements arrives that was
+// delayed in transit. It must not return by that one, or calls would go to a dead machine. It
+// must return if it goes on announcing itself, since the silence may have been a network
+// partition.
+func TestExpiredUpstreamReturnsAfterSteadyAnnouncements(t *testing.T) {
 	now := time.Unix(0, 0)
 	table := &Tracker{
 		Expiry: testExpiry,
@@ -91,10 +91,10 @@
 	}
 }
 
-// Half a service's upstreams and more fall silent at once, which is rather a
-// fault on this side. Leaving all of them out would refuse every call; they
-// stay in use until they are given up. A single silent one is left out.
-func TestSuspectedUpstreamsStayInUseWhenTheyAreMost(t *testing.T) {
+// More than half of a service's upstreams fall silent at once, which is more likely a fault on
+// this side. Excluding all of them would refuse calls that they could serve; they stay in use
+// until they expire. A single silent one is excluded.
+func TestSuspectedMajorityStaysUsable(t *testing.T) {
 	cases := map[string]struct {
 		silent     int
 		wantUsable int
--- a/src/tracker/upstream.go
+++ b/src/tracker/upstream.go
@@ -8,7 +8,7 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// Upstream is one back end as it last announced itself; it is not changed once published.
+// Upstream is one back end as it last announced itself; it is immutable once published.
 type Upstream struct {
 	Name         units.Upstream
 	Service      units.Service
@@ -20,16 +20,16 @@
 	Incarnation  units.Incarnation
 	Sequence     uint64
 	Leaving      bool
-	// LeavesAt is when a leaving upstream stops.
+	// LeavesAt is when a leaving upstream terminates.
 	LeavesAt     time.Time
 	Model        units.Model
 	ModelVersion units.ModelVersion
-	// Release is the version of its software, "" where it does not say.
+	// Release is the version of its software, "" if not announced.
 	Release  units.Release
 	Adapters []string
 	Slots    int
 	Step     time.Duration
-	// PrefillPerStep is how many prompt tokens a step computes, 0 where unknown.
+	// PrefillPerStep is how many prompt tokens one step prefills, 0 if unknown.
 	PrefillPerStep units.Tokens
 	KV             KV
 	Load           Load
@@ -43,46 +43,47 @@
 	DirectAt time.Time
 	// Suspected is set while the upstream is silent.
 	Suspected bool
-	// Spread is set once the suspicion has been told to others.
-	Spread bool
-	// Announcement is the message as it came; it is not changed.
+	// SuspicionSpread is set once the suspicion has been spread to other entries.
+	SuspicionSpread bool
+	// Announcement is the message as received; it is immutable.
 	Announcement *messages.Announcement
 	// Live is shared by all announcements of one incarnation.
 	Live *Live
 }
 
-// Load is an upstream's load as it measured it.
+// Load is an upstream's load as measured by itself.
 type Load struct {
 	Running      int
 	Queued       int
 	QueuedTokens units.Tokens
 	MeasuredAt   time.Time
-	// Others is what of Running and Queued this entry had not sent.
+	// Others is how many of the running and queued calls came from other entries.
 	Others int
 }
 
-// KV is what the export of an engine's KV cache costs; zeros mean that it exports none.
+// KV is the size and transfer rate of an engine's KV cache export; zeros mean that it exports
+// none.
 type KV struct {
 	BytesPerToken  int64
 	BytesPerSecond int64
 }
 
-// Live counts what this entry has under way at an upstream; traffic changes it.
+// Live is this entry's own state of an upstream; request goroutines update it.
 type Live struct {
 	InFlight atomic.Int64
-	// Prefill counts prompt tokens sent and not yet answered by a first token.
+	// Prefill counts prompt tokens sent whose calls have no first token yet.
 	Prefill atomic.Int64
-	// Idle counts connections of this process that wait for a call.
+	// Idle counts idle connections of this process.
 	Idle atomic.Int64
 	// Number identifies the incarnation within this process, from 1.
 	Number uint32
-	// Since is when the incarnation was first heard of.
+	// Since is when the incarnation was first seen.
 	Since time.Time
-	// EjectedUntil is in nanoseconds of Unix time, 0 where it is not ejected.
+	// EjectedUntil is in nanoseconds of Unix time, 0 if the upstream was never ejected.
 	EjectedUntil atomic.Int64
 
-	// history holds what was in flight at the last samples; the table's owner
-	// alone uses it.
+	// history holds the last samples of InFlight; only the goroutine that owns the table
+	// uses it.
 	history [historyLength]sample
 	samples int
 }
@@ -92,10 +93,10 @@
 	inFlight int64
 }
 
-// historyLength is how many samples are kept, a few reports' age.
+// historyLength is how many samples are kept; they cover the age of several reports.
 const historyLength = 32
 
-// sample notes what is in flight now.
+// sample records the number of calls in flight now.
 func (l *Live) sample(now time.Time) {
 	l.history[l.samples%historyLength] = sample{
 		at:       now,
@@ -104,7 +105,8 @@
 	l.samples++
 }
 
-// inFlightAt returns what was in flight at an earlier moment, by the last sample before it.
+// inFlightAt returns the number of calls in flight at an earlier time, by the last sample
+// before it.
 func (l *Live) inFlightAt(at time.Time) int64 {
 	for i := l.samples - 1; i >= max(0, l.samples-historyLength); i-- {
 		if known := l.history[i%historyLength]; !known.at.After(at) {
@@ -114,15 +116,15 @@
 	return 0
 }
 
-// correct takes out of a report what this entry had sent itself, which it knows
-// better and without lag.
-func (l *Load) correct(live *Live) {
+// subtractOwnCalls sets Others by subtracting this entry's own calls, which it knows more
+// exactly and without delay.
+func (l *Load) subtractOwnCalls(live *Live) {
 	own := live.inFlightAt(l.MeasuredAt)
 	l.Others = max(0, l.Running+l.Queued-int(own))
 }
 
-// serves reports whether an upstream would take new work.
-func (u *Upstream) serves() bool {
+// acceptsWork reports whether an upstream would accept new calls.
+func (u *Upstream) acceptsWork() bool {
 	return !u.Leaving && u.LoadingVersion == ""
 }
 
