--- a/src/ejector/doc.go
+++ b/src/ejector/doc.go
@@ -1,2 +1,2 @@
-// Package ejector decides which upstreams are left out for a while because calls fail there.
+// Package ejector decides which upstreams get no calls for a while because calls fail there.
 package ejector
--- a/src/ejector/ejector.go
+++ b/src/ejector/ejector.go
@@ -7,37 +7,39 @@
 )
 
 const (
-	// threshold is how many failures in a row eject an upstream.
-	threshold = 3
-	// maxShare is the part of a service's upstreams that may be out at once: a
-	// fault that lies elsewhere, such as in this entry's network, would otherwise
-	// eject them all.
-	maxShare = 3
-	baseTime = 2 * time.Second
-	maxTime  = 30 * time.Second
-	// forgetAfter is when an upstream without news is forgotten.
-	forgetAfter = 5 * time.Minute
+	// failureThreshold is how many consecutive failures eject an upstream.
+	failureThreshold = 3
+	// ejectableDivisor divides the number of a service's upstreams to give how many may be
+	// ejected at once: a fault elsewhere, such as in this entry's network, would otherwise
+	// eject all of them.
+	ejectableDivisor = 3
+	// baseEjection is the duration of a first ejection. It doubles with each further one
+	// without a success in between, up to maxEjection.
+	baseEjection = 2 * time.Second
+	maxEjection  = 30 * time.Second
+	// stateTTL is how long after its last failure an upstream's state is kept.
+	stateTTL = 5 * time.Minute
 )
 
-// Key is one life of one upstream.
+// Key identifies one incarnation of an upstream.
 type Key struct {
 	Service     units.Service
 	Upstream    units.Upstream
 	Incarnation units.Incarnation
 }
 
-// Event is the news of an exchange.
+// Event is the outcome of an exchange with an upstream.
 type Event interface{ event() }
 
-// Succeeded says that an upstream answered.
+// Succeeded reports that an upstream answered.
 type Succeeded struct {
 	Key Key
 }
 
-// Failed says that an exchange failed at an upstream.
+// Failed reports that an exchange failed at an upstream.
 type Failed struct {
 	Key Key
-	// Unreached says that no connection could be made, which one try proves.
+	// Unreached is set when no connection could be made; one such failure is enough to eject.
 	Unreached bool
 	// Total is how many usable upstreams the service has.
 	Total int
@@ -46,10 +48,10 @@
 func (Succeeded) event() {}
 func (Failed) event()    {}
 
-// Action is something that the caller of Step must carry out.
+// Action is an effect that the caller of Step must carry out.
 type Action interface{ action() }
 
-// Eject wants an upstream left out until then.
+// Eject requires that an upstream get no calls until a given time.
 type Eject struct {
 	Key   Key
 	Until time.Time
@@ -57,17 +59,17 @@
 
 func (Eject) action() {}
 
-// Ejector counts failures; it is a state machine without a clock.
+// Ejector counts failures of upstreams; it is a state machine without a clock.
 type Ejector struct {
 	upstreams map[Key]*state
 }
 
 type state struct {
 	failures int
-	// ejections is how often it was ejected without a success between.
-	ejections int
-	until     time.Time
-	heard     time.Time
+	// ejections counts ejections without a success in between.
+	ejections    int
+	ejectedUntil time.Time
+	failedAt     time.Time
 }
 
 // Step takes one event and returns the actions to carry out.
@@ -77,71 +79,71 @@
 	}
 	switch e := event.(type) {
 	case Succeeded:
-		x.succeed(now, e.Key)
+		x.recordSuccess(now, e.Key)
 	case Failed:
-		return x.fail(now, e)
+		return x.recordFailure(now, e)
 	}
 	return nil
 }
 
-// succeed clears what stood against an upstream; a late answer from before an
-// ejection does not end it.
-func (x *Ejector) succeed(now time.Time, key Key) {
+// recordSuccess clears an upstream's failures. A late answer to a call from before an ejection
+// does not end the ejection.
+func (x *Ejector) recordSuccess(now time.Time, key Key) {
 	s := x.upstreams[key]
-	if s == nil || now.Before(s.until) {
+	if s == nil || now.Before(s.ejectedUntil) {
 		return
 	}
 	delete(x.upstreams, key)
 }
 
-func (x *Ejector) fail(now time.Time, e Failed) []Action {
+func (x *Ejector) recordFailure(now time.Time, e Failed) []Action {
 	s := x.upstreams[e.Key]
 	if s == nil {
-		x.forget(now)
+		x.expire(now)
 		s = &state{}
 		x.upstreams[e.Key] = s
 	}
-	s.heard = now
-	if now.Before(s.until) {
+	s.failedAt = now
+	if now.Before(s.ejectedUntil) {
 		return nil
 	}
 	s.failures++
-	// One that comes back from an ejection has one try.
-	enough := s.failures >= threshold || e.Unreached || s.ejections > 0
-	if !enough || x.out(now, e.Key.Service) >= most(e.Total) {
+	// After an ejection, one failure is enough to eject the upstream again.
+	shouldEject := s.failures >= failureThreshold || e.Unreached || s.ejections > 0
+	if !shouldEject || x.ejectedCount(now, e.Key.Service) >= maxEjected(e.Total) {
 		return nil
 	}
 	s.failures = 0
-	s.until = now.Add(min(maxTime, baseTime<<min(s.ejections, 10)))
+	s.ejectedUntil = now.Add(min(maxEjection, baseEjection<<min(s.ejections, 10)))
 	s.ejections++
 	return []Action{Eject{
 		Key:   e.Key,
-		Until: s.until,
+		Until: s.ejectedUntil,
 	}}
 }
 
-// most returns how many of a service's upstreams may be out at once.
-func most(total int) int {
+// maxEjected returns how many of a service's upstreams may be ejected at once.
+func maxEjected(total int) int {
 	if total < 2 {
 		return 0
 	}
-	return max(1, total/maxShare)
+	return max(1, total/ejectableDivisor)
 }
 
-// out returns how many of a service's upstreams are out now.
-func (x *Ejector) out(now time.Time, service units.Service) int {
+// ejectedCount returns how many of a service's upstreams are ejected now.
+func (x *Ejector) ejectedCount(now time.Time, service units.Service) int {
 	count := 0
 	for key, s := range x.upstreams {
-		if key.Service == service && now.Before(s.until) {
+		if key.Service == service && now.Before(s.ejectedUntil) {
 			count++
 		}
 	}
 	return count
 }
 
-func (x *Ejector) forget(now time.Time) {
+func (x *Ejector) expire(now time.Time) {
 	for key, s := range x.upstreams {
-		if now.Sub(s.heard) > forgetAfter {
+		if now.Sub(s.failedAt) > stateTTL {
 			delete(x.upstreams, key)
 		}
 	}
--- a/src/ejector/ejector_test.go
+++ b/src/ejector/ejector_test.go
@@ -20,16 +20,15 @@
 	os.Exit(m.Run())
 }
 
-// Calls fail at some upstreams, or all of them seem to fail because this entry's
-// own network does. If it left them all out it would refuse every caller; so no
-// more than a third may be out, none without enough failures, and each only for
-// a bounded time.
-func TestEjectionsKeepTheirBounds(t *testing.T) {
+// Calls fail at some upstreams, or all upstreams seem to fail because of a fault in this entry's
+// own network. Ejecting all of them would refuse every call. So at most a third may be ejected,
+// none without enough failures, and each only for a bounded time.
+func TestEjectionsStayWithinBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		total := rapid.IntRange(1, 12).Draw(t, "total")
 		now := time.Unix(0, 0)
 		x := &Ejector{}
-		out := make(map[Key]time.Time)
+		ejectedUntil := make(map[Key]time.Time)
 		failures := make(map[Key]int)
 		for range 60 {
 			now = now.Add(time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond)
@@ -39,7 +38,7 @@
 			}
 			if rapid.IntRange(0, 3).Draw(t, "event") == 0 {
 				x.Step(now, Succeeded{Key: key})
-				if !now.Before(out[key]) {
+				if !now.Before(ejectedUntil[key]) {
 					failures[key] = 0
 				}
 				continue
@@ -49,33 +48,33 @@
 			actions := x.Step(now, Failed{Key: key, Unreached: unreached, Total: total})
 			for _, action := range actions {
 				eject := action.(Eject)
-				if now.Before(out[key]) {
-					t.Fatalf("%v: got ejected while it was out, want once", key)
+				if now.Before(ejectedUntil[key]) {
+					t.Fatalf("%v: got a second ejection before the first one ended, want none", key)
 				}
-				if failures[key] < threshold && !unreached && out[key].IsZero() {
-					t.Fatalf("%v: got ejected after %d failures, want %d", key, failures[key], threshold)
+				if failures[key] < failureThreshold && !unreached && ejectedUntil[key].IsZero() {
+					t.Fatalf("%v: got ejected after %d failures, want at least %d", key, failures[key], failureThreshold)
 				}
-				if got, most := eject.Until.Sub(now), maxTime; got <= 0 || got > most {
-					t.Fatalf("%v: got ejected for %s, want at most %s", key, got, most)
+				if got, most := eject.Until.Sub(now), maxEjection; got <= 0 || got > most {
+					t.Fatalf("%v: got ejected for %s, want more than 0 and at most %s", key, got, most)
 				}
-				out[key] = eject.Until
+				ejectedUntil[key] = eject.Until
 			}
 			count := 0
-			for _, until := range out {
+			for _, until := range ejectedUntil {
 				if now.Before(until) {
 					count++
 				}
 			}
-			if got, want := count, max(min(1, total-1), total/maxShare); got > want {
-				t.Fatalf("out of %d: got %d, want at most %d", total, got, want)
+			if got, want := count, max(min(1, total-1), total/ejectableDivisor); got > want {
+				t.Fatalf("ejected upstreams of %d: got %d, want at most %d", total, got, want)
 			}
 		}
 	})
 }
 
-// An engine that cannot be reached is out at once, and comes back with one try:
-// callers would otherwise meet it three times in each round.
-func TestUnreachedUpstreamIsOutAtOnce(t *testing.T) {
+// An upstream that cannot be reached must be ejected at once, and again after one failed call
+// on its return: otherwise three calls would fail there in each round.
+func TestUnreachableUpstreamIsEjectedAtOnce(t *testing.T) {
 	now := time.Unix(0, 0)
 	x := &Ejector{}
 	failed := Failed{
@@ -83,14 +82,14 @@
 		Unreached: true,
 		Total:     6,
 	}
-	for _, want := range []time.Duration{baseTime, 2 * baseTime, 4 * baseTime} {
+	for _, want := range []time.Duration{baseEjection, 2 * baseEjection, 4 * baseEjection} {
 		actions := x.Step(now, failed)
 		if got, want := len(actions), 1; got != want {
 			t.Fatalf("actions: got %d, want %d", got, want)
 		}
 		until := actions[0].(Eject).Until
 		if got := until.Sub(now); got != want {
-			t.Errorf("ejected for: got %s, want %s", got, want)
+			t.Errorf("duration of the ejection: got %s, want %s", got, want)
 		}
 		now = until
 		failed.Unreached = false
