--- a/src/retrier/budget.go
+++ b/src/retrier/budget.go
@@ -8,107 +8,109 @@
 )
 
 const (
-	// use is the part of the bound that new attempts of calls may take. Streams under
-	// way, whose callers have half an answer, find room beyond it.
-	use = 0.75
-	// resumeUse is the part that both together may take: calls that go out while
-	// control renews the count of entries, and those whose arrival is late, need the
-	// rest.
-	resumeUse = 0.9
-	// parts divide the window for counting; one more than these is kept, since the
-	// first of them is in the window in part.
-	parts = 20
-	slots = parts + 1
+	// retryFraction is the fraction of the bound that retries of calls may use. The rest is for
+	// streams in progress, whose callers have received part of an answer.
+	retryFraction = 0.75
+	// resumeFraction is the fraction that retries and resumed streams together may use. The
+	// rest covers attempts made while control updates the number of entries, and those that
+	// arrive late.
+	resumeFraction = 0.9
+	// bucketsPerWindow is how many buckets the window is divided into. One more bucket is
+	// kept, since the oldest one is only partly within the window.
+	bucketsPerWindow = 20
+	bucketCount      = bucketsPerWindow + 1
 )
 
-// Budget counts calls and further attempts of each service in a sliding window;
-// it may be used from several goroutines.
+// Budget counts the calls and the further attempts of each service in a sliding window. It
+// is safe for concurrent use.
 type Budget struct {
-	// Window, Ratio and Slack are the bound on the fleet: further attempts are at
-	// most Ratio times the calls plus Slack in any Window.
+	// Window, Ratio and Slack define the bound on all entries together: in any Window, the
+	// number of further attempts is at most Ratio times the number of calls, plus Slack.
 	Window time.Duration
 	Ratio  float64
 	Slack  float64
-	// Now is the clock.
-	Now func() time.Time
+	Now    func() time.Time
 
 	mu       sync.Mutex
 	entries  int
 	services map[units.Service]*counts
 }
 
-// counts are the last slots' calls and further attempts.
+// counts holds the calls of each bucket and the further attempts, as extra. firstBucket is the
+// number of the oldest bucket since the Unix epoch.
 type counts struct {
-	first   int64
-	calls   [slots]float64
-	further [slots]float64
+	firstBucket int64
+	calls       [bucketCount]float64
+	extra       [bucketCount]float64
 }
 
-// SetEntries tells over how many entries the slack is shared.
+// SetEntries sets the number of entries that the slack is divided among.
 func (b *Budget) SetEntries(entries int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.entries = entries
 }
 
-// Call notes a call's first attempt.
+// Call records a call's first attempt.
 func (b *Budget) Call(service units.Service) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	c, slot := b.counts(service)
-	c.calls[slot]++
+	c, bucket := b.counts(service)
+	c.calls[bucket]++
 }
 
-// Earn does nothing: calls are counted when they begin.
+// Earn does nothing: calls are counted when they start.
 func (b *Budget) Earn(units.Service) {}
 
-// Spend reports whether one more attempt may be made, and counts it if so.
-func (b *Budget) Spend(service units.Service) bool { return b.spend(service, use) }
+// Spend reports whether a call may be retried, and counts the retry if so.
+func (b *Budget) Spend(service units.Service) bool { return b.spend(service, retryFraction) }
 
-// Resume reports whether a stream under way may go on at another upstream, and
-// counts it if so.
+// Resume reports whether a stream in progress may continue at another upstream, and counts the
+// attempt if so.
 //
-// Half of the upstreams of a full fleet are taken back at once, each with some tens
-// of streams, and those that are left refuse most of them. Without a bound each
-// stream would knock several times at all of them, and the upstreams would have that
-// much less time for what they have taken in.
-func (b *Budget) Resume(service units.Service) bool { return b.spend(service, resumeUse) }
+// When half of the upstreams of a fully used fleet are reclaimed at once, each with some tens
+// of streams, the remaining ones refuse most of these streams. Without a bound, each stream
+// would try all of them several times, and the upstreams would have that much less time for the
+// calls that they have accepted.
+func (b *Budget) Resume(service units.Service) bool { return b.spend(service, resumeFraction) }
 
-func (b *Budget) spend(service units.Service, use float64) bool {
+// spend counts a further attempt if it stays within a fraction of the bound.
+func (b *Budget) spend(service units.Service, fraction float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	c, slot := b.counts(service)
-	calls, further := 0.0, 0.0
-	for i := range slots {
+	c, bucket := b.counts(service)
+	calls, extra := 0.0, 0.0
+	for i := range bucketCount {
 		calls += c.calls[i]
-		further += c.further[i]
+		extra += c.extra[i]
 	}
-	if further+1 > use*(b.Ratio*calls+b.Slack/float64(max(1, b.entries))) {
+	if extra+1 > fraction*(b.Ratio*calls+b.Slack/float64(max(1, b.entries))) {
 		return false
 	}
-	c.further[slot]++
+	c.extra[bucket]++
 	return true
 }
 
-// counts returns a service's counts with the slots of the past cleared.
-func (b *Budget) counts(service units.Service) (c *counts, slot int) {
+// counts returns a service's counts, with expired buckets cleared, and the index of the current
+// bucket.
+func (b *Budget) counts(service units.Service) (c *counts, bucket int) {
 	if b.services == nil {
 		b.services = make(map[units.Service]*counts)
 	}
-	current := b.Now().UnixNano() / (b.Window.Nanoseconds() / parts)
+	current := b.Now().UnixNano() / (b.Window.Nanoseconds() / bucketsPerWindow)
 	c = b.services[service]
 	if c == nil {
-		c = &counts{first: current - slots + 1}
+		c = &counts{firstBucket: current - bucketCount + 1}
 		b.services[service] = c
 	}
-	for c.first+slots <= current {
-		if c.first+2*slots <= current {
-			*c = counts{first: current - slots + 1}
+	for c.firstBucket+bucketCount <= current {
+		if c.firstBucket+2*bucketCount <= current {
+			*c = counts{firstBucket: current - bucketCount + 1}
 			break
 		}
-		old := c.first % slots
-		c.calls[old], c.further[old] = 0, 0
-		c.first++
+		old := c.firstBucket % bucketCount
+		c.calls[old], c.extra[old] = 0, 0
+		c.firstBucket++
 	}
-	return c, int(current % slots)
+	return c, int(current % bucketCount)
 }
--- a/src/retrier/budget_test.go
+++ b/src/retrier/budget_test.go
@@ -7,9 +7,9 @@
 	"pgregory.net/rapid"
 )
 
-// Upstreams refuse most calls for a while. Over all entries together no window
-// may hold more further attempts than the bound allows, whatever the load.
-func TestFurtherAttemptsStayWithinTheBound(t *testing.T) {
+// Upstreams refuse most calls for a while. At all entries together, no window may contain more
+// further attempts than the bound allows, under any load.
+func TestRetriesStayWithinBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		entries := rapid.SampledFrom([]int{1, 3, 9, 40}).Draw(t, "entries")
 		const ratio, slack = 0.2, 30.0
@@ -60,31 +60,31 @@
 	})
 }
 
-// A fifth of the upstreams is lost with its streams while new calls are refused and
-// tried again. Streams under way must find room beyond what the new calls may take.
-func TestStreamsGoOnWhereNewCallsMayNotBeRepeated(t *testing.T) {
+// A fifth of the upstreams is lost with its streams while new calls are refused and retried.
+// Streams in progress must still be resumed once retries have used up their fraction.
+func TestStreamsResumeWhenRetriesAreExhausted(t *testing.T) {
 	now := time.Unix(1000, 0)
 	b := &Budget{Window: 10 * time.Second, Ratio: 0.2, Slack: 20, Now: func() time.Time { return now }}
 	for b.Spend("s") {
 		continue
 	}
 	if !b.Resume("s") {
-		t.Error("a stream beside retries that have used their part: got refused, want let on")
+		t.Error("resuming a stream after retries have used their fraction: got refused, want allowed")
 	}
 	resumed := 1
 	for b.Resume("s") {
 		resumed++
 	}
 	if b.Spend("s") {
-		t.Error("a retry once streams have used all: got let on, want refused")
+		t.Error("a retry after streams have used the rest: got allowed, want refused")
 	}
-	if got, most := resumed+int(use*20), 20; got > most {
-		t.Errorf("all further attempts: got %d, want at most %d", got, most)
+	if got, most := resumed+int(retryFraction*20), 20; got > most {
+		t.Errorf("retries and resumed streams: got %d, want at most %d", got, most)
 	}
 }
 
-// After a quiet time the old counts must be gone, and the slack there again.
-func TestOldCountsAreForgotten(t *testing.T) {
+// Once the window has passed, old counts must be cleared and the slack available again.
+func TestOldCountsExpire(t *testing.T) {
 	now := time.Unix(1000, 0)
 	b := &Budget{Window: 10 * time.Second, Ratio: 0.2, Slack: 8, Now: func() time.Time { return now }}
 	spend := func() int {
@@ -95,14 +95,14 @@
 		return n
 	}
 	if got, want := spend(), 6; got != want {
-		t.Errorf("attempts at first: got %d, want %d", got, want)
+		t.Errorf("retries in the first window: got %d, want %d", got, want)
 	}
 	now = now.Add(5 * time.Second)
 	if got, want := spend(), 0; got != want {
-		t.Errorf("attempts in the same window: got %d, want %d", got, want)
+		t.Errorf("further retries in the same window: got %d, want %d", got, want)
 	}
 	now = now.Add(6 * time.Second)
 	if got, want := spend(), 6; got != want {
-		t.Errorf("attempts in the next window: got %d, want %d", got, want)
+		t.Errorf("retries in the next window: got %d, want %d", got, want)
 	}
 }
--- a/src/retrier/doc.go
+++ b/src/retrier/doc.go
@@ -1,8 +1,7 @@
 // Package retrier bounds how many attempts beyond the first an entry makes.
 //
-// The load it answers: upstreams that refuse or fail part of their calls would
-// get each call several times over and fail more. The bound is on the whole
-// fleet and slides; each entry keeps to its own calls' ratio and an even part of
-// the slack, so that no message between entries is needed and their sum stays
-// within the bound.
+// Without a bound, upstreams that refuse or fail some of their calls would receive each
+// call several times and fail more. The bound applies to all entries together, in a sliding
+// window. Each entry limits itself to the ratio of its own calls plus an equal fraction of the
+// slack, so that their sum stays within the bound without a message between entries.
 package retrier
