--- /dev/null
+++ b/src/apportioner/allocator.go
@@ -0,0 +1,240 @@
+package apportioner
+
+import (
+	"time"
+
+	"github.com/rosecroft/rosecroft/src/matcher"
+	"github.com/rosecroft/rosecroft/src/units"
+)
+
+const (
+	// evenFraction is the fraction of each limit that is shared evenly, so that an
+	// entry without recent calls of an account can admit its first ones.
+	evenFraction = 0.2
+	// settleDelay is for how long a new leader leaves shares unchanged: a poll that
+	// waits for the previous leader until its timeout, and a margin, by when every
+	// reachable entry has polled. During this time, large calls of accounts far
+	// from their limits are refused.
+	settleDelay = 800 * time.Millisecond
+	// defaultLevelFraction is the fraction of its burst that a leader assumes an
+	// account's bucket to hold where no entry reports a level from an earlier
+	// leader.
+	defaultLevelFraction = 0.1
+	// silenceTimeout is the time without a poll after which an entry is assumed to
+	// admit its full share of the rate.
+	silenceTimeout = 600 * time.Millisecond
+	// refreshInterval is how often all entries are scanned: a small fraction of an
+	// entry's poll interval.
+	refreshInterval = 20 * time.Millisecond
+)
+
+// Demand is what an entry reports of its calls for an account.
+type Demand struct {
+	// Rate is the recent demand in tokens per second, Spent the number of tokens
+	// admitted since the entry's start.
+	Rate  float64
+	Spent float64
+	// Unheard is the part of Spent that no leader has acknowledged.
+	Unheard float64
+	// Level is the level of the account's bucket in the last leader's response,
+	// LevelAge the age of that response; 0 if there was none.
+	Level    float64
+	LevelAge time.Duration
+}
+
+// Divider keeps the accounts' buckets and grants shares of them to entries; it is a
+// state machine without a clock.
+type Divider struct {
+	// Lease is for how long an entry uses its share without contact.
+	Lease  time.Duration
+	Window Window
+	// Since is when this instance became the allocating leader.
+	Since time.Time
+
+	entries map[units.Instance]*entryState
+	buckets map[units.Account]*globalBucket
+	// demandRates is the sum of the entries' demand rates for each account, and
+	// silentEntries the entries without a poll for silenceTimeout; both are
+	// recomputed at refreshedAt.
+	demandRates   map[units.Account]float64
+	silentEntries []*entryState
+	refreshedAt   time.Time
+}
+
+type entryState struct {
+	incarnation units.Incarnation
+	reportedAt  time.Time
+	demands     map[units.Account]Demand
+	// assumedSpent is what was charged for the entry while it was silent.
+	assumedSpent map[units.Account]float64
+	shares       map[units.Account]float64
+}
+
+// recordAssumed records tokens charged for the entry while it is silent.
+func (e *entryState) recordAssumed(account units.Account, tokens float64) {
+	if e.assumedSpent == nil {
+		e.assumedSpent = make(map[units.Account]float64)
+	}
+	e.assumedSpent[account] += tokens
+}
+
+// globalBucket is one account's bucket for all entries.
+type globalBucket struct {
+	level      float64
+	refilledAt time.Time
+}
+
+// Hear charges the accounts' buckets with what an entry has admitted since its last
+// poll.
+func (d *Divider) Hear(now time.Time, name units.Instance, incarnation units.Incarnation, demands map[units.Account]Demand) {
+	if d.entries == nil {
+		d.entries = make(map[units.Instance]*entryState)
+		d.buckets = make(map[units.Account]*globalBucket)
+		d.demandRates = make(map[units.Account]float64)
+	}
+	e, known := d.entries[name]
+	if !known {
+		e = &entryState{shares: make(map[units.Account]float64)}
+		d.entries[name] = e
+	}
+	for account, demand := range demands {
+		d.demandRates[account] += demand.Rate - e.demands[account].Rate
+		bucket := d.buckets[account]
+		switch {
+		case bucket == nil:
+		case !known:
+			// No leader charged what the entry admitted since the last response of
+			// the previous leader. If this leader has answered the entry before and
+			// dropped it when its lease expired, that usage is already charged.
+			if demand.LevelAge == 0 || demand.LevelAge > now.Sub(d.Since) {
+				bucket.level -= demand.Unheard
+			}
+		case e.incarnation != incarnation:
+			bucket.level -= demand.Spent
+		default:
+			bucket.level -= demand.Spent - e.demands[account].Spent - e.assumedSpent[account]
+		}
+	}
+	e.incarnation = incarnation
+	e.reportedAt = now
+	e.demands = demands
+	clear(e.assumedSpent)
+}
+
+// Forget removes an entry that has announced its shutdown.
+func (d *Divider) Forget(name units.Instance) {
+	delete(d.entries, name)
+	d.refreshedAt = time.Time{}
+}
+
+// Uses reports whether an entry holds shares.
+func (d *Divider) Uses(name units.Instance) bool { return d.entries[name] != nil }
+
+// Entries returns how many entries hold shares now.
+func (d *Divider) Entries(now time.Time) int {
+	d.refresh(now)
+	return len(d.entries)
+}
+
+// Settled reports whether this leader has been active for long enough that every
+// reachable entry has polled it.
+func (d *Divider) Settled(now time.Time) bool { return now.Sub(d.Since) >= settleDelay }
+
+// refresh drops entries whose lease has expired and recomputes the sums over all
+// entries. Scanning all entries at each poll would cost the leader time quadratic
+// in their number; with two hundred entries it would have no time for anything
+// else.
+func (d *Divider) refresh(now time.Time) {
+	if !d.refreshedAt.IsZero() && now.Sub(d.refreshedAt) < refreshInterval {
+		return
+	}
+	d.refreshedAt = now
+	d.silentEntries = d.silentEntries[:0]
+	// Recomputing the sums removes accumulated rounding errors.
+	clear(d.demandRates)
+	for name, e := range d.entries {
+		age := now.Sub(e.reportedAt)
+		if age > d.Lease {
+			delete(d.entries, name)
+			continue
+		}
+		if age > silenceTimeout {
+			d.silentEntries = append(d.silentEntries, e)
+		}
+		for account, demand := range e.demands {
+			d.demandRates[account] += demand.Rate
+		}
+	}
+}
+
+// Part returns an entry's share of an account's limit, from 0 to 1, and what all
+// entries may still admit; known is false while that is not known well enough to
+// change the entry's share.
+func (d *Divider) Part(now time.Time, name units.Instance, account *matcher.Account) (share, level float64, known bool) {
+	count := d.Entries(now)
+	own := d.entries[name]
+	if own == nil {
+		return 0, 0, false
+	}
+	if !d.Settled(now) {
+		return 0, 0, false
+	}
+	level = d.refill(now, account)
+	share = 1 / float64(count)
+	if total := d.demandRates[account.Name]; total > 0 {
+		share = evenFraction*share + (1-evenFraction)*min(1, own.demands[account.Name].Rate/total)
+	}
+	own.shares[account.Name] = share
+	return share, level, true
+}
+
+// refill adds the tokens accrued since the last refill to an account's bucket, less
+// what silent entries may be admitting, and returns its level.
+func (d *Divider) refill(now time.Time, account *matcher.Account) float64 {
+	rate, burst := d.Window.rate(account), d.Window.burst(account)
+	bucket := d.buckets[account.Name]
+	if bucket == nil {
+		bucket = &globalBucket{
+			level:      d.initialLevel(now, account),
+			refilledAt: now,
+		}
+		d.buckets[account.Name] = bucket
+	}
+	passed := now.Sub(bucket.refilledAt).Seconds()
+	bucket.refilledAt = now
+	bucket.level = min(burst, bucket.level+rate*passed)
+	for _, e := range d.silentEntries {
+		if now.Sub(e.reportedAt) > silenceTimeout {
+			admitted := rate * passed * e.shares[account.Name]
+			bucket.level -= admitted
+			e.recordAssumed(account.Name, admitted)
+		}
+	}
+	return bucket.level
+}
+
+// initialLevel returns the level of an account's bucket once this instance has
+// heard from the entries for the first time.
+//
+// A leader that guesses could give out again what its predecessor already gave out:
+// if two leaders are lost within one window, an account could run more than its
+// limit allows. The most recent level reported to any entry, less the usage that no
+// leader has charged since, is exact except for responses that were in flight.
+func (d *Divider) initialLevel(now time.Time, account *matcher.Account) float64 {
+	rate, burst := d.Window.rate(account), d.Window.burst(account)
+	settleTime := min(settleDelay, now.Sub(d.Since))
+	level, age, unacknowledged := defaultLevelFraction*burst+rate*settleTime.Seconds(), time.Duration(0), 0.0
+	for _, e := range d.entries {
+		demand := e.demands[account.Name]
+		unacknowledged += demand.Unheard
+		if demand.LevelAge == 0 {
+			continue
+		}
+		passed := now.Sub(e.reportedAt) + demand.LevelAge
+		if age == 0 || passed < age {
+			age = passed
+			level = demand.Level + rate*passed.Seconds()
+		}
+	}
+	return min(burst, level) - unacknowledged
+}
--- a/src/apportioner/apportioner_test.go
+++ b/src/apportioner/apportioner_test.go
@@ -18,15 +18,15 @@
 	window = Window{Length: 8 * time.Second, Overage: 0.1, Slack: 140_000}
 )
 
-// fleet is a few entries that poll one divider.
+// fleet is a number of entries that poll one divider.
 type fleet struct {
 	account *matcher.Account
 	divider *Divider
 	meters  []*Meter
-	ran     []run
+	ran     []admittedCall
 }
 
-type run struct {
+type admittedCall struct {
 	at   time.Time
 	size float64
 }
@@ -42,58 +42,60 @@
 	return f
 }
 
-// ask sends a poll, answer brings back what control made of it.
-func (f *fleet) ask(now time.Time, i int) {
-	f.divider.Hear(now, nameOf(i), 1, f.meters[i].Demand(now))
+// poll sends an entry's poll to the divider; respond delivers the response.
+func (f *fleet) poll(now time.Time, i int) {
+	f.divider.Hear(now, entryName(i), 1, f.meters[i].Demand(now))
 }
 
-func (f *fleet) answer(now time.Time, i int) {
-	if part, level, known := f.divider.Part(now, nameOf(i), f.account); known {
-		f.meters[i].SetPart(now, f.account, part, level)
+func (f *fleet) respond(now time.Time, i int) {
+	if share, level, known := f.divider.Part(now, entryName(i), f.account); known {
+		f.meters[i].SetPart(now, f.account, share, level)
 	}
 }
 
-// turn lets the entries poll in turn at step n; each answer takes three steps.
-func (f *fleet) turn(now time.Time, n int) {
+// pollInTurn lets the entries poll at different steps of a 20-step cycle; n is the
+// current step. A response takes three steps.
+func (f *fleet) pollInTurn(now time.Time, n int) {
 	for i := range f.meters {
 		switch (n + i*7) % 20 {
 		case 0:
-			f.ask(now, i)
+			f.poll(now, i)
 		case 3:
-			f.answer(now, i)
+			f.respond(now, i)
 		}
 	}
 }
 
-// clump makes calls at an entry that come to so many tokens on average.
-func (f *fleet) clump(now time.Time, random *rand.Rand, i int, tokens, mean float64) {
-	for expected := tokens / mean; random.Float64() < expected; expected-- {
-		f.call(now, i, mean*2*random.Float64())
+// sendBurst sends calls of random size to an entry that come to the given number of
+// tokens on average.
+func (f *fleet) sendBurst(now time.Time, random *rand.Rand, i int, tokens, meanSize float64) {
+	for expected := tokens / meanSize; random.Float64() < expected; expected-- {
+		f.call(now, i, meanSize*2*random.Float64())
 	}
 }
 
-func nameOf(i int) units.Instance { return units.Instance(fmt.Sprint(i)) }
+func entryName(i int) units.Instance { return units.Instance(fmt.Sprint(i)) }
 
 func (f *fleet) call(now time.Time, i int, size float64) bool {
 	_, admitted := f.meters[i].Admit(now, f.account, size)
 	if admitted {
-		f.ran = append(f.ran, run{at: now, size: size})
+		f.ran = append(f.ran, admittedCall{at: now, size: size})
 	}
 	return admitted
 }
 
-// most returns the most that ran in any window.
-func (f *fleet) most() float64 {
-	most, sum, first := 0.0, 0.0, 0
+// maximum returns the largest number of tokens that ran in any window.
+func (f *fleet) maximum() float64 {
+	maximum, sum, first := 0.0, 0.0, 0
 	for _, r := range f.ran {
 		sum += r.size
 		for r.at.Sub(f.ran[first].at) > window.Length {
 			sum -= f.ran[first].size
 			first++
 		}
-		most = max(most, sum)
+		maximum = max(maximum, sum)
 	}
-	return most
+	return maximum
 }
 
 func (f *fleet) allowed() float64 {
@@ -101,29 +103,30 @@
 }
 
 // One account sends several times its limit through a few entries, and the
-// entries change. Over all entries together no window may run more than the limit
-// allows, and most of the limit must be usable.
+// distribution over entries changes. Over all entries together no window may run
+// more than the limit allows, and most of the limit must be usable.
 func TestHotAccountIsHeldToItsLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(rapid.IntRange(2, 9).Draw(t, "entries"))
-		times := rapid.Float64Range(1.5, 8).Draw(t, "times")
+		loadFactor := rapid.Float64Range(1.5, 8).Draw(t, "times")
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		weights := make([]float64, len(f.meters))
 		for i := range weights {
 			weights[i] = random.Float64() * random.Float64()
 		}
 		const step = 10 * time.Millisecond
-		const mean = 3000.0
+		const meanSize = 3000.0
 		now := start
 		for n := range 3000 {
 			now = now.Add(step)
 			for i := range f.meters {
-				// The entries poll in turn, and each answer takes three steps.
+				// The entries poll at different steps, and each response takes
+				// three steps.
 				switch (n + i*7) % 20 {
 				case 0:
-					f.ask(now, i)
+					f.poll(now, i)
 				case 3:
-					f.answer(now, i)
+					f.respond(now, i)
 				}
 			}
 			if n == 1500 {
@@ -134,90 +137,91 @@
 				total += w
 			}
 			for i, w := range weights {
-				expected := times * f.account.Rate * step.Seconds() * w / total / mean
+				expected := loadFactor * f.account.Rate * step.Seconds() * w / total / meanSize
 				for random.Float64() < expected {
 					expected--
-					f.call(now, i, mean*2*random.Float64())
+					f.call(now, i, meanSize*2*random.Float64())
 				}
 			}
 		}
-		if got, want := f.most(), f.allowed(); got > want {
-			t.Fatalf("ran in one window: got %.0f tokens, want at most %.0f", got, want)
+		if got, want := f.maximum(), f.allowed(); got > want {
+			t.Fatalf("tokens run in one window: got %.0f, want at most %.0f", got, want)
 		}
 		ran := 0.0
 		for _, r := range f.ran {
 			ran += r.size
 		}
 		if got, want := ran, 0.85*f.account.Rate*30; got < want {
-			t.Fatalf("ran in all: got %.0f tokens, want at least %.0f", got, want)
+			t.Fatalf("ran in total: got %.0f tokens, want at least %.0f", got, want)
 		}
 	})
 }
 
-// Control is lost while one account sends several times its limit, and the next
-// leader knows nothing of what was admitted; entries are killed and start again
-// meanwhile. No window may run more than the limit allows.
+// The leader is lost while one account sends several times its limit, and the next
+// leader knows nothing of what was admitted; entries are killed and restarted in
+// the meantime. No window may run more than the limit allows.
 func TestLimitHoldsOverALostLeader(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(rapid.IntRange(3, 9).Draw(t, "entries"))
-		times := rapid.Float64Range(1.2, 8).Draw(t, "times")
-		lost := rapid.IntRange(200, 900).Draw(t, "lost at")
-		found := lost + rapid.IntRange(30, 400).Draw(t, "lost for")
+		loadFactor := rapid.Float64Range(1.2, 8).Draw(t, "times")
+		lostAt := rapid.IntRange(200, 900).Draw(t, "lost at")
+		recoveredAt := lostAt + rapid.IntRange(30, 400).Draw(t, "lost for")
 		restarts := rapid.IntRange(0, 2).Draw(t, "restarts")
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		const step = 10 * time.Millisecond
-		const mean = 3000.0
+		const meanSize = 3000.0
 		incarnations := make([]units.Incarnation, len(f.meters))
 		now := start
 		for n := range 2000 {
 			now = now.Add(step)
-			if n == found {
+			if n == recoveredAt {
 				f.divider = &Divider{Lease: 4 * time.Second, Since: now, Window: window}
 			}
-			if n == lost+20 {
+			if n == lostAt+20 {
 				for i := range restarts {
 					f.meters[i] = &Meter{Window: window}
 					incarnations[i]++
 				}
 			}
 			for i := range f.meters {
-				if n >= lost && n < found {
+				if n >= lostAt && n < recoveredAt {
 					continue
 				}
 				switch (n + i*7) % 20 {
 				case 0:
-					f.divider.Hear(now, nameOf(i), incarnations[i], f.meters[i].Demand(now))
+					f.divider.Hear(now, entryName(i), incarnations[i], f.meters[i].Demand(now))
 				case 3:
-					f.answer(now, i)
+					f.respond(now, i)
 				}
 			}
 			for i := range f.meters {
-				expected := times * f.account.Rate * step.Seconds() / float64(len(f.meters)) / mean
+				expected := loadFactor * f.account.Rate * step.Seconds() / float64(len(f.meters)) / meanSize
 				for random.Float64() < expected {
 					expected--
-					f.call(now, i, mean*2*random.Float64())
+					f.call(now, i, meanSize*2*random.Float64())
 				}
 			}
 		}
-		if got, want := f.most(), f.allowed(); got > want {
-			t.Fatalf("ran in one window: got %.0f tokens, want at most %.0f", got, want)
+		if got, want := f.maximum(), f.allowed(); got > want {
+			t.Fatalf("tokens run in one window: got %.0f, want at most %.0f", got, want)
 		}
 	})
 }
 
-// Two leaders are lost within some seconds, the second before the first has led
-// for long, while one account begins to send several times its limit, unevenly and
-// with small or large calls. What entries were lent they use without contact, each new leader
-// that takes the account to have room gives out more than there is, and entries go
-// on at their rate beside a debt; no window may run more than the limit allows.
+// Two leaders are lost within some seconds, the second shortly after it has taken
+// over from the first, while one account begins to send several times its limit,
+// unevenly and with small or large calls. Entries use their grants without contact,
+// each new leader that assumes the account to have room grants more than there is,
+// and entries go on admitting at their rate despite a debt. No window may run more
+// than the limit allows.
 func TestLimitHoldsOverTwoLostLeaders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(rapid.IntRange(3, 9).Draw(t, "entries"))
-		times := rapid.Float64Range(2, 8).Draw(t, "times")
-		first := rapid.IntRange(400, 700).Draw(t, "first lost at")
-		second := first + rapid.IntRange(100, 500).Draw(t, "second lost after")
-		gone := rapid.IntRange(30, 250).Draw(t, "lost for")
-		hot := first + rapid.IntRange(-150, 100).Draw(t, "hot from")
+		loadFactor := rapid.Float64Range(2, 8).Draw(t, "times")
+		firstLostAt := rapid.IntRange(400, 700).Draw(t, "first lost at")
+		secondLostAt := firstLostAt + rapid.IntRange(100, 500).Draw(t, "second lost after")
+		lostFor := rapid.IntRange(30, 250).Draw(t, "lost for")
+		hotFrom := firstLostAt + rapid.IntRange(-150, 100).Draw(t, "hot from")
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		weights := make([]float64, len(f.meters))
 		total := 0.0
@@ -226,53 +230,53 @@
 			total += weights[i]
 		}
 		const step = 10 * time.Millisecond
-		mean := rapid.SampledFrom([]float64{3000, 9000}).Draw(t, "mean size")
+		meanSize := rapid.SampledFrom([]float64{3000, 9000}).Draw(t, "mean size")
 		now := start
 		for n := range 2000 {
 			now = now.Add(step)
-			if n == first+gone || n == second+gone {
+			if n == firstLostAt+lostFor || n == secondLostAt+lostFor {
 				f.divider = &Divider{Lease: 4 * time.Second, Since: now, Window: window}
 			}
-			if (n < first || n >= first+gone) && (n < second || n >= second+gone) {
-				f.turn(now, n)
+			if (n < firstLostAt || n >= firstLostAt+lostFor) && (n < secondLostAt || n >= secondLostAt+lostFor) {
+				f.pollInTurn(now, n)
 			}
-			load := times
-			if n < hot {
+			load := loadFactor
+			if n < hotFrom {
 				load = 0.4
 			}
 			for i, w := range weights {
-				f.clump(now, random, i, load*f.account.Rate*step.Seconds()*w/total, mean)
+				f.sendBurst(now, random, i, load*f.account.Rate*step.Seconds()*w/total, meanSize)
 			}
 		}
-		if got, want := f.most(), f.allowed(); got > want {
-			t.Fatalf("ran in one window: got %.0f tokens, want at most %.0f", got, want)
+		if got, want := f.maximum(), f.allowed(); got > want {
+			t.Fatalf("tokens run in one window: got %.0f, want at most %.0f", got, want)
 		}
 	})
 }
 
-// An account well within its limit comes in clumps at one entry after the other.
-// Nothing of it may be refused for long.
-func TestClumpsWithinTheLimitRun(t *testing.T) {
+// An account well within its limit sends bursts to one entry after the other.
+// Almost none of its calls may be refused.
+func TestBurstsWithinTheLimitAreAdmitted(t *testing.T) {
 	f := newFleet(9)
 	random := rand.New(rand.NewPCG(7, 7))
 	now := start
 	asked, refused := 0, 0
 	// Entries poll for some seconds before the first call, as they do before the
-	// balancer sends any.
+	// load balancer sends them any.
 	for n := -400; n < 4000; n++ {
 		now = now.Add(10 * time.Millisecond)
 		for i := range f.meters {
 			switch (n + 400) % 20 {
 			case 0:
-				f.ask(now, i)
+				f.poll(now, i)
 			case 3:
-				f.answer(now, i)
+				f.respond(now, i)
 			}
 		}
 		if n < 0 {
 			continue
 		}
-		// Half of the limit on average, in clumps of three.
+		// Half of the limit on average, in bursts of three calls.
 		if random.Float64() < 0.11 {
 			i := random.IntN(len(f.meters))
 			for range 3 {
@@ -288,21 +292,22 @@
 	}
 }
 
-// An account has run into debt over all entries. Each of them, told so, waits until
-// its part of the debt is paid; otherwise all go on at the account's rate beside it.
+// An account has run into debt over all entries. Each entry that is notified of the
+// debt waits until its share of it is paid; otherwise all of them would go on
+// admitting at the account's rate despite the debt.
 func TestDebtIsPaidFirst(t *testing.T) {
 	m := &Meter{Window: window}
 	account := &matcher.Account{Name: "a", ByTokens: true, Rate: 200_000, Burst: 200_000}
 	m.SetPart(start, account, 0.5, -200_000)
 	if _, admitted := m.Admit(start.Add(500*time.Millisecond), account, 1000); admitted {
-		t.Error("call half a second after a second's debt: got admitted, want refused")
+		t.Error("call 0.5 s after a debt of 1 s: got admitted, want refused")
 	}
 	if _, admitted := m.Admit(start.Add(1200*time.Millisecond), account, 1000); !admitted {
 		t.Error("call once the debt is paid: got refused, want admitted")
 	}
 }
 
-// A call that is larger than an entry's whole part must run at some time.
+// A call that is larger than an entry's whole share must be admitted eventually.
 func TestLargeCallIsNotStarved(t *testing.T) {
 	m := &Meter{Window: window}
 	account := &matcher.Account{Name: "a", Rate: 1000, Burst: 1000}
@@ -310,74 +315,78 @@
 		t.Error("large call at a full bucket: got refused, want admitted")
 	}
 	if wait, admitted := m.Admit(start, account, 10); admitted || wait <= 0 {
-		t.Errorf("call behind it: got admitted %t after %v, want refused with a wait", admitted, wait)
+		t.Errorf("call after the large one: got admitted %t with a wait of %v, want refused with a wait", admitted, wait)
 	}
 }
 
-// An account is well within its limit, and its large calls come to entries that had
-// none of it lately and were lent little. They must run: refused, they come back
-// seconds late. No window may run more than the limit allows, whatever the sizes.
+// An account is well within its limit, and its large calls arrive at entries that
+// had no recent calls of it and were granted little. They must be admitted: once
+// refused, they are retried seconds later. No window may run more than the limit
+// allows, whatever the call sizes.
 func TestLargeCallsWithinTheLimitRunAnywhere(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(rapid.IntRange(2, 30).Draw(t, "entries"))
 		f.account.Rate = rapid.Float64Range(30_000, 400_000).Draw(t, "rate")
 		f.account.Burst = f.account.Rate
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 3))
-		large := 0.15 * f.meters[0].Window.burst(f.account)
+		meanSize := 0.15 * f.meters[0].Window.burst(f.account)
 		asked, refused := 0, 0
 		now := start
 		for n := -400; n < 3000; n++ {
 			now = now.Add(10 * time.Millisecond)
-			f.turn(now, n+400)
-			if n >= 0 && random.Float64() < 0.4*f.account.Rate*0.01/large {
+			f.pollInTurn(now, n+400)
+			if n >= 0 && random.Float64() < 0.4*f.account.Rate*0.01/meanSize {
 				asked++
-				if !f.call(now, random.IntN(len(f.meters)), large*(0.5+random.Float64())) {
+				if !f.call(now, random.IntN(len(f.meters)), meanSize*(0.5+random.Float64())) {
 					refused++
 				}
 			}
 		}
-		if got, most := refused, 2+asked/25; got > most {
-			t.Fatalf("refused: got %d of %d, want at most %d", got, asked, most)
+		if got, maximum := refused, 2+asked/25; got > maximum {
+			t.Fatalf("refused: got %d of %d, want at most %d", got, asked, maximum)
 		}
-		if got, want := f.most(), f.allowed(); got > want {
-			t.Fatalf("ran in one window: got %.0f tokens, want at most %.0f", got, want)
+		if got, want := f.maximum(), f.allowed(); got > want {
+			t.Fatalf("tokens run in one window: got %.0f, want at most %.0f", got, want)
 		}
 	})
 }
 
-// An account that was quiet turns hot at all entries at once, with calls of all sizes up
-// to what its bucket holds. Each entry sees room for all of them until the next answer.
+// An idle account turns hot at all entries at once, with calls of all sizes up to
+// its bucket's capacity. Each entry sees room for all of its calls until the next
+// response.
 func TestBorrowingHoldsTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(rapid.IntRange(2, 90).Draw(t, "entries"))
 		f.account.Rate = rapid.Float64Range(30_000, 1_000_000).Draw(t, "rate")
 		f.account.Burst = f.account.Rate
-		times := rapid.Float64Range(2, 6).Draw(t, "times")
-		mean := rapid.SampledFrom([]float64{2_000, 8_000, 20_000}).Draw(t, "mean")
+		loadFactor := rapid.Float64Range(2, 6).Draw(t, "times")
+		meanSize := rapid.SampledFrom([]float64{2_000, 8_000, 20_000}).Draw(t, "mean")
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 4))
 		now := start
 		for n := range 3000 {
-			// A turn of polls takes a tenth of a second, as in a fleet of this size.
+			// A cycle of polls takes a tenth of a second, as in a fleet of this
+			// size.
 			now = now.Add(5 * time.Millisecond)
-			f.turn(now, n)
+			f.pollInTurn(now, n)
 			load := 0.3
 			if n > 1200 {
-				load = times
+				load = loadFactor
 			}
-			for expected := load * f.account.Rate * 0.005 / mean; random.Float64() < expected; expected-- {
-				size := mean * math.Exp(1.2*random.NormFloat64()-0.72)
+			for expected := load * f.account.Rate * 0.005 / meanSize; random.Float64() < expected; expected-- {
+				size := meanSize * math.Exp(1.2*random.NormFloat64()-0.72)
 				f.call(now, random.IntN(len(f.meters)), min(size, window.burst(f.account)))
 			}
 		}
-		if got, want := f.most(), f.allowed(); got > want {
-			t.Fatalf("ran in one window: got %.0f tokens, want at most %.0f", got, want)
+		if got, want := f.maximum(), f.allowed(); got > want {
+			t.Fatalf("tokens run in one window: got %.0f, want at most %.0f", got, want)
 		}
 	})
 }
 
 // One account sends several times its limit in small and large calls through some
-// entries. Its level is near nothing all the time; by the room for the whole call the
-// small ones would take every refill and no large one would ever run.
+// entries, so that its level is near zero all the time. If a call needed room for
+// its whole size, the small calls would use up every refill and no large call would
+// ever be admitted.
 func TestLargeCallsRunBesideSmallOnes(t *testing.T) {
 	f := newFleet(8)
 	random := rand.New(rand.NewPCG(5, 5))
@@ -385,7 +394,7 @@
 	now := start
 	for n := -400; n < 2000; n++ {
 		now = now.Add(10 * time.Millisecond)
-		f.turn(now, n+400)
+		f.pollInTurn(now, n+400)
 		if n < 0 {
 			continue
 		}
@@ -401,29 +410,29 @@
 	smallest := float64(ran[2_000]) / float64(asked[2_000])
 	for size := range asked {
 		if got := float64(ran[size]) / float64(asked[size]); got < smallest/4 {
-			t.Errorf("calls of %.0f tokens that ran: got %.2f of them, want a quarter of the %.2f of small ones at least", size, got, smallest)
+			t.Errorf("fraction admitted of calls of %.0f tokens: got %.2f, want at least a quarter of the %.2f of small calls", size, got, smallest)
 		}
 	}
-	if got, want := f.most(), f.allowed(); got > want {
-		t.Errorf("ran in one window: got %.0f tokens, want at most %.0f", got, want)
+	if got, want := f.maximum(), f.allowed(); got > want {
+		t.Errorf("tokens run in one window: got %.0f, want at most %.0f", got, want)
 	}
 }
 
-func TestNewLeaderLeavesPartsAlone(t *testing.T) {
+func TestNewLeaderKeepsSharesUntilSettled(t *testing.T) {
 	d := &Divider{Lease: time.Second, Since: start, Window: window}
 	account := &matcher.Account{Name: "a", Rate: 1000, Burst: 1000}
 	d.Hear(start, "e1", 1, map[units.Account]Demand{"a": {Rate: 1}})
-	if _, _, known := d.Part(start.Add(settleAfter-time.Millisecond), "e1", account); known {
-		t.Error("part before all entries were heard: got one, want none")
+	if _, _, known := d.Part(start.Add(settleDelay-time.Millisecond), "e1", account); known {
+		t.Error("share before all entries have polled: got one, want none")
 	}
 	d.Hear(start.Add(2*time.Second), "e1", 1, map[units.Account]Demand{"a": {Rate: 1}})
 	if got, _, known := d.Part(start.Add(2*time.Second), "e1", account); !known || got != 1 {
-		t.Errorf("part: got %v %t, want 1", got, known)
+		t.Errorf("share: got %v, known %t, want 1", got, known)
 	}
 }
 
-// An entry that nobody hears goes on admitting its part. What it admits must be
-// charged to the account meanwhile, and only once when it is heard again.
+// A silent entry goes on admitting at its share. What it admits must be charged to
+// the account in the meantime, and charged only once when the entry polls again.
 func TestSilentEntryIsCharged(t *testing.T) {
 	account := &matcher.Account{Name: "a", Rate: 1_000_000, Burst: 1_000_000}
 	level := func(silent bool) float64 {
@@ -433,7 +442,8 @@
 		for range 50 {
 			now = now.Add(100 * time.Millisecond)
 			spent += 50_000
-			// The bucket begins well below full, where it would take no more.
+			// The bucket starts well below full, since a full one would take no
+			// refill.
 			d.Hear(now, "e1", 1, map[units.Account]Demand{"a": {Rate: 500_000, Spent: spent, Level: 80_000, LevelAge: 1}})
 			if !silent || now.Sub(start) < time.Second || now.Sub(start) > 4900*time.Millisecond {
 				d.Hear(now, "e2", 1, map[units.Account]Demand{"a": {Rate: 500_000, Spent: spent}})
@@ -445,26 +455,27 @@
 		return level
 	}
 	if got, want := level(true), level(false); got < want-1 || got > want+1 {
-		t.Errorf("level after an entry was silent: got %.0f, want %.0f as without", got, want)
+		t.Errorf("level after an entry was silent: got %.0f, want %.0f as without the silence", got, want)
 	}
 }
 
-// An account of a large fleet sends several times its limit through all of two hundred
-// entries, with calls of all sizes. Each entry's part is less than one call. What the
-// limit allows must run all the same: callers are refused for nothing else.
+// An account of a large fleet sends several times its limit through all of two
+// hundred entries, with calls of all sizes. Each entry's share is less than one
+// call. What the limit allows must still be usable: callers may be refused only for
+// exceeding the limit.
 func TestHotAccountUsesItsLimitInALargeFleet(t *testing.T) {
 	cases := map[string]struct {
-		entries int
-		rate    float64
-		times   float64
-		mean    float64
+		entries    int
+		rate       float64
+		loadFactor float64
+		meanSize   float64
 	}{
-		"eight entries":       {entries: 8, rate: 637_000, times: 3.4, mean: 4_000},
-		"sixty entries":       {entries: 60, rate: 637_000, times: 3.4, mean: 4_000},
-		"two hundred entries": {entries: 195, rate: 637_000, times: 3.4, mean: 4_000},
-		"a smaller account":   {entries: 195, rate: 145_000, times: 3.4, mean: 4_000},
-		"large calls":         {entries: 195, rate: 637_000, times: 3.4, mean: 12_000},
-		"just above":          {entries: 195, rate: 637_000, times: 1.2, mean: 4_000},
+		"eight entries":       {entries: 8, rate: 637_000, loadFactor: 3.4, meanSize: 4_000},
+		"sixty entries":       {entries: 60, rate: 637_000, loadFactor: 3.4, meanSize: 4_000},
+		"two hundred entries": {entries: 195, rate: 637_000, loadFactor: 3.4, meanSize: 4_000},
+		"a smaller account":   {entries: 195, rate: 145_000, loadFactor: 3.4, meanSize: 4_000},
+		"large calls":         {entries: 195, rate: 637_000, loadFactor: 3.4, meanSize: 12_000},
+		"just above":          {entries: 195, rate: 637_000, loadFactor: 1.2, meanSize: 4_000},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -476,23 +487,23 @@
 			ran := 0.0
 			for n := range 4000 {
 				now = now.Add(step)
-				f.turn(now, n)
+				f.pollInTurn(now, n)
 				load := 0.5
 				if n > 1000 {
-					load = c.times
+					load = c.loadFactor
 				}
-				for expected := load * f.account.Rate * step.Seconds() / c.mean; random.Float64() < expected; expected-- {
-					size := min(c.mean*math.Exp(1.2*random.NormFloat64()-0.72), 55_000)
+				for expected := load * f.account.Rate * step.Seconds() / c.meanSize; random.Float64() < expected; expected-- {
+					size := min(c.meanSize*math.Exp(1.2*random.NormFloat64()-0.72), 55_000)
 					if f.call(now, random.IntN(c.entries), size) && n > 2000 {
 						ran += size
 					}
 				}
 			}
-			if got, want := f.most(), f.allowed(); got > want {
-				t.Errorf("ran in one window: got %.0f tokens, want at most %.0f", got, want)
+			if got, want := f.maximum(), f.allowed(); got > want {
+				t.Errorf("tokens run in one window: got %.0f, want at most %.0f", got, want)
 			}
 			used := ran / f.account.Rate / 20
-			t.Logf("%.2f of the rate ran, the fullest window had %.2f of what it may", used, f.most()/f.allowed())
+			t.Logf("used %.2f of the account's rate; the fullest window had %.2f of its allowance", used, f.maximum()/f.allowed())
 			if want := 0.9; used < want {
 				t.Errorf("ran over 20 s: got %.2f of the account's rate, want at least %.2f", used, want)
 			}
--- a/src/apportioner/bucket.go
+++ b/src/apportioner/bucket.go
@@ -8,182 +8,195 @@
 )
 
 const (
-	// demandTime is how fast the measure of demand follows; callers come in
-	// clumps of some tenths of a second.
-	demandTime = 1500 * time.Millisecond
-	// firstPart is an entry's part until control has told it one.
-	firstPart = 0.05
-	// saveTime is how long an entry without contact saves up its part of the rate.
-	saveTime = 300 * time.Millisecond
-	// contactFor is how long after an answer an entry uses more than its own part of
-	// what the account's bucket held: two polls and what they take.
-	contactFor = 600 * time.Millisecond
-	// borrowFor is how long after an answer an entry knows what all together may admit:
-	// some polls. borrowTimes is how many calls of a size there must be room for where
-	// one is to run on that, borrowFull the part of the whole that is always enough.
-	borrowFor   = 400 * time.Millisecond
-	borrowTimes = 2.0
-	borrowFull  = 0.8
-	// wideShare is the part of its burst that an account has left while it is well
-	// within its limit, leastWait two polls.
-	wideShare = 0.3
-	leastWait = 100 * time.Millisecond
-	// debtUse is the part of a window that a debt may be, less than half of what the
-	// bucket leaves of it; wholeBurst is the part of the bucket that counts as full.
-	debtUse    = 0.05
-	wholeBurst = 0.98
+	// demandTimeConstant is the time constant of the exponentially decaying demand
+	// estimate; calls come in bursts of some tenths of a second.
+	demandTimeConstant = 1500 * time.Millisecond
+	// initialShare is an entry's share until control has granted it one.
+	initialShare = 0.05
+	// maxAccrualTime is for how long an entry without contact accrues its share of
+	// the rate.
+	maxAccrualTime = 300 * time.Millisecond
+	// contactTimeout is for how long after a response an entry may use more than
+	// its own share of the account's bucket level: two poll intervals and their
+	// round trips.
+	contactTimeout = 600 * time.Millisecond
+	// borrowTTL is for how long after a response an entry may rely on its estimate
+	// of what all entries together may admit: several polls. borrowCallMultiple is
+	// how many calls of the same size that estimate must have room for before an
+	// entry borrows, and borrowSufficientFraction the fraction of the burst that is
+	// always enough.
+	borrowTTL                = 400 * time.Millisecond
+	borrowCallMultiple       = 2.0
+	borrowSufficientFraction = 0.8
+	// headroomFraction is the fraction of its burst that an account has left while
+	// it counts as well within its limit. minWait, the shortest retry delay for
+	// such an account, is two polls.
+	headroomFraction = 0.3
+	minWait          = 100 * time.Millisecond
+	// maxDebtFraction is the largest debt as a fraction of a window's allowance,
+	// less than half of what the bucket leaves of it. fullFraction is the fraction
+	// of its burst at which the bucket counts as full.
+	maxDebtFraction = 0.05
+	fullFraction    = 0.98
 )
 
-// bucket is what this entry was lent of one account's limit.
-type bucket struct {
-	part float64
-	rate float64
-	// most is what the level may grow to without contact, full what it is while
-	// the account uses nothing.
-	most  float64
-	full  float64
-	level float64
-	at    time.Time
-	// spent is what was admitted since the start, told what of it was said in the
-	// last poll.
-	spent float64
-	told  float64
-	// heard is what of it a leader has answered, which said that the bucket of
-	// all entries held poolLevel at poolAt.
-	heard     float64
-	poolLevel float64
-	poolAt    time.Time
-	// demand is what callers ask for, in tokens a second, calls how many calls that is.
-	demand  float64
-	calls   float64
-	askedAt time.Time
-	// burst, poolRate and debt are the whole account's: what its bucket holds, how fast
-	// it fills, and how far below nothing it may go.
-	burst    float64
-	poolRate float64
-	debt     float64
-	// borrowed says that a call has run on more than was lent since the last answer.
+// localBucket is the part of one account's limit that this entry may use.
+type localBucket struct {
+	share float64
+	rate  float64
+	// maxLevel bounds the level while there is no contact; capacity is the level
+	// while the account uses nothing.
+	maxLevel   float64
+	capacity   float64
+	level      float64
+	refilledAt time.Time
+	// spent is the number of tokens admitted since the start, reportedSpent its
+	// value in the last poll.
+	spent         float64
+	reportedSpent float64
+	// acknowledgedSpent is the value of spent that a leader has acknowledged; that
+	// response gave the level of the account's bucket for all entries as
+	// globalLevel at globalLevelAt.
+	acknowledgedSpent float64
+	globalLevel       float64
+	globalLevelAt     time.Time
+	// demand is the rate that callers ask for in tokens per second, callRate the
+	// same in calls per second.
+	demand          float64
+	callRate        float64
+	demandUpdatedAt time.Time
+	// burst, globalRate and maxDebt apply to the whole account: its bucket's
+	// capacity, its fill rate, and how far below zero its level may go.
+	burst      float64
+	globalRate float64
+	maxDebt    float64
+	// borrowed reports whether a call has been admitted beyond the grant since the
+	// last response.
 	borrowed bool
 }
 
-func (b *bucket) charge(size float64) {
+func (b *localBucket) charge(size float64) {
 	b.level -= size
 	b.spent += size
 }
 
-// affords reports whether a call that runs into debt leaves what all entries admit
-// within the window: a debt is in no other entry's count before the next answers, and
-// one large call of a small account is more than what covers such moments. A call that
-// is larger than all that there can be runs alone, when everything is there.
-func (b *bucket) affords(now time.Time, size float64) bool {
-	if size <= b.level || b.poolAt.IsZero() || now.Sub(b.poolAt) > contactFor {
+// canAfford reports whether a call that goes into debt keeps what all entries admit
+// within the window. No other entry knows of a debt before the next responses, and
+// one large call of a small account exceeds the reserve for that time. A call
+// larger than the bucket's capacity is admitted alone, when the bucket is full.
+func (b *localBucket) canAfford(now time.Time, size float64) bool {
+	if size <= b.level || b.globalLevelAt.IsZero() || now.Sub(b.globalLevelAt) > contactTimeout {
 		return true
 	}
-	return b.pool(now) >= min(size-b.debt, wholeBurst*b.burst)
+	return b.estimatedLevel(now) >= min(size-b.maxDebt, fullFraction*b.burst)
 }
 
-// borrows reports whether a call may run on what all entries together may still
-// admit, though this entry was lent less.
+// canBorrow reports whether a call may use what all entries together may still
+// admit, though this entry's own grant does not cover it.
 //
-// An entry that had no call of an account lately is lent a small part of it, and a large
-// call is more. Refused there, the largest calls of accounts that are well within their
-// limits come back seconds later, or not at all. Several entries may
-// borrow at once: each does so once between two answers, and only where there is
-// room for two such calls, or nearly all that there can be.
-func (b *bucket) borrows(now time.Time, size float64) bool {
-	if b.borrowed || b.poolAt.IsZero() || now.Sub(b.poolAt) > borrowFor {
+// An entry that had no recent calls of an account is granted a small share of it,
+// and a large call needs more. If such calls were refused, the largest calls of
+// accounts well within their limits would be retried seconds later or never run.
+// Several entries may borrow at the same time: each may do so once between two
+// responses, and only where there is room for borrowCallMultiple such calls or
+// nearly all of the burst is left.
+func (b *localBucket) canBorrow(now time.Time, size float64) bool {
+	if b.borrowed || b.globalLevelAt.IsZero() || now.Sub(b.globalLevelAt) > borrowTTL {
 		return false
 	}
-	return b.pool(now) >= b.ample(size)
+	return b.estimatedLevel(now) >= b.borrowThreshold(size)
 }
 
-// ample returns what all entries together must have room for where a call is to run
-// on that: for several such calls, and for an account well within its limit.
-func (b *bucket) ample(size float64) float64 {
-	return min(max(borrowTimes*size, wideShare*b.burst), borrowFull*b.burst)
+// borrowThreshold returns the level that the account's bucket must have for an
+// entry to borrow for a call of size: room for several such calls, and an account
+// well within its limit.
+func (b *localBucket) borrowThreshold(size float64) float64 {
+	return min(max(borrowCallMultiple*size, headroomFraction*b.burst), borrowSufficientFraction*b.burst)
 }
 
-// pool returns what all entries may admit now, as far as this one knows.
-func (b *bucket) pool(now time.Time) float64 {
-	filled := b.poolLevel + b.poolRate*now.Sub(b.poolAt).Seconds()
-	return min(b.burst, filled) - (b.spent - b.heard)
+// estimatedLevel returns what all entries together may admit now, as far as this
+// entry knows.
+func (b *localBucket) estimatedLevel(now time.Time) float64 {
+	refilled := b.globalLevel + b.globalRate*now.Sub(b.globalLevelAt).Seconds()
+	return min(b.burst, refilled) - (b.spent - b.acknowledgedSpent)
 }
 
-// wait returns when a call that was refused may find room. While the account is well
-// within its limit, that is when all entries together have it; the caller's next entry
-// may be another. At its limit, others wait for the same, and this entry's own part
-// says when its turn comes.
-func (b *bucket) wait(now time.Time, want, size float64) time.Duration {
-	own := seconds((want - b.level) / b.rate)
-	if b.poolAt.IsZero() || now.Sub(b.poolAt) > contactFor {
+// retryAfter returns how long until a refused call may be admitted. While the
+// account is well within its limit, that is when all entries together have room for
+// it, since the caller may retry at another entry. At its limit, other calls wait
+// for the same tokens, and this entry's own share determines when the call's turn
+// comes.
+func (b *localBucket) retryAfter(now time.Time, required, size float64) time.Duration {
+	own := seconds((required - b.level) / b.rate)
+	if b.globalLevelAt.IsZero() || now.Sub(b.globalLevelAt) > contactTimeout {
 		return own
 	}
-	pool := b.pool(now)
-	if pool < wideShare*b.burst {
+	estimatedLevel := b.estimatedLevel(now)
+	if estimatedLevel < headroomFraction*b.burst {
 		return own
 	}
-	return min(own, max(leastWait, seconds((b.ample(size)-pool)/b.poolRate)))
+	return min(own, max(minWait, seconds((b.borrowThreshold(size)-estimatedLevel)/b.globalRate)))
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// room returns what the level must be for a call of size.
+// requiredLevel returns the level that a call of size requires.
 //
-// A call larger than the whole bucket would never be admitted; it may run into debt
-// from a full one. Without contact a debt would be known to nobody else, and each
-// entry would run into one of its own.
-func (b *bucket) room(now time.Time, size float64) float64 {
-	most := b.full
-	if !b.poolAt.IsZero() && now.Sub(b.poolAt) <= contactFor {
-		most = min(most, b.demand/b.calls)
+// A call larger than the whole bucket could never be admitted, so it may run into
+// debt from a full bucket. Without contact no other entry would know of a debt, and
+// each entry could run into one of its own.
+func (b *localBucket) requiredLevel(now time.Time, size float64) float64 {
+	maxRequired := b.capacity
+	if !b.globalLevelAt.IsZero() && now.Sub(b.globalLevelAt) <= contactTimeout {
+		maxRequired = min(maxRequired, b.demand/b.callRate)
 	}
-	return min(size, most)
+	return min(size, maxRequired)
 }
 
-func (b *bucket) size(account *matcher.Account, w Window) {
+func (b *localBucket) setLimits(account *matcher.Account, w Window) {
 	b.burst = w.burst(account)
-	b.debt = debtUse * w.allowed(account)
-	b.poolRate = w.rate(account)
-	b.rate = b.poolRate * b.part
-	b.full = lent(b.burst, b.burst, b.part)
+	b.maxDebt = maxDebtFraction * w.allowed(account)
+	b.globalRate = w.rate(account)
+	b.rate = b.globalRate * b.share
+	b.capacity = entryAllowance(b.burst, b.burst, b.share)
 }
 
-func (b *bucket) refill(now time.Time) {
-	if passed := now.Sub(b.at).Seconds(); passed > 0 {
-		b.level = max(b.level, min(b.most, b.level+passed*b.rate))
-		b.at = now
+func (b *localBucket) refill(now time.Time) {
+	if passed := now.Sub(b.refilledAt).Seconds(); passed > 0 {
+		b.level = max(b.level, min(b.maxLevel, b.level+passed*b.rate))
+		b.refilledAt = now
 	}
-	b.level = min(b.level, b.own(now))
+	b.level = min(b.level, b.offlineAllowance(now))
 }
 
-// own returns what the entry may admit of its own part alone, without bound while
-// answers come.
+// offlineAllowance returns what the entry may admit from its own share alone; it is
+// unbounded while responses arrive.
 //
-// The bucket is lent out several times over, which the next answers mend. An
-// account that turns hot while there are none would use all of that.
-func (b *bucket) own(now time.Time) float64 {
-	age := now.Sub(b.poolAt)
-	if b.poolAt.IsZero() || age <= contactFor {
+// The bucket is overcommitted, and each response corrects that. Without responses,
+// an account that turns hot would use all of the overcommitted amount.
+func (b *localBucket) offlineAllowance(now time.Time) float64 {
+	age := now.Sub(b.globalLevelAt)
+	if b.globalLevelAt.IsZero() || age <= contactTimeout {
 		return math.Inf(1)
 	}
-	return b.poolLevel*b.part + b.rate*age.Seconds() - (b.spent - b.heard)
+	return b.globalLevel*b.share + b.rate*age.Seconds() - (b.spent - b.acknowledgedSpent)
 }
 
-// ask notes a call of size in the measure of demand.
-func (b *bucket) ask(now time.Time, size float64) {
-	b.fade(now)
-	b.demand += size / demandTime.Seconds()
-	b.calls += 1 / demandTime.Seconds()
+// recordDemand adds a call of size to the demand estimate.
+func (b *localBucket) recordDemand(now time.Time, size float64) {
+	b.decayDemand(now)
+	b.demand += size / demandTimeConstant.Seconds()
+	b.callRate += 1 / demandTimeConstant.Seconds()
 }
 
-// fade lets the measure of demand forget.
-func (b *bucket) fade(now time.Time) {
-	passed := now.Sub(b.askedAt)
+// decayDemand decays the demand estimate by the time since its last update.
+func (b *localBucket) decayDemand(now time.Time) {
+	passed := now.Sub(b.demandUpdatedAt)
 	if passed <= 0 {
 		return
 	}
-	b.askedAt = now
-	left := math.Exp(-passed.Seconds() / demandTime.Seconds())
-	b.demand *= left
-	b.calls *= left
+	b.demandUpdatedAt = now
+	retained := math.Exp(-passed.Seconds() / demandTimeConstant.Seconds())
+	b.demand *= retained
+	b.callRate *= retained
 }
--- a/src/apportioner/doc.go
+++ b/src/apportioner/doc.go
@@ -1,13 +1,13 @@
-// Package apportioner holds client accounts to their limits over all entries together.
+// Package apportioner enforces the limits of client accounts across all entries.
 //
-// The load it answers: one account sends several times its limit through a few
-// entries while the others see little of it; another, well within its limit,
-// sends clumps of large calls to one entry at a time. Control keeps one token
-// bucket for each account, charged with what entries say in their polls that they
-// have admitted. With each poll it lends an entry a part of what the bucket
-// holds, after the entry's share of what was asked for lately, so that a clump
-// may use most of the account's burst at a single entry. It lends more than there
-// is: what entries may admit beyond the bucket before their next poll is bounded
-// by how much an account asks for in that time, and the limit as it is judged
-// leaves room for it.
+// It is designed for two loads: an account that sends several times its limit
+// through a few entries while the others see little of it, and an account well
+// within its limit that sends bursts of large calls to one entry at a time. Control
+// keeps one token bucket for each account and charges it with the admitted tokens
+// that entries report in their polls. In response to each poll it grants the entry
+// a share of the bucket's level, in proportion to the entry's share of recent
+// demand, so that a burst can use most of the account's burst allowance at a single
+// entry. The grants overcommit the bucket: what entries may admit beyond its level
+// before their next poll is bounded by the account's demand in that time, and the
+// window by which the limit is judged leaves room for it.
 package apportioner
--- a/src/apportioner/meter.go
+++ b/src/apportioner/meter.go
@@ -8,45 +8,45 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// Meter charges calls to what this entry was lent; it may be used from several
-// goroutines.
+// Meter charges calls to the shares granted to this entry; it is safe for
+// concurrent use.
 type Meter struct {
 	Window Window
 
 	mu      sync.Mutex
-	buckets map[units.Account]*bucket
+	buckets map[units.Account]*localBucket
 }
 
-// Admit charges a call of size to its account; where it is beyond the limit it
-// charges nothing and returns the time until it would not be.
+// Admit charges a call of size to its account. If the call exceeds the limit, it
+// charges nothing and returns the time until it may be admitted.
 //
-// An account at its limit has a level near nothing all the time. By the room for the
-// whole call alone its small calls would use up every moment's refill, and its large
-// ones would all be refused. So a call needs room for one of the usual size at most, and
-// the rest of a larger one is a debt that the next ones pay.
-func (m *Meter) Admit(now time.Time, account *matcher.Account, size float64) (wait time.Duration, admitted bool) {
+// The level of an account at its limit is near zero all the time. If a call needed
+// room for its whole size, small calls would use up every refill and all large
+// calls would be refused. A call therefore needs room for at most the usual call
+// size; the rest of a larger call is a debt that later calls pay.
+func (m *Meter) Admit(now time.Time, account *matcher.Account, size float64) (retryAfter time.Duration, admitted bool) {
 	if account.Rate <= 0 {
 		return 0, true
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	b := m.bucket(now, account)
-	b.ask(now, size)
+	b := m.localBucket(now, account)
+	b.recordDemand(now, size)
 	b.refill(now)
-	want := b.room(now, size)
-	if b.level >= want && b.affords(now, size) {
+	required := b.requiredLevel(now, size)
+	if b.level >= required && b.canAfford(now, size) {
 		b.charge(size)
 		return 0, true
 	}
-	if b.borrows(now, size) {
+	if b.canBorrow(now, size) {
 		b.borrowed = true
 		b.charge(size)
 		return 0, true
 	}
-	return b.wait(now, want, size), false
+	return b.retryAfter(now, required, size), false
 }
 
-// Refund gives back what a call was charged that did not run.
+// Refund returns the charge of a call that did not run.
 func (m *Meter) Refund(account units.Account, size float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -56,65 +56,65 @@
 	}
 }
 
-// SetPart takes over what this entry is lent, by an answer to the last poll.
-func (m *Meter) SetPart(now time.Time, account *matcher.Account, part, level float64) {
+// SetPart applies the share that the response to the last poll grants this entry.
+func (m *Meter) SetPart(now time.Time, account *matcher.Account, share, level float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	b := m.bucket(now, account)
-	b.part = part
-	b.size(account, m.Window)
-	// What was admitted since the poll left is not in the level.
-	b.level = lent(level, m.Window.burst(account), part) - (b.spent - b.told)
-	b.most = max(b.level, 0) + b.rate*saveTime.Seconds()
-	b.at = now
-	b.heard = b.told
-	b.poolLevel = level
-	b.poolAt = now
+	b := m.localBucket(now, account)
+	b.share = share
+	b.setLimits(account, m.Window)
+	// The level does not include what was admitted after the poll was sent.
+	b.level = entryAllowance(level, m.Window.burst(account), share) - (b.spent - b.reportedSpent)
+	b.maxLevel = max(b.level, 0) + b.rate*maxAccrualTime.Seconds()
+	b.refilledAt = now
+	b.acknowledgedSpent = b.reportedSpent
+	b.globalLevel = level
+	b.globalLevelAt = now
 	b.borrowed = false
 }
 
-// Demand returns what callers asked for and what was admitted, for a poll.
+// Demand returns the demand and the admitted tokens of each account for a poll.
 func (m *Meter) Demand(now time.Time) map[units.Account]Demand {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	demand := make(map[units.Account]Demand, len(m.buckets))
 	for name, b := range m.buckets {
-		b.fade(now)
-		b.told = b.spent
+		b.decayDemand(now)
+		b.reportedSpent = b.spent
 		d := Demand{
 			Rate:    b.demand,
 			Spent:   b.spent,
-			Unheard: b.spent - b.heard,
-			Level:   b.poolLevel,
+			Unheard: b.spent - b.acknowledgedSpent,
+			Level:   b.globalLevel,
 		}
-		if !b.poolAt.IsZero() {
-			d.LevelAge = max(1, now.Sub(b.poolAt))
+		if !b.globalLevelAt.IsZero() {
+			d.LevelAge = max(1, now.Sub(b.globalLevelAt))
 		}
 		demand[name] = d
 	}
 	return demand
 }
 
-func (m *Meter) bucket(now time.Time, account *matcher.Account) *bucket {
+func (m *Meter) localBucket(now time.Time, account *matcher.Account) *localBucket {
 	if m.buckets == nil {
-		m.buckets = make(map[units.Account]*bucket)
+		m.buckets = make(map[units.Account]*localBucket)
 	}
 	b := m.buckets[account.Name]
 	if b == nil {
-		b = &bucket{
-			part:    firstPart,
-			at:      now,
-			askedAt: now,
+		b = &localBucket{
+			share:           initialShare,
+			refilledAt:      now,
+			demandUpdatedAt: now,
 		}
-		b.size(account, m.Window)
-		b.level = b.full
-		b.most = b.full
+		b.setLimits(account, m.Window)
+		b.level = b.capacity
+		b.maxLevel = b.capacity
 		m.buckets[account.Name] = b
 	}
 	return b
 }
 
-// Resize takes over changed limits; nothing beyond the new ones is kept.
+// Resize applies changed limits; tokens beyond the new limits are dropped.
 func (m *Meter) Resize(now time.Time, table *matcher.Table) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -124,8 +124,8 @@
 			continue
 		}
 		b.refill(now)
-		b.size(account, m.Window)
-		b.most = min(b.most, b.full)
-		b.level = min(b.level, b.full)
+		b.setLimits(account, m.Window)
+		b.maxLevel = min(b.maxLevel, b.capacity)
+		b.level = min(b.level, b.capacity)
 	}
 }
