--- a/src/limiter/budget.go
+++ b/src/limiter/budget.go
@@ -9,17 +9,18 @@
 const (
 	// retryRatio is how many retries one answered call earns.
 	retryRatio = 0.2
-	// mostRetries is how many a service may save up; a budget starts with as many.
-	mostRetries = 100
+	// maxSavedRetries is the largest number of retries that a service may save up;
+	// a budget starts with as many.
+	maxSavedRetries = 100
 )
 
-// Budget bounds each service's retries by a share of its successes.
+// Budget bounds each service's retries to a fraction of its answered calls.
 type Budget struct {
 	mu    sync.Mutex
 	spent map[units.Service]float64
 }
 
-// Earn notes a call that was answered.
+// Earn records a call that was answered.
 func (b *Budget) Earn(service units.Service) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -32,7 +33,7 @@
 func (b *Budget) Spend(service units.Service) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.spent[service]+1 > mostRetries {
+	if b.spent[service]+1 > maxSavedRetries {
 		return false
 	}
 	if b.spent == nil {
@@ -42,8 +43,8 @@
 	return true
 }
 
-// Resume counts a stream that goes on at another upstream. It always may: its caller
-// has half an answer, and its work is not new.
+// Resume counts a stream that is resumed at another upstream. It is always allowed:
+// the caller already has half an answer, and the stream is not new work.
 func (b *Budget) Resume(service units.Service) bool {
 	_ = b.Spend(service)
 	return true
--- a/src/limiter/budget_test.go
+++ b/src/limiter/budget_test.go
@@ -6,9 +6,9 @@
 	"pgregory.net/rapid"
 )
 
-// Upstreams refuse or die while calls come. However failures and successes
-// alternate, attempts beyond the first stay within the saved ones and a fifth
-// of the successes; else a fault would multiply the load that caused it.
+// Upstreams refuse or fail while calls arrive. However failures and successes
+// alternate, attempts beyond the first must stay within the saved retries plus a
+// fifth of the successes; otherwise a fault would multiply the load that caused it.
 func TestRetriesStayWithinTheirBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := &Budget{}
@@ -22,7 +22,7 @@
 			if b.Spend("s") {
 				spent++
 			}
-			if want := mostRetries + float64(earned)*retryRatio; float64(spent) > want+epsilon {
+			if want := maxSavedRetries + float64(earned)*retryRatio; float64(spent) > want+epsilon {
 				t.Fatalf("retries: got %d after %d successes, want at most %f", spent, earned, want)
 			}
 		}
--- a/src/limiter/limiter.go
+++ b/src/limiter/limiter.go
@@ -21,14 +21,15 @@
 	minRetry = time.Second
 	maxRetry = 30 * time.Second
 	epsilon  = 1e-9
-	// waitPart is the part of the first token's target that a call may wait for a slot.
-	waitPart = 25
-	// dueWaits is how many times as long the call of an account may wait that has
-	// had less than its weight is due.
-	dueWaits = 6
+	// queueWaitDivisor divides a service's target for the first token; the result
+	// is how long a call may wait for a slot.
+	queueWaitDivisor = 25
+	// maxUnderservedWaits is how many times as long a call may wait whose account
+	// has received less than its weight entitles it to.
+	maxUnderservedWaits = 6
 )
 
-// Shares tells what this entry may use of a limit now.
+// Shares provides the shares of a limit that this entry may use now.
 type Shares interface {
 	Shares(limit string) []Share
 }
@@ -42,173 +43,174 @@
 	Entries func() int
 	Scope   tally.Scope
 
-	mu       sync.Mutex
-	buckets  map[string]*bucket
-	queues   map[units.Service]*queue
-	built    *indexer.Snapshot
-	queueing map[units.Service]tally.Histogram
-	// primed says that the buckets have had their first shares.
-	primed bool
+	mu              sync.Mutex
+	buckets         map[string]*bucket
+	queues          map[units.Service]*callQueue
+	appliedSnapshot *indexer.Snapshot
+	queueingTimes   map[units.Service]tally.Histogram
+	// sharesApplied reports whether the buckets have had their first shares.
+	sharesApplied bool
 }
 
-// Admit admits a call within its limits, waits for its turn where its service
-// is full, or refuses it; release must be called once at its end.
+// Admit admits a call within its limits, queues it where its service is at
+// capacity, or refuses it. The caller must call release once when the call ends.
 func (l *Limiter) Admit(ctx context.Context, call *dispatcher.Call) (release func(), err error) {
-	began := time.Now()
+	arrivedAt := time.Now()
 	l.mu.Lock()
-	l.follow(began)
-	taken, refusal := l.takeLimits(began, call)
+	l.applySnapshot(arrivedAt)
+	charged, refusal := l.chargeLimits(arrivedAt, call)
 	if refusal != nil {
 		l.mu.Unlock()
 		return nil, refusal
 	}
-	line := l.queues[call.Service]
-	if line == nil {
-		line = &queue{}
-		l.queues[call.Service] = line
+	serviceQueue := l.queues[call.Service]
+	if serviceQueue == nil {
+		serviceQueue = &callQueue{}
+		l.queues[call.Service] = serviceQueue
 	}
-	next := newItem(call)
-	verdict, victim := line.arrive(next)
-	wait := line.wait()
+	queued := newQueuedCall(call)
+	verdict, victim := serviceQueue.enqueue(queued)
+	estimatedWait := serviceQueue.estimatedWait()
 	if victim != nil {
-		close(victim.dropped)
+		close(victim.evicted)
 	}
 	queueing := l.histogram(call.Service)
 	l.mu.Unlock()
-	if verdict == refused || (verdict == waits && !l.await(ctx, line, next)) {
-		l.refund(taken, cost(call))
-		return nil, overloaded(call, wait)
+	if verdict == verdictRefused || (verdict == verdictWaits && !l.awaitSlot(ctx, serviceQueue, queued)) {
+		l.refund(charged, cost(call))
+		return nil, overloaded(call, estimatedWait)
 	}
-	served := time.Now()
-	queueing.RecordDuration(served.Sub(began))
-	return func() { l.release(line, taken, served) }, nil
+	grantedAt := time.Now()
+	queueing.RecordDuration(grantedAt.Sub(arrivedAt))
+	return func() { l.release(serviceQueue, charged, grantedAt) }, nil
 }
 
-func newItem(call *dispatcher.Call) *item {
-	return &item{
+func newQueuedCall(call *dispatcher.Call) *queuedCall {
+	return &queuedCall{
 		account:  call.Account.Name,
 		weight:   max(call.Account.Weight, epsilon),
 		priority: call.Account.Priority,
 		cost:     cost(call),
-		turn:     make(chan struct{}),
-		dropped:  make(chan struct{}),
+		granted:  make(chan struct{}),
+		evicted:  make(chan struct{}),
 	}
 }
 
-// cost is a call's work in tokens; a plain call counts as one.
+// cost returns a call's work in tokens; a plain call counts as one token.
 func cost(call *dispatcher.Call) float64 {
 	return max(1, float64(call.Prompt+call.MaxOutput))
 }
 
-// await waits for the call's turn and reports whether it came.
-func (l *Limiter) await(ctx context.Context, line *queue, next *item) bool {
-	limit := time.NewTimer(line.target)
-	defer limit.Stop()
+// awaitSlot waits until the call has a slot and reports whether it got one.
+func (l *Limiter) awaitSlot(ctx context.Context, serviceQueue *callQueue, queued *queuedCall) bool {
+	timer := time.NewTimer(serviceQueue.maxWait)
+	defer timer.Stop()
 	for waits := 1; ; waits++ {
 		select {
-		case <-next.turn:
+		case <-queued.granted:
 			return true
-		case <-next.dropped:
+		case <-queued.evicted:
 			return false
-		case <-limit.C:
+		case <-timer.C:
 		case <-ctx.Done():
 		}
-		if waits < dueWaits && ctx.Err() == nil && l.due(line, next) {
-			limit.Reset(line.target)
+		if waits < maxUnderservedWaits && ctx.Err() == nil && l.isUnderserved(serviceQueue, queued) {
+			timer.Reset(serviceQueue.maxWait)
 			continue
 		}
-		return l.giveUp(line, next)
+		return l.abandon(serviceQueue, queued)
 	}
 }
 
-// due reports whether the call's account has had less than its weight is due, so
-// that the next slots are its own.
-func (l *Limiter) due(line *queue, next *item) bool {
+// isUnderserved reports whether the call's account has received less than its
+// weight entitles it to, so that it is next in order.
+func (l *Limiter) isUnderserved(serviceQueue *callQueue, queued *queuedCall) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return line.finish[next.account] <= line.virtual
+	return serviceQueue.finishTimes[queued.account] <= serviceQueue.virtualTime
 }
 
-// giveUp takes a call out of the queue; it reports whether its turn came just before.
-func (l *Limiter) giveUp(line *queue, next *item) bool {
+// abandon removes a call from the queue; it reports whether the call was granted a
+// slot just before.
+func (l *Limiter) abandon(serviceQueue *callQueue, queued *queuedCall) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if line.remove(next) {
+	if serviceQueue.remove(queued) {
 		return false
 	}
 	select {
-	case <-next.turn:
+	case <-queued.granted:
 		return true
 	default:
 		return false
 	}
 }
 
-func (l *Limiter) release(line *queue, taken []*bucket, served time.Time) {
-	l.give(taken)
+func (l *Limiter) release(serviceQueue *callQueue, charged []*bucket, grantedAt time.Time) {
+	l.releaseConcurrency(charged)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if next := line.leave(time.Since(served)); next != nil {
-		close(next.turn)
+	if next := serviceQueue.releaseSlot(time.Since(grantedAt)); next != nil {
+		close(next.granted)
 	}
 }
 
-func (l *Limiter) give(taken []*bucket) {
+func (l *Limiter) releaseConcurrency(charged []*bucket) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, held := range taken {
-		held.running--
+	for _, limitBucket := range charged {
+		limitBucket.running--
 	}
 }
 
-// refund gives back what a call took that was not admitted after all.
-func (l *Limiter) refund(taken []*bucket, size float64) {
+// refund returns the charge of a call that was not admitted after all.
+func (l *Limiter) refund(charged []*bucket, size float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, held := range taken {
-		held.refund(size)
+	for _, limitBucket := range charged {
+		limitBucket.refund(size)
 	}
 }
 
-// takeLimits takes the call out of all its limits, or out of none.
-func (l *Limiter) takeLimits(now time.Time, call *dispatcher.Call) ([]*bucket, *dispatcher.Refusal) {
+// chargeLimits charges the call to all its limits, or to none.
+func (l *Limiter) chargeLimits(now time.Time, call *dispatcher.Call) ([]*bucket, *dispatcher.Refusal) {
 	size := cost(call)
-	var taken []*bucket
+	var charged []*bucket
 	for _, name := range [...]string{
 		BrandLimit(call.Brand), AccountLimit(call.Account.Name), ServiceLimit(call.Service),
 	} {
-		held := l.buckets[name]
-		if held == nil {
+		limitBucket := l.buckets[name]
+		if limitBucket == nil {
 			continue
 		}
-		held.offer(size)
-		if limit, wait := held.short(now, size); limit != "" {
+		limitBucket.recordOffered(size)
+		if limit, wait := limitBucket.exhaustedLimit(now, size); limit != "" {
 			return nil, overLimit(name, limit, wait)
 		}
-		taken = append(taken, held)
+		charged = append(charged, limitBucket)
 	}
-	for _, held := range taken {
-		held.take(size)
+	for _, limitBucket := range charged {
+		limitBucket.charge(size)
 	}
-	return taken, nil
+	return charged, nil
 }
 
-// BrandLimit names a brand's limit between entries.
+// BrandLimit returns the name of a brand's limit, as entries exchange it.
 func BrandLimit(name units.Brand) string { return "brand/" + string(name) }
 
-// AccountLimit names a client account's limit.
+// AccountLimit returns the name of a client account's limit.
 func AccountLimit(name units.Account) string { return "account/" + string(name) }
 
-// ServiceLimit names a service's limit.
+// ServiceLimit returns the name of a service's limit.
 func ServiceLimit(name units.Service) string { return "service/" + string(name) }
 
-// follow brings limits and bounds up to date with the configuration and the upstreams.
-func (l *Limiter) follow(now time.Time) {
+// applySnapshot updates limits and concurrency bounds if the snapshot has changed.
+func (l *Limiter) applySnapshot(now time.Time) {
 	snapshot := l.Snapshot.Load()
-	if snapshot == l.built {
+	if snapshot == l.appliedSnapshot {
 		return
 	}
-	l.built = snapshot
+	l.appliedSnapshot = snapshot
 	limits := make(map[string]parser.Limits)
 	for _, brand := range snapshot.Configuration.Brands {
 		limits[BrandLimit(brand.Name)] = brand.Limits
@@ -218,53 +220,54 @@
 	}
 	for _, service := range snapshot.Configuration.Services {
 		limits[ServiceLimit(service.Name)] = service.Limits
-		l.followService(snapshot, service)
+		l.updateQueue(snapshot, service)
 	}
-	l.followLimits(now, limits)
+	l.updateBuckets(now, limits)
 }
 
-func (l *Limiter) followLimits(now time.Time, limits map[string]parser.Limits) {
+func (l *Limiter) updateBuckets(now time.Time, limits map[string]parser.Limits) {
 	kept := make(map[string]*bucket)
 	for name, limit := range limits {
 		if limit == (parser.Limits{}) {
 			continue
 		}
-		held := l.buckets[name]
-		if held == nil {
-			held = newBucket(now, limit)
-			held.apply(now, l.shares(name))
+		limitBucket := l.buckets[name]
+		if limitBucket == nil {
+			limitBucket = newBucket(now, limit)
+			limitBucket.setShares(now, l.shares(name))
 		}
-		held.limits = limit
-		kept[name] = held
+		limitBucket.limits = limit
+		kept[name] = limitBucket
 	}
 	l.buckets = kept
 }
 
-// followService sets how many calls of a service may run here: an equal part of
-// the slots that the upstreams announce, and of those beyond it that stand free.
-func (l *Limiter) followService(snapshot *indexer.Snapshot, service parser.Service) {
+// updateQueue sets how many calls of a service may run at this entry: an equal part
+// of the slots that the upstreams announce, or more where this entry's part of the
+// free slots allows it.
+func (l *Limiter) updateQueue(snapshot *indexer.Snapshot, service parser.Service) {
 	if l.queues == nil {
-		l.queues = make(map[units.Service]*queue)
+		l.queues = make(map[units.Service]*callQueue)
 	}
-	line := l.queues[service.Name]
-	if line == nil {
-		line = &queue{}
-		l.queues[service.Name] = line
+	serviceQueue := l.queues[service.Name]
+	if serviceQueue == nil {
+		serviceQueue = &callQueue{}
+		l.queues[service.Name] = serviceQueue
 	}
-	line.target = service.Target.FirstToken / waitPart
-	known, _ := snapshot.Service(service.Name)
+	serviceQueue.maxWait = service.Target.FirstToken / queueWaitDivisor
+	serviceUpstreams, _ := snapshot.Service(service.Name)
 	slots, free := 0, 0
-	for _, upstream := range known.Usable {
+	for _, upstream := range serviceUpstreams.Usable {
 		slots += upstream.Slots
 		free += max(0, upstream.Slots-upstream.Load.Running-upstream.Load.Queued)
 	}
 	entries := max(1, l.entries())
-	line.bound = 0
+	serviceQueue.maxRunning = 0
 	if slots > 0 {
-		line.bound = max((slots+entries-1)/entries, line.running+free/entries, 1)
+		serviceQueue.maxRunning = max((slots+entries-1)/entries, serviceQueue.running+free/entries, 1)
 	}
-	for next := line.next(); next != nil; next = line.next() {
-		close(next.turn)
+	for next := serviceQueue.next(); next != nil; next = serviceQueue.next() {
+		close(next.granted)
 	}
 }
 
@@ -293,30 +296,31 @@
 func (l *Limiter) Ready() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.primed
+	return l.sharesApplied
 }
 
-// Demand is what calls wanted of a limit since the last look, in fractions of it.
+// Demand is what calls asked for of a limit since the last Renew, as fractions of
+// it.
 type Demand struct {
 	Offered float64
 	InUse   float64
 }
 
-// Renew takes the shares as they are now and returns what calls wanted.
+// Renew applies the current shares and returns the demand for each limit.
 func (l *Limiter) Renew(now time.Time) map[string]Demand {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.Snapshot.Load() == nil {
 		return nil
 	}
-	l.follow(now)
+	l.applySnapshot(now)
 	demands := make(map[string]Demand, len(l.buckets))
 	if len(l.buckets) == 0 || len(l.shares(l.anyLimit())) > 0 {
-		l.primed = true
+		l.sharesApplied = true
 	}
-	for name, held := range l.buckets {
-		held.apply(now, l.shares(name))
-		offered, inUse := held.demand(now)
+	for name, limitBucket := range l.buckets {
+		limitBucket.setShares(now, l.shares(name))
+		offered, inUse := limitBucket.takeDemand(now)
 		demands[name] = Demand{
 			Offered: offered,
 			InUse:   inUse,
@@ -326,22 +330,22 @@
 }
 
 func (l *Limiter) histogram(service units.Service) tally.Histogram {
-	known := l.queueing[service]
-	if known != nil {
-		return known
+	existing := l.queueingTimes[service]
+	if existing != nil {
+		return existing
 	}
-	if l.queueing == nil {
-		l.queueing = make(map[units.Service]tally.Histogram)
+	if l.queueingTimes == nil {
+		l.queueingTimes = make(map[units.Service]tally.Histogram)
 	}
 	scope := l.Scope
 	if scope == nil {
 		scope = tally.NoopScope
 	}
-	made := scope.Tagged(map[string]string{
+	created := scope.Tagged(map[string]string{
 		"service": string(service),
 	}).Histogram("queueing_seconds", meter.LatencyBuckets)
-	l.queueing[service] = made
-	return made
+	l.queueingTimes[service] = created
+	return created
 }
 
 func overLimit(name, limit string, wait time.Duration) *dispatcher.Refusal {
--- a/src/limiter/queue.go
+++ b/src/limiter/queue.go
@@ -8,170 +8,176 @@
 )
 
 const (
-	// minQueue is the least length of a full queue, for services with few slots.
-	minQueue = 4
-	// meanWeight is how much one call changes the mean time in service.
-	meanWeight = 0.05
-	// firstMean is taken for the time in service until calls have ended.
-	firstMean = time.Second
-	// credit is how many tokens for its weight an idle account may catch up.
-	credit = 1000
+	// minQueueLength is the minimum capacity of a queue, for services with few
+	// slots.
+	minQueueLength = 4
+	// meanSmoothing is the weight of one call in the moving average of the service
+	// time.
+	meanSmoothing = 0.05
+	// initialServiceTime is the assumed mean service time until a call has ended.
+	initialServiceTime = time.Second
+	// maxCredit is how much virtual time, in tokens per unit of weight, an idle
+	// account may be behind.
+	maxCredit = 1000
 )
 
-// item is one call that waits for a slot of a service.
-type item struct {
+// queuedCall is one call that waits for a slot of a service.
+type queuedCall struct {
 	account  units.Account
 	weight   float64
 	priority int
 	cost     float64
-	// turn is closed when the item has a slot, dropped when it is refused.
-	turn    chan struct{}
-	dropped chan struct{}
+	// granted is closed when the call has a slot, evicted when it is refused.
+	granted chan struct{}
+	evicted chan struct{}
 }
 
-// queue decides who of a service's callers goes next and who is refused.
+// callQueue decides which of a service's callers is next and which is refused.
 //
-// It is fair queueing by token cost: a call that gets a slot moves its account's
-// place in virtual time on by cost over weight, and the account that is
-// furthest behind is next. So a flood of one account delays its own calls and
-// no other's, and a call that is refused costs its account nothing.
-type queue struct {
-	// bound is how many calls may run; 0 bounds nothing.
-	bound   int
-	target  time.Duration
-	running int
-	waiting []*item
-	virtual float64
-	finish  map[units.Account]float64
-	mean    time.Duration
+// It implements weighted fair queueing by token cost: a call that is granted a slot
+// advances its account's finish time in virtual time by cost over weight, and the
+// account with the earliest start time is next. A flood of calls from one account
+// therefore delays only its own calls, and a refused call costs its account
+// nothing.
+type callQueue struct {
+	// maxRunning is how many calls may run; 0 means no bound.
+	maxRunning      int
+	maxWait         time.Duration
+	running         int
+	waiting         []*queuedCall
+	virtualTime     float64
+	finishTimes     map[units.Account]float64
+	meanServiceTime time.Duration
 }
 
-// verdict is what became of an arriving call.
+// verdict is the outcome for an arriving call.
 type verdict int
 
 const (
-	runs verdict = iota
-	waits
-	refused
+	verdictRuns verdict = iota
+	verdictWaits
+	verdictRefused
 )
 
-// arrive takes a call in. Where the queue is full, one call is refused: of those
-// of the lowest priority, the one that would be served last.
-func (q *queue) arrive(next *item) (verdict, *item) {
-	if q.bound == 0 || (q.running < q.bound && len(q.waiting) == 0) {
-		q.serve(next)
-		return runs, nil
+// enqueue adds a call. If the queue is full, one call is refused: of those of the
+// lowest priority, the one that would be served last.
+func (q *callQueue) enqueue(arriving *queuedCall) (verdict, *queuedCall) {
+	if q.maxRunning == 0 || (q.running < q.maxRunning && len(q.waiting) == 0) {
+		q.grantSlot(arriving)
+		return verdictRuns, nil
 	}
-	victim := (*item)(nil)
-	if len(q.waiting) >= q.limit() {
-		victim = q.victim(next)
-		if victim == next {
-			return refused, nil
+	victim := (*queuedCall)(nil)
+	if len(q.waiting) >= q.maxLength() {
+		victim = q.victim(arriving)
+		if victim == arriving {
+			return verdictRefused, nil
 		}
 		q.remove(victim)
 	}
-	q.waiting = append(q.waiting, next)
-	return waits, victim
+	q.waiting = append(q.waiting, arriving)
+	return verdictWaits, victim
 }
 
-// start is an account's place in virtual time. One that was idle has a bounded
-// credit from then: its calls come unevenly, and without credit each that comes
-// a little early would be refused and the time between lost.
-func (q *queue) start(account units.Account) float64 {
-	return max(q.virtual-credit, q.finish[account])
+// startTime returns an account's start in virtual time. An account that was idle
+// keeps a bounded credit: its calls arrive unevenly, and without credit each call
+// that arrives slightly early would be refused and the idle time before it lost.
+func (q *callQueue) startTime(account units.Account) float64 {
+	return max(q.virtualTime-maxCredit, q.finishTimes[account])
 }
 
-func (q *queue) serve(next *item) {
-	if q.finish == nil {
-		q.finish = make(map[units.Account]float64)
+func (q *callQueue) grantSlot(arriving *queuedCall) {
+	if q.finishTimes == nil {
+		q.finishTimes = make(map[units.Account]float64)
 	}
 	q.running++
-	start := q.start(next.account)
-	q.virtual = max(q.virtual, start)
-	q.finish[next.account] = start + next.cost/next.weight
+	startTime := q.startTime(arriving.account)
+	q.virtualTime = max(q.virtualTime, startTime)
+	q.finishTimes[arriving.account] = startTime + arriving.cost/arriving.weight
 }
 
-// limit returns how many calls can wait and still get a slot within the target.
-func (q *queue) limit() int {
-	mean := q.mean
-	if mean == 0 {
-		mean = firstMean
+// maxLength returns how many calls can wait and still get a slot within maxWait.
+func (q *callQueue) maxLength() int {
+	meanServiceTime := q.meanServiceTime
+	if meanServiceTime == 0 {
+		meanServiceTime = initialServiceTime
 	}
-	return max(minQueue, int(float64(q.bound)*float64(q.target)/float64(mean)))
+	return max(minQueueLength, int(float64(q.maxRunning)*float64(q.maxWait)/float64(meanServiceTime)))
 }
 
-// wait returns how long the queue takes to give a slot to a call behind it.
-func (q *queue) wait() time.Duration {
-	mean := q.mean
-	if mean == 0 {
-		mean = firstMean
+// estimatedWait returns how long a call at the end of the queue would wait for a
+// slot.
+func (q *callQueue) estimatedWait() time.Duration {
+	meanServiceTime := q.meanServiceTime
+	if meanServiceTime == 0 {
+		meanServiceTime = initialServiceTime
 	}
-	return mean * time.Duration(len(q.waiting)+1) / time.Duration(max(1, q.bound))
+	return meanServiceTime * time.Duration(len(q.waiting)+1) / time.Duration(max(1, q.maxRunning))
 }
 
 // victim returns the call of the lowest priority that would be served last. An
-// account with few calls is at the front however much they cost, so that a
-// flood of cheap calls refuses its own.
-func (q *queue) victim(arriving *item) *item {
+// account with few calls is near the front however much they cost, so that a flood
+// of cheap calls evicts its own.
+func (q *callQueue) victim(arriving *queuedCall) *queuedCall {
 	candidates := append(slices.Clone(q.waiting), arriving)
 	lowest := arriving.priority
 	for _, candidate := range candidates {
 		lowest = max(lowest, candidate.priority)
 	}
-	behind := make(map[units.Account]float64)
-	var victim *item
-	latest := 0.0
+	pendingCost := make(map[units.Account]float64)
+	var victim *queuedCall
+	latestStart := 0.0
 	for _, candidate := range candidates {
-		start := q.start(candidate.account) + behind[candidate.account]
-		behind[candidate.account] += candidate.cost / candidate.weight
-		if candidate.priority == lowest && (victim == nil || start >= latest) {
+		startTime := q.startTime(candidate.account) + pendingCost[candidate.account]
+		pendingCost[candidate.account] += candidate.cost / candidate.weight
+		if candidate.priority == lowest && (victim == nil || startTime >= latestStart) {
 			victim = candidate
-			latest = start
+			latestStart = startTime
 		}
 	}
 	return victim
 }
 
-// leave frees a slot and returns the call that gets it, or nil.
-func (q *queue) leave(took time.Duration) *item {
+// releaseSlot frees a slot and returns the call that is granted it, or nil.
+func (q *callQueue) releaseSlot(took time.Duration) *queuedCall {
 	q.running--
-	if q.mean == 0 {
-		q.mean = took
+	if q.meanServiceTime == 0 {
+		q.meanServiceTime = took
 	}
-	q.mean += time.Duration(meanWeight * float64(took-q.mean))
+	q.meanServiceTime += time.Duration(meanSmoothing * float64(took-q.meanServiceTime))
 	return q.next()
 }
 
-// next gives a free slot to the call whose turn it is, or returns nil.
-func (q *queue) next() *item {
-	if len(q.waiting) == 0 || (q.bound > 0 && q.running >= q.bound) {
-		q.rest()
+// next grants a free slot to the next call in order and returns it, or nil if no
+// slot is free or no call waits.
+func (q *callQueue) next() *queuedCall {
+	if len(q.waiting) == 0 || (q.maxRunning > 0 && q.running >= q.maxRunning) {
+		q.resetIfIdle()
 		return nil
 	}
 	first := q.waiting[0]
 	for _, candidate := range q.waiting {
-		if q.start(candidate.account) < q.start(first.account) {
+		if q.startTime(candidate.account) < q.startTime(first.account) {
 			first = candidate
 		}
 	}
 	q.remove(first)
-	q.serve(first)
+	q.grantSlot(first)
 	return first
 }
 
-// rest forgets the accounts' places once nothing runs, so that the table holds
-// no account for good.
-func (q *queue) rest() {
+// resetIfIdle clears the accounts' finish times once nothing runs or waits, so that
+// the table does not keep accounts forever.
+func (q *callQueue) resetIfIdle() {
 	if q.running == 0 && len(q.waiting) == 0 {
-		clear(q.finish)
-		q.virtual = 0
+		clear(q.finishTimes)
+		q.virtualTime = 0
 	}
 }
 
-// remove takes a call out and reports whether it was waiting.
-func (q *queue) remove(gone *item) bool {
+// remove removes a call and reports whether it was waiting.
+func (q *callQueue) remove(removed *queuedCall) bool {
 	for i, candidate := range q.waiting {
-		if candidate == gone {
+		if candidate == removed {
 			q.waiting = append(q.waiting[:i], q.waiting[i+1:]...)
 			return true
 		}
