--- a/src/lender/event.go
+++ b/src/lender/event.go
@@ -6,20 +6,21 @@
 	"github.com/rosecroft/rosecroft/src/messages"
 )
 
-// Event is something that happened to the lender.
+// Event is an input to the lender.
 type Event interface{ event() }
 
-// Viewed says which entry view this process has.
+// Viewed carries the entry view that this process has received.
 type Viewed struct {
 	View *messages.EntryView
 }
 
-// Confirmed says that control's leader held the view for the newest at a time not before At.
+// Confirmed reports that control's leader held the view to be the newest at a time
+// not before At.
 type Confirmed struct {
 	At time.Time
 }
 
-// Asked is an entry's request.
+// Asked carries an entry's request.
 type Asked struct {
 	Request *messages.ShareRequest
 }
@@ -31,7 +32,7 @@
 // Action is something that the caller of Step must carry out.
 type Action interface{ action() }
 
-// Answer goes back to the entry that asked.
+// Answer sends a response to the entry that made the request.
 type Answer struct {
 	Response *messages.ShareResponse
 }
--- a/src/lender/lender.go
+++ b/src/lender/lender.go
@@ -8,25 +8,27 @@
 )
 
 const (
-	// Floors is the part of each limit that is never lent: each entry of the
-	// view always has an equal share of it.
+	// Floors is the fraction of each limit that is never lent: it is divided
+	// equally among the entries of the view.
 	Floors = 0.5
-	// Parts is how many lenders share the rest of a limit, so that the loss of
-	// one of them holds up only its part.
+	// Parts is how many lenders divide the rest of a limit between them, so that
+	// the loss of one lender affects only its partition.
 	Parts = 3
-	// Pool is the fraction of a limit that one part's lender lends.
+	// Pool is the fraction of a limit that the lender of one partition lends.
 	Pool = (1 - Floors) / Parts
-	// Drift is how much longer a lender counts a period than a borrower, as a
-	// bound on how far their clocks' speeds differ.
+	// Drift is by what fraction a lender extends a period over a borrower's count
+	// of it, as a bound on the difference of their clocks' speeds.
 	Drift = 0.1
-	// epsilon hides what adding fractions loses.
+	// epsilon absorbs the rounding errors of adding fractions.
 	epsilon = 1e-9
 )
 
-// Lender lends the parts of limits that one entry owns; its fields are set before the first Step.
+// Lender lends the partitions of limits that one entry owns; its fields are set
+// before the first Step.
 type Lender struct {
 	Self units.Instance
-	// Incarnation is this process's; a view that names an earlier one is not its own.
+	// Incarnation is this process's; a view that names an earlier incarnation does
+	// not include this process.
 	Incarnation uint64
 	// Lease is how long a loan lasts.
 	Lease time.Duration
@@ -34,24 +36,24 @@
 	// that a new view leaves out stop within it.
 	Hold time.Duration
 
-	view      *messages.EntryView
-	learnedAt time.Time
-	confirmed time.Time
-	next      uint64
-	parts     map[part]map[units.Instance]*debtor
+	view           *messages.EntryView
+	viewReceivedAt time.Time
+	confirmedAt    time.Time
+	lastLoanNumber uint64
+	partitions     map[partition]map[units.Instance]*borrowerState
 }
 
-type part struct {
+type partition struct {
 	limit string
 	index uint32
 }
 
-// debtor is one entry's side of a part.
-type debtor struct {
-	wanted  float64
-	inUse   float64
-	heardAt time.Time
-	loans   []loan
+// borrowerState is what the lender knows of one entry's use of a partition.
+type borrowerState struct {
+	wanted      float64
+	inUse       float64
+	requestedAt time.Time
+	loans       []loan
 }
 
 type loan struct {
@@ -64,45 +66,48 @@
 func (l *Lender) Step(now time.Time, event Event) []Action {
 	switch e := event.(type) {
 	case Viewed:
-		l.follow(now, e.View)
+		l.setView(now, e.View)
 	case Confirmed:
-		if e.At.After(l.confirmed) {
-			l.confirmed = e.At
+		if e.At.After(l.confirmedAt) {
+			l.confirmedAt = e.At
 		}
 	case Asked:
-		return []Action{Answer{Response: l.answer(now, e.Request)}}
+		return []Action{Answer{Response: l.handleRequest(now, e.Request)}}
 	}
 	return nil
 }
 
-// follow takes a newer view and forgets the loans, which are waited out instead.
-func (l *Lender) follow(now time.Time, view *messages.EntryView) {
+// setView adopts a newer view and drops the loans of the previous one, which
+// loanDuration lets expire before it allows new ones.
+func (l *Lender) setView(now time.Time, view *messages.EntryView) {
 	if view.GetNumber() <= l.view.GetNumber() {
 		return
 	}
 	l.view = view
-	l.learnedAt = now
-	l.parts = make(map[part]map[units.Instance]*debtor)
+	l.viewReceivedAt = now
+	l.partitions = make(map[partition]map[units.Instance]*borrowerState)
 }
 
-// lease returns how long a loan made now lasts, 0 where none may be made.
+// loanDuration returns how long a loan made now lasts, 0 where none may be made.
 //
-// The lender of an earlier view may still lend the same part: it has not
-// learned of its loss while it is cut off. Its loans end within Hold of its last
-// confirmation, which came before this view; so this lender begins after that.
-// Without the wait both would lend the part, and the limit would be passed.
-func (l *Lender) lease(now time.Time) time.Duration {
+// The lender of an earlier view may still lend the same partition: while it is
+// disconnected it has not been notified that it lost the partition. Its loans end
+// within Hold of its last confirmation, which came before this view, so this lender
+// starts after that. Without the wait both would lend the partition, and the limit
+// would be exceeded.
+func (l *Lender) loanDuration(now time.Time) time.Duration {
 	if !l.member() {
 		return 0
 	}
-	// No lender can be earlier than the first view's.
-	if l.view.GetNumber() > 1 && now.Sub(l.learnedAt) < Wait(l.Hold) {
+	// No lender precedes the first view's.
+	if l.view.GetNumber() > 1 && now.Sub(l.viewReceivedAt) < Wait(l.Hold) {
 		return 0
 	}
-	return max(0, min(l.Lease, l.confirmed.Add(l.Hold).Sub(now)))
+	return max(0, min(l.Lease, l.confirmedAt.Add(l.Hold).Sub(now)))
 }
 
-// Wait is how long a new view's shares wait for those of the views before it to end.
+// Wait returns how long the shares of a new view must wait for those of earlier
+// views to expire.
 func Wait(hold time.Duration) time.Duration {
 	return time.Duration(float64(hold) * (1 + Drift))
 }
@@ -116,110 +121,111 @@
 	return false
 }
 
-func (l *Lender) answer(now time.Time, request *messages.ShareRequest) *messages.ShareResponse {
+func (l *Lender) handleRequest(now time.Time, request *messages.ShareRequest) *messages.ShareResponse {
 	response := &messages.ShareResponse{
 		ViewNumber: l.view.GetNumber(),
 	}
 	if l.view == nil || request.GetViewNumber() != l.view.GetNumber() {
 		return response
 	}
-	lease := l.lease(now)
+	loanDuration := l.loanDuration(now)
 	for _, demand := range request.GetDemands() {
-		key := part{
+		key := partition{
 			limit: demand.GetLimit(),
 			index: demand.GetPart(),
 		}
-		owed := l.note(now, key, units.Instance(request.GetEntry()), demand)
-		if lease <= 0 {
+		state := l.recordDemand(now, key, units.Instance(request.GetEntry()), demand)
+		if loanDuration <= 0 {
 			continue
 		}
-		response.Loans = append(response.Loans, l.lend(now, key, owed, lease))
+		response.Loans = append(response.Loans, l.grantLoan(now, key, state, loanDuration))
 	}
 	return response
 }
 
-// note takes what an entry says of a part.
-func (l *Lender) note(now time.Time, key part, entry units.Instance, demand *messages.ShareDemand) *debtor {
-	debtors := l.parts[key]
-	if debtors == nil {
-		debtors = make(map[units.Instance]*debtor)
-		l.parts[key] = debtors
-	}
-	owed := debtors[entry]
-	if owed == nil {
-		owed = &debtor{}
-		debtors[entry] = owed
-	}
-	owed.wanted = demand.GetWanted()
-	owed.inUse = demand.GetInUse()
-	owed.heardAt = now
-	kept := owed.loans[:0]
-	for _, l := range owed.loans {
+// recordDemand records an entry's demand for a partition and drops the loans that
+// the entry no longer uses.
+func (l *Lender) recordDemand(now time.Time, key partition, entry units.Instance, demand *messages.ShareDemand) *borrowerState {
+	states := l.partitions[key]
+	if states == nil {
+		states = make(map[units.Instance]*borrowerState)
+		l.partitions[key] = states
+	}
+	state := states[entry]
+	if state == nil {
+		state = &borrowerState{}
+		states[entry] = state
+	}
+	state.wanted = demand.GetWanted()
+	state.inUse = demand.GetInUse()
+	state.requestedAt = now
+	kept := state.loans[:0]
+	for _, l := range state.loans {
 		if l.number >= demand.GetHeld() {
 			kept = append(kept, l)
 		}
 	}
-	owed.loans = kept
-	return owed
+	state.loans = kept
+	return state
 }
 
-// lend makes a loan of what the entry wants and of an equal part of what nobody
-// does, as far as the others leave it.
-func (l *Lender) lend(now time.Time, key part, owed *debtor, lease time.Duration) *messages.ShareLoan {
+// grantLoan makes a loan of what the entry wants plus an equal part of what no
+// entry wants, as far as the loans of the other entries leave room.
+func (l *Lender) grantLoan(now time.Time, key partition, state *borrowerState, loanDuration time.Duration) *messages.ShareLoan {
 	var wanted, others float64
-	for _, other := range l.parts[key] {
-		counted := other.count(now)
-		if now.Sub(other.heardAt) <= l.Lease {
+	for _, other := range l.partitions[key] {
+		outstanding := other.countOutstanding(now)
+		if now.Sub(other.requestedAt) <= l.Lease {
 			wanted += other.wanted
 		}
-		if other != owed {
-			others += counted
+		if other != state {
+			others += outstanding
 		}
 	}
-	target := owed.wanted + max(0, Pool-wanted)/float64(len(l.view.GetMembers()))
+	target := state.wanted + max(0, Pool-wanted)/float64(len(l.view.GetMembers()))
 	if wanted > Pool {
-		target = Pool * owed.wanted / wanted
+		target = Pool * state.wanted / wanted
 	}
-	l.next++
-	made := loan{
-		number:   l.next,
+	l.lastLoanNumber++
+	granted := loan{
+		number:   l.lastLoanNumber,
 		fraction: max(0, min(target, Pool-others-epsilon)),
-		until:    now.Add(time.Duration(float64(lease) * (1 + Drift))),
+		until:    now.Add(time.Duration(float64(loanDuration) * (1 + Drift))),
 	}
-	owed.loans = append(owed.loans, made)
+	state.loans = append(state.loans, granted)
 	return &messages.ShareLoan{
 		Limit:    key.limit,
 		Part:     key.index,
-		Number:   made.number,
-		Fraction: made.fraction,
-		LeaseMs:  lease.Milliseconds(),
+		Number:   granted.number,
+		Fraction: granted.fraction,
+		LeaseMs:  loanDuration.Milliseconds(),
 	}
 }
 
-// count returns the most that the entry may use now. An answer that was lost
-// must count like one that arrived, and so must a larger loan before it until
-// the entry says that it has the later one.
-func (d *debtor) count(now time.Time) float64 {
-	counted := 0.0
-	kept := d.loans[:0]
-	for _, l := range d.loans {
-		if now.Before(l.until) {
-			kept = append(kept, l)
-			counted = max(counted, l.fraction)
+// countOutstanding returns the most that the entry may be using now. A loan counts
+// even if its response was lost, and a larger earlier loan counts until the entry
+// reports that it holds the later one.
+func (s *borrowerState) countOutstanding(now time.Time) float64 {
+	outstanding := 0.0
+	kept := s.loans[:0]
+	for _, granted := range s.loans {
+		if now.Before(granted.until) {
+			kept = append(kept, granted)
+			outstanding = max(outstanding, granted.fraction)
 		}
 	}
-	d.loans = kept
+	s.loans = kept
 	if len(kept) == 0 {
 		return 0
 	}
-	return max(counted, min(d.inUse, Pool))
+	return max(outstanding, min(s.inUse, Pool))
 }
 
-// Lent returns the sum that the lender counts as lent of a part.
+// Lent returns the total that the lender counts as lent of a partition.
 func (l *Lender) Lent(now time.Time, limit string, index uint32) float64 {
 	sum := 0.0
-	for _, owed := range l.parts[part{limit: limit, index: index}] {
-		sum += owed.count(now)
+	for _, state := range l.partitions[partition{limit: limit, index: index}] {
+		sum += state.countOutstanding(now)
 	}
 	return sum
 }
--- a/src/lender/lender_test.go
+++ b/src/lender/lender_test.go
@@ -7,16 +7,16 @@
 	"github.com/rosecroft/rosecroft/src/messages"
 )
 
-// A lender restarts and is told the view that still names its earlier life. It
-// has forgotten what it lent a moment ago, so it must lend nothing; the life
-// that the view names lends at once in the first view.
-func TestLenderOfAnotherLifeLendsNothing(t *testing.T) {
+// A lender restarts and receives the view that still names its previous
+// incarnation. It no longer knows what it lent a moment ago, so it must lend
+// nothing. The incarnation that the view names lends at once in the first view.
+func TestRestartedLenderGrantsNothingInOldView(t *testing.T) {
 	cases := map[string]struct {
 		incarnation uint64
 		want        int
 	}{
-		"the view's life": {incarnation: 1, want: 1},
-		"a later life":    {incarnation: 2, want: 0},
+		"incarnation in the view": {incarnation: 1, want: 1},
+		"a later incarnation":     {incarnation: 2, want: 0},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
