--- a/src/borrower/event.go
+++ b/src/borrower/event.go
@@ -7,31 +7,33 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// Event is something that happened to the borrower.
+// Event is an input to the borrower.
 type Event interface{ event() }
 
-// Viewed says which entry view this process has.
+// Viewed carries the entry view that this process has received.
 type Viewed struct {
 	View *messages.EntryView
 }
 
-// Confirmed says that control's leader held the view for the newest at a time not before At.
+// Confirmed reports that control's leader held the view to be the newest at a time
+// not before At.
 type Confirmed struct {
 	At time.Time
 }
 
-// Wanted says what the entry's calls want of each limit; the borrower asks for it.
+// Wanted carries the demand of the entry's calls for each limit; the borrower
+// requests loans for it.
 type Wanted struct {
 	Demands map[string]Demand
 }
 
-// Demand is what calls want of one limit, as fractions of the whole.
+// Demand is what calls ask for of one limit, as fractions of the whole limit.
 type Demand struct {
 	Offered float64
 	InUse   float64
 }
 
-// Answered is a lender's answer to a request that was sent at SentAt.
+// Answered carries a lender's response to a request that was sent at SentAt.
 type Answered struct {
 	From     units.Instance
 	SentAt   time.Time
--- a/src/borrower/incarnation_test.go
+++ b/src/borrower/incarnation_test.go
@@ -7,16 +7,16 @@
 	"github.com/rosecroft/rosecroft/src/messages"
 )
 
-// An entry asks for a share, dies and starts again; the answer arrives late, at
-// its new life, while the view still names the old one. The old life may have
-// told the lender that it uses no such loan any more, so the new one must not.
-func TestAnswerToAnEarlierLifeIsDropped(t *testing.T) {
+// An entry requests a share, dies and restarts; the response arrives late, at its
+// new incarnation, while the view still names the old one. The old incarnation may
+// have reported that it no longer uses that loan, so the new one must not use it.
+func TestResponseToPreviousIncarnationIsDropped(t *testing.T) {
 	cases := map[string]struct {
 		incarnation uint64
 		want        int
 	}{
-		"the life that asked": {incarnation: 1, want: 1},
-		"a later life":        {incarnation: 2, want: 0},
+		"the requesting incarnation": {incarnation: 1, want: 1},
+		"a later incarnation":        {incarnation: 2, want: 0},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
