--- /dev/null
+++ b/src/pacer/allocator.go
@@ -0,0 +1,218 @@
+package pacer
+
+import (
+	"cmp"
+	"maps"
+	"math"
+	"slices"
+	"time"
+
+	"github.com/rosecroft/rosecroft/src/units"
+)
+
+const (
+	// maxAccrualTime bounds the calls that may accrue to what the limit allows in this time, but
+	// to no less than one call.
+	maxAccrualTime = 300 * time.Millisecond
+	// requestTTL is how long after a request an entry counts as having work: several polls.
+	requestTTL = 600 * time.Millisecond
+	// refreshInterval is how often the order of entries is recomputed.
+	refreshInterval = 20 * time.Millisecond
+	// unclaimedTimeout is how long accrued calls are reserved for the entries whose turn it is.
+	unclaimedTimeout = 300 * time.Millisecond
+	// shortageTTL is how long an upstream counts as short after it was denied calls.
+	shortageTTL = 5 * time.Second
+	// withdrawalTTL is how long the withdrawal of a limit is remembered, for entries that still
+	// report the limit.
+	withdrawalTTL = time.Minute
+)
+
+// Divider grants the calls that limited upstreams take to entries; it is a state machine without
+// a clock.
+type Divider struct {
+	upstreams map[units.Life]*limitedUpstream
+	// withdrawn holds, for each limit that was withdrawn, when the call was sent whose response
+	// withdrew it.
+	withdrawn map[units.Life]time.Time
+	version   uint64
+}
+
+// limitedUpstream is the state of an upstream with a limit.
+type limitedUpstream struct {
+	rate     units.CallRate
+	statedAt time.Time
+	// accrued is how many calls may be granted now, as of accruedAt; fullSince is since when
+	// accrued has been at its maximum, or zero.
+	accrued    float64
+	accruedAt  time.Time
+	fullSince  time.Time
+	requesters map[units.Instance]*requester
+	// lastGrants holds when each entry that has work was last granted calls, oldest first, as of
+	// refreshedAt.
+	lastGrants  []time.Time
+	refreshedAt time.Time
+	// deniedAt is when the upstream was last denied calls that entries had for it.
+	deniedAt time.Time
+}
+
+// requester is an entry that has work for an upstream.
+type requester struct {
+	requestedAt time.Time
+	grantedAt   time.Time
+}
+
+// Limit is the limit of one upstream as known over all entries.
+type Limit struct {
+	Life     units.Life
+	Rate     units.CallRate
+	StatedAt time.Time
+}
+
+// Hear records what an entry has observed of an upstream; observations may arrive in any order.
+func (d *Divider) Hear(now time.Time, o Observation) {
+	known := d.upstreams[o.Life]
+	switch {
+	case !o.Stated:
+		if known != nil && o.withdrawsLimit(known.statedAt) {
+			d.withdraw(o)
+		}
+	case !o.AnsweredAt.After(d.withdrawn[o.Life]):
+	case known == nil:
+		if d.upstreams == nil {
+			d.upstreams = make(map[units.Life]*limitedUpstream)
+		}
+		d.upstreams[o.Life] = &limitedUpstream{
+			rate:       o.Rate,
+			statedAt:   o.AnsweredAt,
+			accruedAt:  now,
+			requesters: make(map[units.Instance]*requester),
+		}
+		d.version++
+	case o.AnsweredAt.After(known.statedAt):
+		known.accrue(now)
+		known.statedAt = o.AnsweredAt
+		if known.rate != o.Rate {
+			known.rate = o.Rate
+			known.accrued = min(known.accrued, known.maxAccrued())
+			d.version++
+		}
+	}
+}
+
+func (d *Divider) withdraw(o Observation) {
+	delete(d.upstreams, o.Life)
+	d.version++
+	if d.withdrawn == nil {
+		d.withdrawn = make(map[units.Life]time.Time)
+	}
+	d.withdrawn[o.Life] = o.SentAt
+}
+
+// Keep drops the limits of upstreams that no longer exist.
+func (d *Divider) Keep(now time.Time, exists func(units.Life) bool) {
+	maps.DeleteFunc(d.withdrawn, func(_ units.Life, at time.Time) bool { return now.Sub(at) >= withdrawalTTL })
+	for life := range d.upstreams {
+		if !exists(life) {
+			delete(d.upstreams, life)
+			d.version++
+		}
+	}
+}
+
+// Grant returns how many calls an entry that has work for the given number may send to an
+// upstream.
+//
+// Entries that have work take turns; otherwise the entry that asks first would be the same one
+// each time. Calls that no entry claims go to the next one that asks.
+func (d *Divider) Grant(now time.Time, entry units.Instance, life units.Life, calls int) int {
+	u := d.upstreams[life]
+	if u == nil || calls <= 0 {
+		return 0
+	}
+	u.accrue(now)
+	r := u.requesters[entry]
+	if r == nil {
+		r = &requester{}
+		u.requesters[entry] = r
+	}
+	r.requestedAt = now
+	if u.accrued < 1 {
+		u.deniedAt = now
+		return 0
+	}
+	u.refresh(now)
+	unclaimed := !u.fullSince.IsZero() && now.Sub(u.fullSince) >= unclaimedTimeout
+	// The accrued calls are reserved for the entries that have waited the longest.
+	cutoff := u.lastGrants[min(len(u.lastGrants), int(u.accrued))-1]
+	if !unclaimed && r.grantedAt.After(cutoff) {
+		u.deniedAt = now
+		return 0
+	}
+	count := min(calls, max(1, int(math.Ceil(u.accrued/float64(len(u.lastGrants))))), int(u.accrued))
+	if count < calls {
+		u.deniedAt = now
+	}
+	r.grantedAt = now
+	u.accrued -= float64(count)
+	u.fullSince = time.Time{}
+	return count
+}
+
+// refresh drops entries that no longer have work and recomputes lastGrants. The entry that asks
+// is among those that remain.
+func (u *limitedUpstream) refresh(now time.Time) {
+	if now.Sub(u.refreshedAt) < refreshInterval {
+		return
+	}
+	u.refreshedAt = now
+	maps.DeleteFunc(u.requesters, func(_ units.Instance, r *requester) bool { return now.Sub(r.requestedAt) >= requestTTL })
+	u.lastGrants = u.lastGrants[:0]
+	for _, r := range u.requesters {
+		u.lastGrants = append(u.lastGrants, r.grantedAt)
+	}
+	slices.SortFunc(u.lastGrants, time.Time.Compare)
+}
+
+// maxAccrued returns how many calls may accrue.
+func (u *limitedUpstream) maxAccrued() float64 {
+	return max(1, effectiveRate(u.rate)*maxAccrualTime.Seconds())
+}
+
+func (u *limitedUpstream) accrue(now time.Time) {
+	passed := now.Sub(u.accruedAt)
+	if passed <= 0 {
+		return
+	}
+	u.accruedAt = now
+	u.accrued += effectiveRate(u.rate) * passed.Seconds()
+	if u.accrued < u.maxAccrued() {
+		return
+	}
+	u.accrued = u.maxAccrued()
+	if u.fullSince.IsZero() {
+		u.fullSince = now
+	}
+}
+
+// Limits returns all limits in order of their upstreams, and a version that changes with them.
+func (d *Divider) Limits() ([]Limit, uint64) {
+	limits := make([]Limit, 0, len(d.upstreams))
+	for life, u := range d.upstreams {
+		limits = append(limits, Limit{
+			Life:     life,
+			Rate:     u.rate,
+			StatedAt: u.statedAt,
+		})
+	}
+	slices.SortFunc(limits, func(a, b Limit) int { return cmp.Compare(a.Life, b.Life) })
+	return limits, d.version
+}
+
+// Version returns the version of the limits, which changes with them.
+func (d *Divider) Version() uint64 { return d.version }
+
+// Short reports whether an upstream recently took fewer calls than entries had for it.
+func (d *Divider) Short(now time.Time, life units.Life) bool {
+	u := d.upstreams[life]
+	return u != nil && !u.deniedAt.IsZero() && now.Sub(u.deniedAt) < shortageTTL
+}
--- a/src/pacer/doc.go
+++ b/src/pacer/doc.go
@@ -1,8 +1,8 @@
-// Package pacer holds all entries together to what upstreams say that they take.
+// Package pacer keeps all entries together within the call rates that upstreams state.
 //
-// An upstream in need states a limit in its answers, which reach one entry each. Entries tell
-// the leader; it adds up what they know and hands out permits, one for each call, to those that
-// have work (Divider). An entry sends an upstream with a limit a call only with a permit (Gate).
-// Permits and limits travel with the polls, so that a call costs no message. Both are free of
-// I/O; the divider is a state machine without a clock.
+// An overloaded upstream states a limit in its responses, each of which reaches one entry.
+// Entries report these limits to the leader, which merges the reports and hands out permits, one
+// for each call, to the entries that have work (Divider). An entry sends a call to a limited
+// upstream only with a permit (Gate). Permits and limits travel with the polls, so that a call
+// costs no message. Both types are free of I/O; the divider is a state machine without a clock.
 package pacer
--- a/src/pacer/gate.go
+++ b/src/pacer/gate.go
@@ -11,205 +11,210 @@
 )
 
 const (
-	// mostWanted bounds the calls that an entry asks to send to one upstream at once.
-	mostWanted = 64
-	// leaderPatience is how long after the leader's last answer an entry goes by permits
-	// alone; later it takes its part of the limit itself.
-	leaderPatience = time.Second
-	// partUse is the part of a limit that all entries take without a leader: each may have
-	// saved up one call by then, and they all come back at about the same time.
-	partUse = 0.5
+	// maxWanted bounds the number of calls for which an entry requests permits for one upstream
+	// at once.
+	maxWanted = 64
+	// leaderTimeout is how long after the leader's last response an entry uses permits only;
+	// after that it uses its own part of the limit.
+	leaderTimeout = time.Second
+	// leaderlessFraction is the fraction of a limit that all entries use together without a
+	// leader: each may have accrued one call by then, and their calls resume at about the same
+	// time.
+	leaderlessFraction = 0.5
 )
 
-// Number numbers what an entry has heard from upstreams, from 1.
+// Number numbers an entry's observations of upstreams, starting at 1.
 type Number uint64
 
-// Gate holds one entry to what upstreams say that they take; it may be used from several
-// goroutines.
+// Gate holds one entry to the limits that upstreams state; it is safe for concurrent use.
 type Gate struct {
-	// limited counts the upstreams with limits, for callers that need not look further.
-	limited atomic.Int64
+	// limitedCount is the number of upstreams with limits, which lets callers return early when
+	// there are none.
+	limitedCount atomic.Int64
 
-	mu    sync.Mutex
-	lives map[units.Life]*gate
-	last  Number
-	// entries is how many entries there are, and leaderAt when the leader answered last.
-	entries  int
-	leaderAt time.Time
+	mu         sync.Mutex
+	upstreams  map[units.Life]*upstreamGate
+	lastNumber Number
+	// entryCount is the number of entries, leaderContactAt when the leader last responded.
+	entryCount      int
+	leaderContactAt time.Time
 }
 
-// gate is what an entry knows of an upstream that states a limit, or did so.
-type gate struct {
+// upstreamGate is what an entry knows of an upstream that states a limit, or once did.
+type upstreamGate struct {
 	Observation
-	// news numbers what this entry has heard itself, 0 where it has only been told.
-	news    Number
-	permits []permit
-	// wanted counts the calls since the last poll that were sent there, or would have been.
+	// sequence numbers this entry's last own observation of the upstream, 0 where it knows the
+	// limit only from the leader.
+	sequence Number
+	permits  []permit
+	// wanted counts the calls since the last poll that were sent to the upstream, or would have
+	// been.
 	wanted int
-	// part is what may go out without a leader, as of partAt.
-	part   float64
-	partAt time.Time
+	// leaderlessCalls is how many calls may be sent without a leader, as of leaderlessAt.
+	leaderlessCalls float64
+	leaderlessAt    time.Time
 }
 
-// permit lets some calls go out for a while.
+// permit allows a number of calls until a time.
 type permit struct {
 	calls int
 	until time.Time
 }
 
-// Hear takes what an answer says and reports whether it changes anything.
+// Hear records what a response states and reports whether it changes the limit.
 func (g *Gate) Hear(o Observation) bool {
-	if !o.Stated && g.limited.Load() == 0 {
+	if !o.Stated && g.limitedCount.Load() == 0 {
 		return false
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	known := g.lives[o.Life]
+	known := g.upstreams[o.Life]
 	switch {
-	case !o.Stated && (known == nil || !known.Stated || !o.withdraws(known.AnsweredAt)):
+	case !o.Stated && (known == nil || !known.Stated || !o.withdrawsLimit(known.AnsweredAt)):
 		return false
 	case known == nil:
-		if g.lives == nil {
-			g.lives = make(map[units.Life]*gate)
+		if g.upstreams == nil {
+			g.upstreams = make(map[units.Life]*upstreamGate)
 		}
-		known = &gate{}
-		g.lives[o.Life] = known
+		known = &upstreamGate{}
+		g.upstreams[o.Life] = known
 	case o.Stated && o.AnsweredAt.Before(known.AnsweredAt):
 		return false
 	}
 	changed := known.Stated != o.Stated || known.Rate != o.Rate
-	known.trim(o.Rate)
+	known.trimPermits(o.Rate)
 	known.Observation = o
-	g.last++
-	known.news = g.last
-	g.count()
+	g.lastNumber++
+	known.sequence = g.lastNumber
+	g.updateLimitedCount()
 	return changed
 }
 
-// Follow goes by the leader's limits after each of its answers; sentAt is when the poll was sent
-// that was answered, and heard the last news that the leader was told. One that has not heard
-// all entries yet adds limits and withdraws none.
-func (g *Gate) Follow(sentAt time.Time, heard Number, limits []Limit, settled bool) {
+// Follow applies the limits in a leader's response. sentAt is when the answered poll was sent,
+// and acknowledged the number of the last observation reported to the leader. A leader that is
+// not settled, that is, has not received reports from all entries yet, may add limits but
+// withdraws none.
+func (g *Gate) Follow(sentAt time.Time, acknowledged Number, limits []Limit, settled bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if len(limits)+len(g.lives) == 0 {
+	if len(limits)+len(g.upstreams) == 0 {
 		return
 	}
-	told := make(map[units.Life]bool, len(limits))
+	listed := make(map[units.Life]bool, len(limits))
 	for _, limit := range limits {
-		told[limit.Life] = true
-		known := g.lives[limit.Life]
+		listed[limit.Life] = true
+		known := g.upstreams[limit.Life]
 		if known == nil {
-			if g.lives == nil {
-				g.lives = make(map[units.Life]*gate)
+			if g.upstreams == nil {
+				g.upstreams = make(map[units.Life]*upstreamGate)
 			}
-			known = &gate{}
-			g.lives[limit.Life] = known
+			known = &upstreamGate{}
+			g.upstreams[limit.Life] = known
 		}
-		if known.news > heard {
+		if known.sequence > acknowledged {
 			continue
 		}
 		if !known.Stated || known.AnsweredAt.Before(limit.StatedAt) {
 			known.AnsweredAt = limit.StatedAt
 		}
-		known.trim(limit.Rate)
+		known.trimPermits(limit.Rate)
 		known.Life = limit.Life
 		known.Stated = true
 		known.Rate = limit.Rate
 	}
-	for life, known := range g.lives {
-		if settled && !told[life] && known.news <= heard && known.AnsweredAt.Before(sentAt) {
-			delete(g.lives, life)
+	for life, known := range g.upstreams {
+		if settled && !listed[life] && known.sequence <= acknowledged && known.AnsweredAt.Before(sentAt) {
+			delete(g.upstreams, life)
 		}
 	}
-	g.count()
+	g.updateLimitedCount()
 }
 
-// trim takes back what a lower limit leaves no room for of the permits of a higher one.
-func (known *gate) trim(rate units.CallRate) {
+// trimPermits reduces the permits granted under a higher limit in proportion to a lower one.
+func (known *upstreamGate) trimPermits(rate units.CallRate) {
 	if !known.Stated || rate >= known.Rate {
 		return
 	}
-	left := float64(rate / known.Rate)
+	remaining := float64(rate / known.Rate)
 	for i := range known.permits {
-		known.permits[i].calls = int(left * float64(known.permits[i].calls))
+		known.permits[i].calls = int(remaining * float64(known.permits[i].calls))
 	}
 	known.permits = slices.DeleteFunc(known.permits, func(p permit) bool { return p.calls == 0 })
 }
 
-func (g *Gate) count() {
-	limited := int64(0)
-	for _, known := range g.lives {
+func (g *Gate) updateLimitedCount() {
+	limitedCount := int64(0)
+	for _, known := range g.upstreams {
 		if known.Stated {
-			limited++
+			limitedCount++
 		}
 	}
-	g.limited.Store(limited)
+	g.limitedCount.Store(limitedCount)
 }
 
-// Led notes that the leader has answered, and how many entries there are.
-func (g *Gate) Led(now time.Time, entries int) {
+// Led records that the leader has responded, and the number of entries.
+func (g *Gate) Led(now time.Time, entryCount int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.leaderAt = now
-	g.entries = entries
+	g.leaderContactAt = now
+	g.entryCount = entryCount
 }
 
-// Permit lets so many calls go to an upstream, for a while after the poll was sent that asked
-// for them.
+// Permit adds permits for calls to an upstream; they expire permitTTL after the poll that
+// requested them was sent.
 func (g *Gate) Permit(sentAt time.Time, life units.Life, calls int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if known := g.lives[life]; known != nil && calls > 0 {
+	if known := g.upstreams[life]; known != nil && calls > 0 {
 		known.permits = append(known.permits, permit{
 			calls: calls,
-			until: sentAt.Add(permitTime),
+			until: sentAt.Add(permitTTL),
 		})
 	}
 }
 
 // Closed returns the upstreams that may get no call now, nil for none.
 func (g *Gate) Closed(now time.Time) map[units.Life]bool {
-	if g.limited.Load() == 0 {
+	if g.limitedCount.Load() == 0 {
 		return nil
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	closed := make(map[units.Life]bool)
-	for life, known := range g.lives {
-		if known.Stated && !g.open(now, known) {
+	for life, known := range g.upstreams {
+		if known.Stated && !g.isOpen(now, known) {
 			closed[life] = true
 		}
 	}
 	return closed
 }
 
-// Want notes that a call would have gone to an upstream that may get none.
+// Want records that a call would have gone to an upstream that may get none.
 func (g *Gate) Want(life units.Life) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if known := g.lives[life]; known != nil {
-		known.wanted = min(known.wanted+1, mostWanted)
+	if known := g.upstreams[life]; known != nil {
+		known.wanted = min(known.wanted+1, maxWanted)
 	}
 }
 
-// Take takes a permit for one call, and reports whether the call may go to the upstream.
+// Take uses one permit for a call and reports whether the call may go to the upstream.
 func (g *Gate) Take(now time.Time, life units.Life) bool {
-	if g.limited.Load() == 0 {
+	if g.limitedCount.Load() == 0 {
 		return true
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	known := g.lives[life]
+	known := g.upstreams[life]
 	if known == nil || !known.Stated {
 		return true
 	}
-	known.wanted = min(known.wanted+1, mostWanted)
-	if !g.open(now, known) {
+	known.wanted = min(known.wanted+1, maxWanted)
+	if !g.isOpen(now, known) {
 		return false
 	}
 	if len(known.permits) == 0 {
-		known.part--
+		known.leaderlessCalls--
 		return true
 	}
 	known.permits[0].calls--
@@ -219,43 +224,43 @@
 	return true
 }
 
-// open reports whether one call may go to an upstream with a limit.
-func (g *Gate) open(now time.Time, known *gate) bool {
+// isOpen reports whether one call may go to an upstream with a limit.
+func (g *Gate) isOpen(now time.Time, known *upstreamGate) bool {
 	known.permits = slices.DeleteFunc(known.permits, func(p permit) bool { return !now.Before(p.until) })
 	if len(known.permits) > 0 {
 		return true
 	}
-	return g.ownPart(now, known) >= 1
+	return g.accrueLeaderless(now, known) >= 1
 }
 
-// ownPart returns how many calls may go out without a leader. Nothing was saved up while there
-// was one: all entries lose it at the same time.
-func (g *Gate) ownPart(now time.Time, known *gate) float64 {
-	lostAt := g.leaderAt.Add(leaderPatience)
+// accrueLeaderless updates and returns how many calls may be sent without a leader. No calls
+// accrue while there is one, because all entries lose it at the same time.
+func (g *Gate) accrueLeaderless(now time.Time, known *upstreamGate) float64 {
+	lostAt := g.leaderContactAt.Add(leaderTimeout)
 	if now.Before(lostAt) {
-		known.part = 0
+		known.leaderlessCalls = 0
 		return 0
 	}
-	if known.partAt.Before(lostAt) {
-		known.partAt = lostAt
-		known.part = 0
+	if known.leaderlessAt.Before(lostAt) {
+		known.leaderlessAt = lostAt
+		known.leaderlessCalls = 0
 	}
-	pace := partUse * paceOf(known.Rate) / float64(max(1, g.entries))
-	known.part = min(1, known.part+pace*now.Sub(known.partAt).Seconds())
-	known.partAt = now
-	return known.part
+	rate := leaderlessFraction * effectiveRate(known.Rate) / float64(max(1, g.entryCount))
+	known.leaderlessCalls = min(1, known.leaderlessCalls+rate*now.Sub(known.leaderlessAt).Seconds())
+	known.leaderlessAt = now
+	return known.leaderlessCalls
 }
 
-// Wants returns for how many calls this entry wants permits, by upstream, and begins to count
-// anew.
+// Wants returns the number of calls for which this entry needs permits, by upstream, and resets
+// the counts.
 func (g *Gate) Wants(now time.Time) map[units.Life]int {
-	if g.limited.Load() == 0 {
+	if g.limitedCount.Load() == 0 {
 		return nil
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	wants := make(map[units.Life]int)
-	for life, known := range g.lives {
+	for life, known := range g.upstreams {
 		held := 0
 		for _, p := range known.permits {
 			if now.Before(p.until) {
@@ -270,24 +275,25 @@
 	return wants
 }
 
-// After returns what this entry has heard itself behind a number, in order.
+// After returns this entry's own observations after the given number, in order, and the number of
+// the last one.
 func (g *Gate) After(number Number) ([]Observation, Number) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.last == number {
+	if g.lastNumber == number {
 		return nil, number
 	}
 	fresh := make(map[Number]Observation)
-	for _, known := range g.lives {
-		if known.news > number {
-			fresh[known.news] = known.Observation
+	for _, known := range g.upstreams {
+		if known.sequence > number {
+			fresh[known.sequence] = known.Observation
 		}
 	}
 	var observations []Observation
 	for _, n := range slices.Sorted(maps.Keys(fresh)) {
 		observations = append(observations, fresh[n])
 	}
-	return observations, g.last
+	return observations, g.lastNumber
 }
 
 // Limits returns the limits that this entry knows, by upstream.
@@ -295,7 +301,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	limits := make(map[units.Life]units.CallRate)
-	for life, known := range g.lives {
+	for life, known := range g.upstreams {
 		if known.Stated {
 			limits[life] = known.Rate
 		}
--- a/src/pacer/observation.go
+++ b/src/pacer/observation.go
@@ -7,34 +7,34 @@
 )
 
 const (
-	// margin is by how much a call must have been sent after the last answer with a limit, so
-	// that one to it without a limit withdraws the limit. Answers overtake each other, and
-	// polls tell their age by no more than the time that they take.
-	margin = 500 * time.Millisecond
-	// permitTime is how long a permit may be used.
-	permitTime = time.Second
-	// leastRate is what an upstream gets that takes less, so that it can say that it takes
-	// more.
-	leastRate units.CallRate = 0.2
+	// withdrawMargin is how long after the last response with a limit a call must have been sent
+	// for its response without a limit to withdraw that limit. Responses overtake each other, and
+	// the ages that polls report are accurate only to within the poll's own duration.
+	withdrawMargin = 500 * time.Millisecond
+	// permitTTL is how long a permit may be used.
+	permitTTL = time.Second
+	// minRate is the rate for an upstream that states a lower limit, so that it can state a
+	// higher one in a response.
+	minRate units.CallRate = 0.2
 )
 
-// Observation is what an answer of an upstream says of how many calls it takes.
+// Observation is what an upstream's response states about its call rate.
 type Observation struct {
 	Life units.Life
-	// Stated is false where it takes as many as come.
+	// Stated is false where the upstream takes calls without limit.
 	Stated bool
 	Rate   units.CallRate
-	// AnsweredAt is when the answer came, SentAt when its call was sent.
+	// AnsweredAt is when the response arrived, SentAt when its call was sent.
 	AnsweredAt time.Time
 	SentAt     time.Time
 }
 
-// withdraws reports whether an answer without a limit shows that the one of an earlier answer
-// holds no more. An answer that was begun before the upstream was in need may come later than
-// one that states its limit.
-func (o Observation) withdraws(statedAt time.Time) bool {
-	return !o.Stated && o.SentAt.After(statedAt.Add(margin))
+// withdrawsLimit reports whether a response without a limit shows that the limit of an earlier
+// response no longer holds. The response to a call sent before the upstream was overloaded may
+// arrive after one that states its limit.
+func (o Observation) withdrawsLimit(statedAt time.Time) bool {
+	return !o.Stated && o.SentAt.After(statedAt.Add(withdrawMargin))
 }
 
-// paceOf returns the calls a second that may go to an upstream with a limit.
-func paceOf(limit units.CallRate) float64 { return float64(max(limit, leastRate)) }
+// effectiveRate returns the calls per second that may go to an upstream with a limit.
+func effectiveRate(limit units.CallRate) float64 { return float64(max(limit, minRate)) }
--- a/src/pacer/pacer_test.go
+++ b/src/pacer/pacer_test.go
@@ -11,55 +11,55 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// began is when the tests begin.
+// began is the start time of the tests.
 var began = time.Unix(1000, 0)
 
 const life units.Life = 7
 
-// fleet plays entries that poll a leader, an upstream that states a limit, and callers.
-type fleet struct {
+// testFleet simulates entries that poll a leader, an upstream that states a limit, and callers.
+type testFleet struct {
 	random  *rand.Rand
 	now     time.Time
 	divider *Divider
-	entries []*polling
+	entries []*testEntry
 	rate    units.CallRate
-	// sent holds when calls went to the upstream.
-	sent []time.Time
+	// sentAt holds when calls were sent to the upstream.
+	sentAt []time.Time
 }
 
-// polling is one entry.
-type polling struct {
+// testEntry is one entry.
+type testEntry struct {
 	name     units.Instance
 	gate     *Gate
-	next     time.Time
+	nextPoll time.Time
 	interval time.Duration
-	heard    Number
-	// work is how many calls a second its callers bring.
-	work float64
+	reported Number
+	// callRate is how many calls per second the entry's callers send.
+	callRate float64
 }
 
 const fleetStep = 5 * time.Millisecond
 
-func newFleet(random *rand.Rand, entries int, rate units.CallRate) *fleet {
-	f := &fleet{
+func newFleet(random *rand.Rand, entries int, rate units.CallRate) *testFleet {
+	f := &testFleet{
 		random:  random,
 		now:     began,
 		divider: &Divider{},
 		rate:    rate,
 	}
 	for i := range entries {
-		f.entries = append(f.entries, &polling{
+		f.entries = append(f.entries, &testEntry{
 			name:     units.Instance(fmt.Sprint("e", i)),
 			gate:     &Gate{},
-			next:     began.Add(time.Duration(random.Int64N(int64(200 * time.Millisecond)))),
+			nextPoll: began.Add(time.Duration(random.Int64N(int64(200 * time.Millisecond)))),
 			interval: time.Duration(50+random.IntN(150)) * time.Millisecond,
 		})
 	}
 	return f
 }
 
-// call sends a call of an entry where its gate lets it; the answer states the limit.
-func (f *fleet) call(e *polling) {
+// call sends a call from an entry if its gate allows it; the response states the limit.
+func (f *testFleet) call(e *testEntry) {
 	if f.rate >= 0 && e.gate.Closed(f.now)[life] {
 		e.gate.Want(life)
 		return
@@ -67,7 +67,7 @@
 	if !e.gate.Take(f.now, life) {
 		return
 	}
-	f.sent = append(f.sent, f.now)
+	f.sentAt = append(f.sentAt, f.now)
 	e.gate.Hear(Observation{
 		Life:       life,
 		Stated:     f.rate >= 0,
@@ -77,14 +77,14 @@
 	})
 }
 
-func (f *fleet) poll(e *polling) {
-	e.next = f.now.Add(e.interval)
-	heard, last := e.gate.After(e.heard)
-	for _, o := range heard {
+func (f *testFleet) poll(e *testEntry) {
+	e.nextPoll = f.now.Add(e.interval)
+	reported, last := e.gate.After(e.reported)
+	for _, o := range reported {
 		f.divider.Hear(f.now, o)
 	}
 	wants := e.gate.Wants(f.now)
-	e.heard = last
+	e.reported = last
 	limits, _ := f.divider.Limits()
 	e.gate.Led(f.now, len(f.entries))
 	e.gate.Follow(f.now, last, limits, true)
@@ -93,81 +93,83 @@
 	}
 }
 
-// play lets time pass; led says whether the leader answers.
-func (f *fleet) play(span time.Duration, led bool) {
+// advance advances the simulated time; led is whether the leader responds.
+func (f *testFleet) advance(span time.Duration, led bool) {
 	for end := f.now.Add(span); f.now.Before(end); f.now = f.now.Add(fleetStep) {
 		for _, e := range f.entries {
-			if led && !f.now.Before(e.next) {
+			if led && !f.now.Before(e.nextPoll) {
 				f.poll(e)
 			}
-			if f.random.Float64() < e.work*fleetStep.Seconds() {
+			if f.random.Float64() < e.callRate*fleetStep.Seconds() {
 				f.call(e)
 			}
 		}
 	}
 }
 
-// most returns the most calls in any span of 4 s that begins after a moment.
-func (f *fleet) most(after time.Time) int {
-	most := 0
-	for i, from := range f.sent {
+// maxCalls returns the largest number of calls in any span of 4 s that starts at or after the
+// given time.
+func (f *testFleet) maxCalls(after time.Time) int {
+	maxCalls := 0
+	for i, from := range f.sentAt {
 		if from.Before(after) {
 			continue
 		}
 		count := 0
-		for _, at := range f.sent[i:] {
+		for _, at := range f.sentAt[i:] {
 			if at.Sub(from) < 4*time.Second {
 				count++
 			}
 		}
-		most = max(most, count)
+		maxCalls = max(maxCalls, count)
 	}
-	return most
+	return maxCalls
 }
 
-// Guards against an upstream that gets more than it takes, or much less where there is work, at
-// any number of entries and any spread of the work, also while there is no leader.
-func TestFleetKeepsToALimit(t *testing.T) {
+// Guards against an upstream that gets more calls than its limit, or far fewer while there is
+// work, for any number of entries and any distribution of the work, also while there is no
+// leader.
+func TestFleetStaysWithinALimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		rate := units.CallRate(rapid.SampledFrom([]float64{0, 0.3, 1, 1.1, 2.5, 8, 40}).Draw(t, "rate"))
 		f := newFleet(random, rapid.IntRange(1, 60).Draw(t, "entries"), rate)
 		busy := rapid.IntRange(1, len(f.entries)).Draw(t, "busy entries")
 		for _, e := range f.entries[:busy] {
-			e.work = 120 / float64(busy)
+			e.callRate = 120 / float64(busy)
 		}
-		f.play(3*time.Second, true)
-		stated := f.now
-		f.play(8*time.Second, true)
-		led := f.now
+		f.advance(3*time.Second, true)
+		statedAt := f.now
+		f.advance(8*time.Second, true)
+		ledUntil := f.now
 		if rapid.Bool().Draw(t, "without a leader for a while") {
-			f.play(6*time.Second, false)
-			f.play(4*time.Second, true)
+			f.advance(6*time.Second, false)
+			f.advance(4*time.Second, true)
 		}
 		allowed := 1.5*float64(rate)*4 + 5
-		if got := f.most(stated); float64(got) > allowed {
-			t.Fatalf("in 4 s at a limit of %v over %d entries: got %d calls, want at most %.1f", rate, len(f.entries), got, allowed)
+		if got := f.maxCalls(statedAt); float64(got) > allowed {
+			t.Fatalf("calls in 4 s at a limit of %v over %d entries: got %d, want at most %.1f", rate, len(f.entries), got, allowed)
 		}
 		got := 0
-		for _, at := range f.sent {
-			if at.After(stated) && at.Before(led) {
+		for _, at := range f.sentAt {
+			if at.After(statedAt) && at.Before(ledUntil) {
 				got++
 			}
 		}
-		if least := 0.6*float64(rate)*led.Sub(stated).Seconds() - 2; float64(got) < least {
-			t.Fatalf("in %v at a limit of %v with %d of %d entries busy: got %d calls, want at least %.1f",
-				led.Sub(stated), rate, busy, len(f.entries), got, least)
+		if want := 0.6*float64(rate)*ledUntil.Sub(statedAt).Seconds() - 2; float64(got) < want {
+			t.Fatalf("calls in %v at a limit of %v with %d of %d entries busy: got %d, want at least %.1f",
+				ledUntil.Sub(statedAt), rate, busy, len(f.entries), got, want)
 		}
 	})
 }
 
-// Guards against an entry with work that never has its turn.
-func TestEveryEntryHasItsTurn(t *testing.T) {
+// Guards against an entry with work that is never granted permits.
+func TestEveryEntryIsGrantedPermits(t *testing.T) {
 	f := newFleet(rand.New(rand.NewPCG(1, 1)), 12, 4)
 	for _, e := range f.entries {
-		e.work = 30
+		e.callRate = 30
 	}
-	f.play(2*time.Second, true)
+	f.advance(2*time.Second, true)
 	granted := make(map[units.Instance]int)
 	for range 30 * 20 {
 		for _, e := range f.entries {
@@ -177,12 +179,13 @@
 	}
 	for _, e := range f.entries {
 		if granted[e.name] < 5 {
-			t.Errorf("%s: got %d permits in 30 s, want at least half of its part of 10", e.name, granted[e.name])
+			t.Errorf("%s: got %d permits in 30 s, want at least 5, half of its equal part of 10", e.name, granted[e.name])
 		}
 	}
 }
 
-// stated is an answer with a limit after so many milliseconds, free one without it.
+// stated returns an observation with a limit, answered after the given number of milliseconds;
+// unlimited returns one without a limit.
 func stated(rate units.CallRate, answered int) Observation {
 	return Observation{
 		Life:       life,
@@ -193,7 +196,7 @@
 	}
 }
 
-func free(sent, answered int) Observation {
+func unlimited(sent, answered int) Observation {
 	return Observation{
 		Life:       life,
 		AnsweredAt: at(answered),
@@ -203,29 +206,29 @@
 
 func at(ms int) time.Time { return began.Add(time.Duration(ms) * time.Millisecond) }
 
-// Guards against a limit that an older answer withdraws or restates, and against one that stays
-// after its end, whichever entry's news comes first.
-func TestLimitsByTheOrderOfAnswers(t *testing.T) {
+// Guards against a limit that an older response withdraws or restates, and against one that
+// remains after its withdrawal, whichever entry reports first.
+func TestLimitsFollowTheOrderOfResponses(t *testing.T) {
 	const none units.CallRate = -1
 	cases := map[string]struct {
-		heard []Observation
-		want  units.CallRate
+		observations []Observation
+		want         units.CallRate
 	}{
-		"none":                                 {heard: []Observation{free(0, 100)}, want: none},
-		"stated":                               {heard: []Observation{stated(2, 1000)}, want: 2},
-		"moved":                                {heard: []Observation{stated(2, 1000), stated(5, 2000)}, want: 5},
-		"an older one after it":                {heard: []Observation{stated(5, 2000), stated(2, 1000)}, want: 5},
-		"an answer that was begun before":      {heard: []Observation{stated(2, 1000), free(500, 3000)}, want: 2},
-		"an answer that was begun at about it": {heard: []Observation{stated(2, 1000), free(1300, 3000)}, want: 2},
-		"withdrawn":                            {heard: []Observation{stated(2, 1000), free(2000, 2100)}, want: none},
-		"withdrawn, and an older one after it": {heard: []Observation{stated(2, 1000), free(2000, 2100), stated(2, 900)}, want: none},
-		"withdrawn and stated again":           {heard: []Observation{stated(2, 1000), free(2000, 2100), stated(3, 2500)}, want: 3},
-		"stated later than it was withdrawn":   {heard: []Observation{stated(2, 1000), stated(2, 3000), free(2000, 2100)}, want: 2},
+		"none":                              {observations: []Observation{unlimited(0, 100)}, want: none},
+		"stated":                            {observations: []Observation{stated(2, 1000)}, want: 2},
+		"changed":                           {observations: []Observation{stated(2, 1000), stated(5, 2000)}, want: 5},
+		"older limit arrives later":         {observations: []Observation{stated(5, 2000), stated(2, 1000)}, want: 5},
+		"response to a call sent before it": {observations: []Observation{stated(2, 1000), unlimited(500, 3000)}, want: 2},
+		"response to a call sent within the margin": {observations: []Observation{stated(2, 1000), unlimited(1300, 3000)}, want: 2},
+		"withdrawn":                            {observations: []Observation{stated(2, 1000), unlimited(2000, 2100)}, want: none},
+		"withdrawn, older limit arrives later": {observations: []Observation{stated(2, 1000), unlimited(2000, 2100), stated(2, 900)}, want: none},
+		"withdrawn and stated again":           {observations: []Observation{stated(2, 1000), unlimited(2000, 2100), stated(3, 2500)}, want: 3},
+		"stated after the withdrawal":          {observations: []Observation{stated(2, 1000), stated(2, 3000), unlimited(2000, 2100)}, want: 2},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			d := &Divider{}
-			for _, o := range c.heard {
+			for _, o := range c.observations {
 				d.Hear(at(4000), o)
 			}
 			got := none
@@ -239,37 +242,37 @@
 	}
 }
 
-// Guards against an entry that forgets what it has heard for a leader that has not, and one
-// that keeps what the leader knows to be over.
-func TestEntryGoesByTheLeaderWhereItKnowsMore(t *testing.T) {
+// Guards against an entry that drops its own observation because the leader does not have it yet,
+// and one that keeps a limit that the leader knows to be withdrawn.
+func TestEntryAppliesTheLeadersNewerLimits(t *testing.T) {
 	limit := []Limit{{Life: life, Rate: 2, StatedAt: at(1000)}}
 	cases := map[string]struct {
-		heard   []Observation
-		told    Number
-		limits  []Limit
-		settled bool
-		want    bool
+		observations []Observation
+		acknowledged Number
+		limits       []Limit
+		settled      bool
+		want         bool
 	}{
-		"nobody knows one":               {settled: true},
-		"told by the leader":             {limits: limit, settled: true, want: true},
-		"heard, and not told yet":        {heard: []Observation{stated(2, 1000)}, settled: true, want: true},
-		"heard and told, and over":       {heard: []Observation{stated(2, 1000)}, told: 1, settled: true},
-		"told to a leader that is new":   {heard: []Observation{stated(2, 1000)}, told: 1, want: true},
-		"withdrawn, and not told yet":    {heard: []Observation{stated(2, 1000), free(2000, 2100)}, told: 1, limits: limit, settled: true},
-		"withdrawn, the leader knows it": {heard: []Observation{stated(2, 1000), free(2000, 2100)}, told: 2, settled: true},
-		"withdrawn, and stated to others": {
-			heard: []Observation{stated(2, 1000), free(2000, 2100)}, told: 2, settled: true,
+		"no limit known":                           {settled: true},
+		"known from the leader":                    {limits: limit, settled: true, want: true},
+		"observed, not reported yet":               {observations: []Observation{stated(2, 1000)}, settled: true, want: true},
+		"observed and reported, then withdrawn":    {observations: []Observation{stated(2, 1000)}, acknowledged: 1, settled: true},
+		"reported to a leader that is not settled": {observations: []Observation{stated(2, 1000)}, acknowledged: 1, want: true},
+		"withdrawal not reported yet":              {observations: []Observation{stated(2, 1000), unlimited(2000, 2100)}, acknowledged: 1, limits: limit, settled: true},
+		"withdrawal reported":                      {observations: []Observation{stated(2, 1000), unlimited(2000, 2100)}, acknowledged: 2, settled: true},
+		"withdrawn, then stated to other entries": {
+			observations: []Observation{stated(2, 1000), unlimited(2000, 2100)}, acknowledged: 2, settled: true,
 			limits: []Limit{{Life: life, Rate: 2, StatedAt: at(3000)}}, want: true,
 		},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			g := &Gate{}
-			for _, o := range c.heard {
+			for _, o := range c.observations {
 				g.Hear(o)
 			}
 			g.Led(at(5000), 3)
-			g.Follow(at(5000), c.told, c.limits, c.settled)
+			g.Follow(at(5000), c.acknowledged, c.limits, c.settled)
 			if got := g.Closed(at(5000))[life]; got != c.want {
 				t.Errorf("closed: got %t, want %t", got, c.want)
 			}
@@ -277,8 +280,8 @@
 	}
 }
 
-// Guards against permits that are used later than they hold, as by a process that was suspended,
-// or twice.
+// Guards against permits that are used after their expiry, as by a process that was suspended, or
+// twice.
 func TestPermits(t *testing.T) {
 	cases := map[string]struct {
 		permits int
@@ -286,11 +289,11 @@
 		after   time.Duration
 		want    bool
 	}{
-		"none":             {},
-		"one":              {permits: 1, want: true},
-		"one that is used": {permits: 1, taken: 1},
-		"two, one is used": {permits: 2, taken: 1, want: true},
-		"one that is old":  {permits: 1, after: permitTime},
+		"none":          {},
+		"one":           {permits: 1, want: true},
+		"one, used":     {permits: 1, taken: 1},
+		"two, one used": {permits: 2, taken: 1, want: true},
+		"one, expired":  {permits: 1, after: permitTTL},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -301,7 +304,7 @@
 			g.Permit(now, life, c.permits)
 			for range c.taken {
 				if !g.Take(now, life) {
-					t.Fatal("a permit that was given: got it refused, want it taken")
+					t.Fatal("call with a valid permit: got refused, want allowed")
 				}
 			}
 			now = now.Add(c.after)
@@ -315,14 +318,15 @@
 	}
 }
 
-// Guards against an upstream that lowers its limit and gets the calls of the higher one for as
-// long as their permits hold, whoever tells of it.
-func TestLowerLimitTakesPermitsBack(t *testing.T) {
+// Guards against an upstream that lowers its limit but gets the calls of the higher limit until
+// the permits expire, whether the entry receives the lower limit in a response or from the
+// leader.
+func TestLowerLimitRevokesPermits(t *testing.T) {
 	lower := map[string]func(g *Gate, now time.Time){
 		"by an answer":  func(g *Gate, now time.Time) { g.Hear(Observation{Life: life, Stated: true, Rate: 1, AnsweredAt: now}) },
 		"by the leader": func(g *Gate, now time.Time) { g.Follow(now, 9, []Limit{{Life: life, Rate: 1, StatedAt: now}}, true) },
 	}
-	for name, tell := range lower {
+	for name, report := range lower {
 		t.Run(name, func(t *testing.T) {
 			g := &Gate{}
 			now := at(100)
@@ -330,20 +334,20 @@
 			g.Led(now, 3)
 			g.Permit(now, life, 8)
 			g.Permit(now, life, 12)
-			tell(g, now.Add(time.Millisecond))
+			report(g, now.Add(time.Millisecond))
 			taken := 0
 			for g.Take(now.Add(2*time.Millisecond), life) {
 				taken++
 			}
 			if want := 1; taken != want {
-				t.Errorf("calls by 20 permits at a limit of 10 that is 1 now: got %d, want %d", taken, want)
+				t.Errorf("calls with 20 permits after the limit fell from 10 to 1: got %d, want %d", taken, want)
 			}
 		})
 	}
 }
 
-// Guards against limits of upstreams that have ended, which nothing withdraws: the next life
-// knows nothing of them.
+// Guards against limits of upstreams that no longer exist and that nothing would withdraw, since
+// the upstream's next incarnation does not know of them.
 func TestLimitsEndWithTheirUpstream(t *testing.T) {
 	d := &Divider{}
 	d.Hear(at(0), stated(2, 0))
@@ -351,25 +355,25 @@
 	d.Keep(at(100), func(units.Life) bool { return false })
 	limits, after := d.Limits()
 	if len(limits) > 0 || after == before {
-		t.Errorf("limits: got %v at version %d after %d, want none at another version", limits, after, before)
+		t.Errorf("limits: got %v at version %d after version %d, want none at another version", limits, after, before)
 	}
 	if got := d.Grant(at(200), "e", life, 3); got != 0 {
-		t.Errorf("permits: got %d, want none without a limit", got)
+		t.Errorf("permits: got %d, want 0 without a limit", got)
 	}
 }
 
-// Guards against a fleet that orders nothing though its upstreams take less than there is, and
-// one that orders for limits that nobody comes near.
+// Guards against a fleet that orders no instances although its upstreams take fewer calls than
+// there are, and one that orders instances because of limits that its load does not approach.
 func TestShortUpstreams(t *testing.T) {
 	d := &Divider{}
 	d.Hear(at(0), stated(100, 0))
 	if d.Grant(at(1000), "e", life, 3) != 3 || d.Short(at(1000), life) {
-		t.Error("far below its limit: got it short, want all permits")
+		t.Error("demand far below the limit: got a shortage or too few permits, want all permits and no shortage")
 	}
 	if d.Grant(at(1000), "e", life, 60); !d.Short(at(1000), life) {
-		t.Error("beyond its limit: got it not short, want it short")
+		t.Error("demand beyond the limit: got no shortage, want one")
 	}
-	if d.Short(at(1000).Add(shortFor), life) {
-		t.Error("long after: got it short, want it not")
+	if d.Short(at(1000).Add(shortageTTL), life) {
+		t.Error("shortageTTL after the last denied call: got a shortage, want none")
 	}
 }
