--- a/src/apportioner/allocator.go
+++ b/src/apportioner/allocator.go
@@ -214,7 +214,7 @@
 }
 
 // initialLevel returns the level of an account's bucket once this instance has
-// heard from the entries for the first time.
+// received the entries' first polls.
 //
 // A leader that guesses could give out again what its predecessor already gave out:
 // if two leaders are lost within one window, an account could run more than its
