--- a/src/scaler/doc.go
+++ b/src/scaler/doc.go
@@ -1,17 +1,17 @@
-// Package scaler decides how many upstreams of a service to order, where, and at which price.
+// Package scaler decides how many upstreams of a service to order, in which data centres, and
+// whether reclaimable or on-demand.
 //
-// The load it answers: calls swell and ebb by a third within some tens of
-// seconds and burst to half as much again; reclaimable upstreams cost a fifth but
-// a whole data centre of them is taken back at some seconds of notice, several
-// times a day, and then for a while none are to be had anywhere. An upstream
-// takes seconds to start, so that nothing can be ordered in time for a burst.
+// It is designed for this load: the call rate rises and falls by a third within some tens of
+// seconds and has bursts of half as much again. Reclaimable upstreams cost a fifth of the
+// on-demand price, but a whole data centre of them is reclaimed with some seconds of notice,
+// several times a day, and for a while afterwards none are available anywhere. An upstream
+// takes seconds to start, so nothing can be ordered in time for a burst.
 //
-// The measure is the work of reading prompts that is asked for: the tokens that
-// upstreams are likely to have to read, times how long one takes where nothing
-// queues. It does not depend on how many upstreams there are. How many calls wait
-// does: once upstreams are too few it grows without bound, and a plan by it orders
-// several times what is needed. The plan holds so many reclaimable upstreams in each
-// data centre that the loss of any two leaves the whole objective; what is then
-// missing is ordered at the full price from the notice on, which a good part of the
-// time to start goes before.
+// The load is measured as the prefill work demanded: the tokens that upstreams are likely to
+// have to read, times the time for one token without queueing. It does not depend on the number
+// of upstreams. The number of waiting calls does: with too few upstreams it grows without
+// bound, and a plan based on it would order several times what is needed. The plan holds enough
+// reclaimable upstreams in each data centre that the loss of any two still leaves the whole
+// objective. What is then missing is ordered on demand as soon as the notice arrives, which
+// covers a good part of the start time.
 package scaler
--- /dev/null
+++ b/src/scaler/loadmeter.go
@@ -0,0 +1,123 @@
+package scaler
+
+import (
+	"slices"
+	"time"
+
+	"github.com/rosecroft/rosecroft/src/units"
+)
+
+// totalsExpiry is how long an entry's load counts without a poll. It spans several polls,
+// enough for a restart of the leader's process or a lost connection.
+const totalsExpiry = 1500 * time.Millisecond
+
+// Totals are one entry's counters of a service since the entry started.
+type Totals struct {
+	// Tokens is the estimated number of prompt tokens that upstreams had to read.
+	Tokens float64
+	// Calls is the number of admitted calls, CallSeconds the total time that they were in
+	// flight.
+	Calls       float64
+	CallSeconds float64
+	// Each is how many seconds a token takes to read; 0 if unknown.
+	Each float64
+}
+
+// Survey derives the load over all entries from their counters; it is a state machine without a
+// clock.
+//
+// It takes every poll into account, not only the last one before each plan: by single polls the
+// demand is zero at one plan and many times the mean at another, and a plan follows such peaks
+// at once and falls slowly.
+type Survey struct {
+	entries map[units.Instance]*entryRecord
+}
+
+// entryRecord holds one entry's counters between two measurements.
+type entryRecord struct {
+	incarnation units.Incarnation
+	// latest is the entry's last report, base its last report at the previous measurement.
+	latest report
+	base   report
+	rates  map[units.Service]Load
+}
+
+type report struct {
+	at     time.Time
+	totals map[units.Service]Totals
+}
+
+// Hear records an entry's counters of the services since its start.
+func (s *Survey) Hear(now time.Time, entry units.Instance, incarnation units.Incarnation, totals map[units.Service]Totals) {
+	if s.entries == nil {
+		s.entries = make(map[units.Instance]*entryRecord)
+	}
+	latest := report{
+		at:     now,
+		totals: totals,
+	}
+	record := s.entries[entry]
+	if record == nil || record.incarnation != incarnation {
+		s.entries[entry] = &entryRecord{
+			incarnation: incarnation,
+			latest:      latest,
+			base:        latest,
+		}
+		return
+	}
+	record.latest = latest
+}
+
+// Measure returns the load of each service since the last measurement.
+func (s *Survey) Measure(now time.Time) map[units.Service]Load {
+	sums := make(map[units.Service]Load)
+	costs := make(map[units.Service][]float64)
+	for name, e := range s.entries {
+		if now.Sub(e.latest.at) > totalsExpiry {
+			delete(s.entries, name)
+			continue
+		}
+		e.measure()
+		for service, rate := range e.rates {
+			sum := sums[service]
+			sum.Asked += rate.Asked
+			sum.Running += rate.Running
+			sums[service] = sum
+			if rate.Each > 0 {
+				costs[service] = append(costs[service], rate.Each)
+			}
+		}
+	}
+	for service, values := range costs {
+		sum := sums[service]
+		// The median, since an entry that has seen few calls may be far off.
+		slices.Sort(values)
+		sum.Each = values[len(values)/2]
+		sums[service] = sum
+	}
+	return sums
+}
+
+// measure computes the entry's rates since the last measurement; an entry that has not reported
+// since keeps its previous rates.
+func (e *entryRecord) measure() {
+	elapsed := e.latest.at.Sub(e.base.at).Seconds()
+	if elapsed <= 0 {
+		return
+	}
+	e.rates = make(map[units.Service]Load, len(e.latest.totals))
+	for service, now := range e.latest.totals {
+		before := e.base.totals[service]
+		demand := now.Tokens - before.Tokens
+		if now.Tokens == 0 {
+			// A service without prompts is measured by its calls.
+			demand = now.Calls - before.Calls
+		}
+		e.rates[service] = Load{
+			Asked:   demand / elapsed,
+			Each:    now.Each,
+			Running: (now.CallSeconds - before.CallSeconds) / elapsed,
+		}
+	}
+	e.base = e.latest
+}
--- a/src/scaler/order.go
+++ b/src/scaler/order.go
@@ -6,87 +6,88 @@
 	"github.com/rosecroft/rosecroft/src/matcher"
 )
 
-// Order asks for a number of upstreams of one kind.
+// Order asks for a total number of upstreams in one pool.
 type Order struct {
 	Kind
 	Count int
 }
 
-// placed is the last order of a kind, given when there were had of it.
-type placed struct {
-	count int
-	had   int
-	at    time.Time
+// placedOrder is the last order of a pool; readyBefore is how many of its upstreams took calls
+// when it was placed.
+type placedOrder struct {
+	count       int
+	readyBefore int
+	placedAt    time.Time
 }
 
-// order says whether a kind's order is to be given now.
-func (s *Scaler) order(now time.Time, service *matcher.Service, want Order, stock Stock, needed need) (Order, bool) {
-	kind := want.Kind
-	last, known := s.ordered[kind]
-	have := stock[kind]
+// nextOrder returns the order to place for a pool now, and whether one is due.
+func (s *Scaler) nextOrder(now time.Time, service *matcher.Service, want Order, current Stock, required requirement) (Order, bool) {
+	pool := want.Kind
+	last, known := s.ordered[pool]
+	ready := current[pool]
 	if !known {
-		last.count = have
+		last.count = ready
 	}
-	if s.isDry(now, kind) || !kind.Reclaimable && s.fresh && now.Sub(s.stepped) < announced {
+	if s.isSoldOut(now, pool) || !pool.Reclaimable && s.startedIdle && now.Sub(s.firstStepAt) < announceWait {
 		return Order{}, false
 	}
 	if want.Count < last.count {
-		want.Count = s.giveBack(now, last, want.Count, stock, needed)
+		want.Count = s.scaleDown(now, last, want.Count, current, required)
 	}
-	settled := have == want.Count || known && now.Sub(last.at) < repeat(service, have < want.Count)
+	settled := ready == want.Count || known && now.Sub(last.placedAt) < effectTimeout(service, ready < want.Count)
 	if want.Count == last.count && settled {
 		return Order{}, false
 	}
-	s.ordered[kind] = placed{
-		count: want.Count,
-		had:   have,
-		at:    now,
+	s.ordered[pool] = placedOrder{
+		count:       want.Count,
+		readyBefore: ready,
+		placedAt:    now,
 	}
 	return want, true
 }
 
-// repeat returns how long an order may take to show.
-func repeat(service *matcher.Service, missing bool) time.Duration {
-	if missing {
-		return service.Scaling.Boot + late
+// effectTimeout returns how long an order may take to show in the number of upstreams.
+func effectTimeout(service *matcher.Service, scaleUp bool) time.Duration {
+	if scaleUp {
+		return service.Scaling.Boot + startGrace
 	}
-	return slow
+	return stopTimeout
 }
 
-// giveBack returns the lower number to order: a few at a time, and only while more
-// than what is needed takes calls without them.
+// scaleDown returns the lower number to order: it releases a few at a time, and only while more
+// than the required number takes calls without them.
 //
-// Without the wait the upstreams at the start would go before those that stand in
-// for them have come, and every caller of those seconds would be late. One at a time,
-// a large fleet would pay the full price for a minute after a dry spell of seconds.
-func (s *Scaler) giveBack(now time.Time, last placed, want int, stock Stock, needed need) int {
+// Without the wait, the initial upstreams would go before their replacements have come, and
+// every call of those seconds would be late. Released one at a time, a large fleet would cost
+// the on-demand price for a minute after reclaimable upstreams were unavailable for seconds.
+func (s *Scaler) scaleDown(now time.Time, last placedOrder, want int, current Stock, required requirement) int {
 	ready := 0
-	for kind, count := range stock {
-		if ordered, known := s.ordered[kind]; known {
-			// What was given back may still take calls for a moment.
+	for pool, count := range current {
+		if ordered, known := s.ordered[pool]; known {
+			// Released upstreams may still take calls for a moment.
 			count = min(count, ordered.count)
 		}
 		ready += count
 	}
-	unknown := s.first == 0 && (s.began.IsZero() || now.Sub(s.began) < settle)
-	surplus := ready - needed.kept()
-	if s.fresh && s.began.IsZero() {
-		// Nobody calls yet, and what takes their place is there.
+	unknown := s.initialUpstreams == 0 && (s.firstCallAt.IsZero() || now.Sub(s.firstCallAt) < warmUp)
+	surplus := ready - required.scaleDownFloor()
+	if s.startedIdle && s.firstCallAt.IsZero() {
+		// There are no calls yet, and the replacements are ready.
 		return max(want, last.count-max(0, surplus))
 	}
-	if unknown || now.Sub(last.at) < backPause || surplus < 1 {
+	if unknown || now.Sub(last.placedAt) < scaleDownInterval || surplus < 1 {
 		return last.count
 	}
-	return max(want, last.count-min(surplus, 1+last.count/backPart))
+	return max(want, last.count-min(surplus, 1+last.count/scaleDownDivisor))
 }
 
-// Refused notes that a kind is not to be had now.
-func (s *Scaler) Refused(now time.Time, kind Kind) {
-	if kind.Reclaimable {
-		s.dryAt[kind] = now
+// Refused records that a pool has no upstreams available now.
+func (s *Scaler) Refused(now time.Time, pool Kind) {
+	if pool.Reclaimable {
+		s.refusedAt[pool] = now
 	}
-	delete(s.ordered, kind)
+	delete(s.ordered, pool)
 }
 
-// Failed notes that nobody knows what became of an order; it is given again.
-func (s *Scaler) Failed(kind Kind) { delete(s.ordered, kind) }
+// Failed records that the outcome of an order is unknown; it is placed again.
+func (s *Scaler) Failed(pool Kind) { delete(s.ordered, pool) }
--- a/src/scaler/plan.go
+++ b/src/scaler/plan.go
@@ -9,108 +9,110 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// plan spreads what is needed over kinds.
-func (s *Scaler) plan(now time.Time, service *matcher.Service, needed need, stock Stock) Stock {
+// plan distributes the required upstreams over pools.
+func (s *Scaler) plan(now time.Time, service *matcher.Service, required requirement, current Stock) Stock {
 	plan := make(Stock)
-	centres := byPrice(service)
-	dry := s.dryCentres(centres, stock)
-	each := needed.each(len(centres)-dry, dry)
-	standing := make(map[units.DataCentre]int)
+	centres := dataCentresByPrice(service)
+	soldOut := s.soldOutDataCentres(centres, current)
+	perDataCentre := required.perDataCentre(len(centres)-soldOut, soldOut)
+	readyOrStarting := make(map[units.DataCentre]int)
 	total := 0
 	for _, centre := range centres {
-		kind := Kind{
+		pool := Kind{
 			DataCentre:  centre,
 			Reclaimable: true,
 		}
-		plan[kind] = min(each, s.room(now, service, kind, stock))
-		standing[centre] = s.standing(now, service, kind, plan[kind], stock)
-		total += standing[centre]
+		plan[pool] = min(perDataCentre, s.maxReclaimable(now, service, pool, current))
+		readyOrStarting[centre] = s.readyOrStarting(now, service, pool, plan[pool], current)
+		total += readyOrStarting[centre]
 	}
-	// What reclaimable ones cannot carry now is ordered at the full price.
-	s.firm(plan, centres, standing, max(0, needed.least()-total), service.Scaling)
+	// What reclaimable upstreams cannot carry now is ordered on demand.
+	s.planOnDemand(plan, centres, readyOrStarting, max(0, required.minReady()-total), service.Scaling)
 	return plan
 }
 
-// room returns how many reclaimable upstreams a data centre may have.
+// maxReclaimable returns how many reclaimable upstreams a data centre may have.
 //
-// Places of those at the full price are taken until they have left. A kind that is
-// not to be had takes no more places than it has: kept free for it, they would lack
-// those that stand in for it, and a fleet whose data centres are full would order
-// nothing while half of it is taken back.
-func (s *Scaler) room(now time.Time, service *matcher.Service, kind Kind, stock Stock) int {
-	firm := Kind{DataCentre: kind.DataCentre}
-	room := max(0, service.Scaling.Most-max(stock[firm], s.ordered[firm].count))
-	if s.isDry(now, kind) {
-		return min(room, stock[kind])
+// On-demand upstreams count against the data centre's maximum until they have left. A pool that
+// is sold out gets no more than it already has: capacity kept free for it would be missing for
+// its on-demand replacements, and a fleet whose data centres are full would order nothing while
+// half of it is reclaimed.
+func (s *Scaler) maxReclaimable(now time.Time, service *matcher.Service, pool Kind, current Stock) int {
+	onDemand := Kind{DataCentre: pool.DataCentre}
+	maxReclaimable := max(0, service.Scaling.Most-max(current[onDemand], s.ordered[onDemand].count))
+	if s.isSoldOut(now, pool) {
+		return min(maxReclaimable, current[pool])
 	}
-	return room
+	return maxReclaimable
 }
 
-// isDry reports whether a kind was not to be had a moment ago.
-func (s *Scaler) isDry(now time.Time, kind Kind) bool {
-	at := s.dryAt[kind]
-	return !at.IsZero() && now.Sub(at) < dry
+// isSoldOut reports whether an order of a pool was refused within refusalBackoff.
+func (s *Scaler) isSoldOut(now time.Time, pool Kind) bool {
+	at := s.refusedAt[pool]
+	return !at.IsZero() && now.Sub(at) < refusalBackoff
 }
 
-// dryCentres returns how many data centres have no reclaimable upstreams and had none to
-// give when asked last. They count until some have come: each try would else spread the
-// plan over data centres that give none, and take it back at the refusal.
-func (s *Scaler) dryCentres(centres []units.DataCentre, stock Stock) int {
-	dry := 0
+// soldOutDataCentres returns how many data centres have no reclaimable upstreams and refused
+// the last order for some. They count until some have come: otherwise each retry would spread
+// the plan over data centres that have none available, and the refusal would revert it.
+func (s *Scaler) soldOutDataCentres(centres []units.DataCentre, current Stock) int {
+	soldOut := 0
 	for _, centre := range centres {
-		kind := Kind{
+		pool := Kind{
 			DataCentre:  centre,
 			Reclaimable: true,
 		}
-		if stock[kind] > 0 {
+		if current[pool] > 0 {
 			continue
 		}
-		if !s.dryAt[kind].IsZero() {
-			dry++
+		if !s.refusedAt[pool].IsZero() {
+			soldOut++
 		}
 	}
-	return dry
+	return soldOut
 }
 
-// standing returns how many of a kind take calls or are about to.
+// readyOrStarting returns how many upstreams of a pool take calls or are about to.
 //
-// Only what an order asked for beyond those that were there is about to come, and
-// only for as long as it may take to start. Counted for more, upstreams that were
-// taken back since would be missed by nobody.
-func (s *Scaler) standing(now time.Time, service *matcher.Service, kind Kind, want int, stock Stock) int {
-	last, known := s.ordered[kind]
-	coming := 0
-	if known && now.Sub(last.at) < repeat(service, true) {
-		coming = max(0, last.count-last.had)
+// Only what an order asked for beyond those already there is about to come, and only for as
+// long as a start may take. If more were counted, the loss of upstreams that were reclaimed
+// since the order would go unnoticed.
+func (s *Scaler) readyOrStarting(now time.Time, service *matcher.Service, pool Kind, want int, current Stock) int {
+	last, known := s.ordered[pool]
+	starting := 0
+	if known && now.Sub(last.placedAt) < effectTimeout(service, true) {
+		starting = max(0, last.count-last.readyBefore)
 	}
-	if s.isDry(now, kind) {
-		coming = 0
+	if s.isSoldOut(now, pool) {
+		starting = 0
 	}
-	return min(want, stock[kind]+coming)
+	return min(want, current[pool]+starting)
 }
 
-// firm places the upstreams of the full price, the cheapest data centres first
-// but no more than half of them in one, so that no fault of one takes them all.
+// planOnDemand distributes the on-demand upstreams, cheapest data centres first but no more
+// than half of them in one, so that no fault of one data centre takes them all.
 //
-// The least that a data centre must have counts what stands there, and not what is
+// The minimum of a data centre counts the upstreams that are ready or starting there, not those
+// that are wanted: while no reclaimable ones are available, each retry for them would release
+// the on-demand one, and order it again when the retry is refused.
 // wanted: while none are to be had, each new try for reclaimable ones would give the one
 // at the full price back, and order it again when the try is refused.
-func (s *Scaler) firm(plan Stock, centres []units.DataCentre, standing map[units.DataCentre]int, count int, scaling *matcher.Scaling) {
+func (s *Scaler) planOnDemand(plan Stock, centres []units.DataCentre, readyOrStarting map[units.DataCentre]int, count int, scaling *matcher.Scaling) {
 	half := (count + 1) / 2
 	for _, centre := range centres {
 		reclaimable := plan[Kind{
 			DataCentre:  centre,
 			Reclaimable: true,
 		}]
-		part := min(count, half, max(0, scaling.Most-reclaimable))
-		part = max(part, min(scaling.Least-standing[centre], scaling.Most-reclaimable))
-		plan[Kind{DataCentre: centre}] = part
-		count = max(0, count-part)
+		assigned := min(count, half, max(0, scaling.Most-reclaimable))
+		assigned = max(assigned, min(scaling.Least-readyOrStarting[centre], scaling.Most-reclaimable))
+		plan[Kind{DataCentre: centre}] = assigned
+		count = max(0, count-assigned)
 	}
 }
 
-// byPrice returns the data centres, the cheapest first.
-func byPrice(service *matcher.Service) []units.DataCentre {
+// dataCentresByPrice returns the data centres, cheapest first.
+func dataCentresByPrice(service *matcher.Service) []units.DataCentre {
 	centres := make([]units.DataCentre, 0, len(service.Scaling.Prices))
 	for centre := range service.Scaling.Prices {
 		centres = append(centres, centre)
@@ -121,17 +123,17 @@
 	return centres
 }
 
-// kindsOf returns all kinds, the reclaimable first: they stand in for those at
-// the full price that are given back.
-func kindsOf(service *matcher.Service) []Kind {
-	var kinds []Kind
+// poolsOf returns all pools, reclaimable ones first, since they replace the on-demand upstreams
+// that are released.
+func poolsOf(service *matcher.Service) []Kind {
+	var pools []Kind
 	for _, reclaimable := range []bool{true, false} {
-		for _, centre := range byPrice(service) {
-			kinds = append(kinds, Kind{
+		for _, centre := range dataCentresByPrice(service) {
+			pools = append(pools, Kind{
 				DataCentre:  centre,
 				Reclaimable: reclaimable,
 			})
 		}
 	}
-	return kinds
+	return pools
 }
--- a/src/scaler/scaler.go
+++ b/src/scaler/scaler.go
@@ -9,186 +9,189 @@
 )
 
 const (
-	// safety is how many upstreams there are beyond those that reading alone keeps
-	// busy, in square roots of that number: the clumps of a larger load are a smaller
-	// part of it. Prompts differ a hundredfold in length, and the queue behind a long
-	// one outlasts the objective of the short ones.
-	safety = 3.5
-	// full is the part of an upstream's places that may be taken.
-	full = 0.5
-	// spare is added to what the places need: a clump of calls at one upstream is more
-	// than the mean.
-	spare = 0.7
-	// lostCentres is how many data centres of reclaimable upstreams may be gone at
-	// once while what is needed still stands: a second is taken back while the
-	// first is not to be had again.
-	lostCentres = 2
-	// leastEach is how many reclaimable upstreams each data centre has at least.
-	// They cost little, and none are to be had when the load shows that they are
-	// missing.
-	leastEach = 2
-	// margin is how much more than what is needed takes calls before one that
-	// costs the full price is given back.
-	margin = 1.2
-	// backPause is the time between two orders for fewer of a kind, in which the load
-	// shows whether they are missed, and 1 in backPart of them may go in one.
-	backPause = 600 * time.Millisecond
-	backPart  = 10
-	// steady takes the noise of single clumps out of the measure of load, fall
-	// lets it go down: over a good part of a wave, so that an ebb of some seconds
-	// gives nothing back that the next clump needs.
-	steady = 3 * time.Second
-	fall   = 10 * time.Second
-	// forget is how slowly a token may become dearer: slower upstreams stay so, a
-	// queue is gone before.
-	forget = 30 * time.Second
-	// dearer bounds what a token may come to when it becomes dearer: a queue makes
-	// it many times as long at once, slower upstreams do not.
-	dearer = 1.5
-	// late is how long beyond its start an upstream may take to show before its
-	// order is given again, and slow how long one that is given back may take to
-	// leave: the platform may carry orders out seconds late, and may lose them.
-	late = 1500 * time.Millisecond
-	slow = 8 * time.Second
-	// dry is how long a kind that was not to be had is left alone.
-	dry = 3 * time.Second
-	// announced is how long the upstreams of the start may take to announce themselves:
-	// some heartbeats. An order is for a number in all, and one by those that have
-	// would give the others back.
-	announced = 3 * time.Second
-	// settle is how long the load is measured before it counts as known: it is
-	// smoothed over seconds, and rises from nothing.
-	settle = 8 * time.Second
+	// safetyFactor is the coefficient of square-root staffing: the plan adds safetyFactor times
+	// the square root of the number of upstreams that prefill alone keeps busy, since the
+	// bursts of a larger load are a smaller part of it. Prompts differ a hundredfold in length,
+	// and the queue behind a long one outlasts the objective of the short ones.
+	safetyFactor = 3.5
+	// maxSlotUtilization is the fraction of an upstream's slots that may be in use.
+	maxSlotUtilization = 0.5
+	// spareUpstreams is added to the number that the slots need: a burst of calls at one
+	// upstream exceeds the mean.
+	spareUpstreams = 0.7
+	// toleratedLosses is how many data centres of reclaimable upstreams may be gone at once
+	// while the required number is still there: a second one is reclaimed while the first is
+	// still unavailable.
+	toleratedLosses = 2
+	// minPerDataCentre is the minimum of reclaimable upstreams in each data centre. They cost
+	// little, and none are available once the load shows that they are missing.
+	minPerDataCentre = 2
+	// scaleDownMargin is the ratio of ready to required upstreams above which an on-demand one
+	// is released.
+	scaleDownMargin = 1.2
+	// scaleDownInterval is the time between two orders that shrink a pool, in which the load
+	// shows whether the released upstreams are missed. One order may release 1 in
+	// scaleDownDivisor of them.
+	scaleDownInterval = 600 * time.Millisecond
+	scaleDownDivisor  = 10
+	// smoothingPeriod removes the noise of single bursts from the measured load. decayPeriod
+	// lets it fall over a good part of a load cycle, so that a dip of some seconds releases
+	// nothing that the next burst needs.
+	smoothingPeriod = 3 * time.Second
+	decayPeriod     = 10 * time.Second
+	// costRisePeriod is the time constant with which the cost of a token may rise: slower
+	// upstreams stay slow, a queue is gone before.
+	costRisePeriod = 30 * time.Second
+	// maxCostRise bounds the ratio by which the cost of a token may rise: a queue multiplies it
+	// at once, slower upstreams do not.
+	maxCostRise = 1.5
+	// startGrace is how long beyond its start time an upstream may take to show before its
+	// order is placed again. stopTimeout is how long a released one may take to leave. The
+	// platform may carry orders out seconds late, and may lose them.
+	startGrace  = 1500 * time.Millisecond
+	stopTimeout = 8 * time.Second
+	// refusalBackoff is how long a pool is not ordered from after a refusal.
+	refusalBackoff = 3 * time.Second
+	// announceWait is how long the initial upstreams may take to announce themselves: some
+	// heartbeats. An order is for a total number, and one that counts only those that have
+	// announced themselves would release the others.
+	announceWait = 3 * time.Second
+	// warmUp is how long the load is measured before it counts as known: it is smoothed over
+	// seconds, and rises from zero.
+	warmUp = 8 * time.Second
 )
 
-// Kind is one kind of upstream of a service.
+// Kind is one pool of a service's upstreams: the reclaimable or the on-demand ones in a data
+// centre.
 type Kind struct {
 	DataCentre  units.DataCentre
 	Reclaimable bool
 }
 
-// Load is what a service's callers ask for, over all entries.
+// Load is the demand of a service's callers, over all entries.
 type Load struct {
-	// Asked is what callers ask for, in prompt tokens a second, or in calls a
-	// second where there are no prompts.
+	// Asked is the demand in prompt tokens per second, or in calls per second for a service
+	// without prompts.
 	Asked float64
-	// Each is how long an upstream takes for each of these while nothing queues, in
-	// seconds; 0 where nobody knows.
+	// Each is how many seconds an upstream takes for one token or call without queueing; 0 if
+	// unknown.
 	Each float64
-	// Running is how many calls are under way, on average.
+	// Running is the mean number of calls in flight.
 	Running float64
-	// Limited is how many upstreams say that they take fewer calls than there are for them.
+	// Limited is how many upstreams report that they accept fewer calls than there are for
+	// them.
 	Limited int
 }
 
-// Stock counts a service's upstreams of each kind that take calls now.
+// Stock is the number of a service's upstreams in each pool: those that take calls now, or
+// those that are planned.
 type Stock map[Kind]int
 
 // Scaler plans for one service; it is a state machine without a clock.
 type Scaler struct {
-	// began is when the first calls were seen; before it nothing is known of the load.
-	began time.Time
-	at    time.Time
-	// first is how many upstreams the operators started with, where that is known:
-	// fresh says that there was no call when this began. They announce themselves over
-	// some seconds, in which the orders for those that stand in for them go out.
-	first   int
-	fresh   bool
-	stepped time.Time
-	// recent is the load without its noise, load what the plan goes by.
-	recent Load
-	load   Load
-	// each is what one unit that is asked for takes while nothing queues, and
-	// runningEach how many calls are then under way for it.
-	each        float64
-	runningEach float64
-	ordered     map[Kind]placed
-	dryAt       map[Kind]time.Time
+	// firstCallAt is when the first calls were seen; before it the load is unknown.
+	firstCallAt time.Time
+	updatedAt   time.Time
+	// initialUpstreams is how many upstreams the operators started with, where that is known:
+	// startedIdle is set if there was no call at the first step. The initial upstreams announce
+	// themselves over some seconds, in which the orders for their replacements go out.
+	initialUpstreams int
+	startedIdle      bool
+	firstStepAt      time.Time
+	// smoothed is the load without noise, load the one that the plan is based on.
+	smoothed Load
+	load     Load
+	// secondsPerUnit is the time for one token or call without queueing, and concurrencyPerUnit
+	// how many calls are then in flight for each that is demanded per second.
+	secondsPerUnit     float64
+	concurrencyPerUnit float64
+	ordered            map[Kind]placedOrder
+	refusedAt          map[Kind]time.Time
 }
 
-// Step takes the load and the stock of the moment and returns what to order now.
-func (s *Scaler) Step(now time.Time, service *matcher.Service, load Load, stock Stock) []Order {
+// Step takes the current load and number of upstreams and returns the orders to place now.
+func (s *Scaler) Step(now time.Time, service *matcher.Service, load Load, current Stock) []Order {
 	if s.ordered == nil {
-		s.ordered = make(map[Kind]placed)
-		s.dryAt = make(map[Kind]time.Time)
-		s.at = now
-		s.stepped = now
-		s.fresh = load.Running == 0
+		s.ordered = make(map[Kind]placedOrder)
+		s.refusedAt = make(map[Kind]time.Time)
+		s.updatedAt = now
+		s.firstStepAt = now
+		s.startedIdle = load.Running == 0
 	}
-	if s.fresh && s.began.IsZero() {
-		s.first = max(s.first, firstOf(stock))
+	if s.startedIdle && s.firstCallAt.IsZero() {
+		s.initialUpstreams = max(s.initialUpstreams, initialCount(current))
 	}
-	if s.began.IsZero() && load.Running > 0 {
-		s.began = now
+	if s.firstCallAt.IsZero() && load.Running > 0 {
+		s.firstCallAt = now
 	}
-	s.follow(now, load)
-	needed := s.need(now, service)
-	plan := s.plan(now, service, needed, stock)
+	s.updateLoad(now, load)
+	required := s.requirement(now, service)
+	plan := s.plan(now, service, required, current)
 	var orders []Order
-	for _, kind := range kindsOf(service) {
+	for _, pool := range poolsOf(service) {
 		want := Order{
-			Kind:  kind,
-			Count: plan[kind],
+			Kind:  pool,
+			Count: plan[pool],
 		}
-		if order, due := s.order(now, service, want, stock, needed); due {
-			orders = append(orders, order)
+		if nextOrder, due := s.nextOrder(now, service, want, current, required); due {
+			orders = append(orders, nextOrder)
 		}
 	}
 	return orders
 }
 
-// follow smooths the load, faster up than down.
-func (s *Scaler) follow(now time.Time, load Load) {
-	passed := now.Sub(s.at)
-	s.at = now
-	s.recent.Asked = smooth(s.recent.Asked, load.Asked, passed, steady)
-	s.recent.Running = smooth(s.recent.Running, load.Running, passed, steady)
-	s.load.Asked = peak(s.load.Asked, s.recent.Asked, passed)
+// updateLoad smooths the load, which rises faster than it falls.
+func (s *Scaler) updateLoad(now time.Time, load Load) {
+	elapsed := now.Sub(s.updatedAt)
+	s.updatedAt = now
+	s.smoothed.Asked = smooth(s.smoothed.Asked, load.Asked, elapsed, smoothingPeriod)
+	s.smoothed.Running = smooth(s.smoothed.Running, load.Running, elapsed, smoothingPeriod)
+	s.load.Asked = trackPeak(s.load.Asked, s.smoothed.Asked, elapsed)
 	if load.Each > 0 {
-		s.each = least(s.each, load.Each, passed)
+		s.secondsPerUnit = trackMinimum(s.secondsPerUnit, load.Each, elapsed)
 	}
-	// Calls that have just come are not under way for long yet; by them, no call would
-	// seem to need a place.
-	if s.recent.Asked > 0 && !s.began.IsZero() && now.Sub(s.began) >= settle {
-		s.runningEach = least(s.runningEach, s.recent.Running/s.recent.Asked, passed)
+	// Calls that have just begun have not been in flight for long; estimated from them, a call
+	// would seem to need no slot.
+	if s.smoothed.Asked > 0 && !s.firstCallAt.IsZero() && now.Sub(s.firstCallAt) >= warmUp {
+		s.concurrencyPerUnit = trackMinimum(s.concurrencyPerUnit, s.smoothed.Running/s.smoothed.Asked, elapsed)
 	}
-	s.load.Each = s.each
+	s.load.Each = s.secondsPerUnit
 	s.load.Limited = load.Limited
-	s.load.Running = s.load.Asked * s.runningEach
+	s.load.Running = s.load.Asked * s.concurrencyPerUnit
 }
 
-// least follows at once down, and slowly up. Once upstreams are too few their
-// queues make every call wait, and the waiting itself says no more how many
-// would do: a plan by it orders several times what is needed.
-func least(old, fresh float64, passed time.Duration) float64 {
-	if old == 0 || fresh < old {
-		return fresh
+// trackMinimum falls at once and rises slowly. Once there are too few upstreams, queueing
+// delays every call, and the delay no longer shows how many would be enough: a plan based on it
+// orders several times what is needed.
+func trackMinimum(old, measured float64, elapsed time.Duration) float64 {
+	if old == 0 || measured < old {
+		return measured
 	}
-	return smooth(old, min(fresh, old*dearer), passed, forget)
+	return smooth(old, min(measured, old*maxCostRise), elapsed, costRisePeriod)
 }
 
-func smooth(old, fresh float64, passed, period time.Duration) float64 {
-	return old + (fresh-old)*(1-math.Exp(-passed.Seconds()/period.Seconds()))
+func smooth(old, measured float64, elapsed, period time.Duration) float64 {
+	return old + (measured-old)*(1-math.Exp(-elapsed.Seconds()/period.Seconds()))
 }
 
-// peak follows at once up, and slowly down.
-func peak(old, fresh float64, passed time.Duration) float64 {
-	if fresh > old {
-		return fresh
+// trackPeak rises at once and falls slowly.
+func trackPeak(old, measured float64, elapsed time.Duration) float64 {
+	if measured > old {
+		return measured
 	}
-	return smooth(old, fresh, passed, fall)
+	return smooth(old, measured, elapsed, decayPeriod)
 }
 
-// Load returns the load as the plan goes by it.
+// Load returns the load that the plan is based on.
 func (s *Scaler) Load() Load { return s.load }
 
-// firstOf returns how many upstreams there are before the first call, where all of
-// them are at the full price: the operators' guess of what the load will need. The
-// stock that a new leader finds while calls run is what an earlier plan made of it.
-func firstOf(stock Stock) int {
+// initialCount returns how many upstreams there are before the first call if all of them are on
+// demand: the operators' estimate of what the load will need. The upstreams that a new leader
+// finds while calls run are the result of an earlier plan.
+func initialCount(current Stock) int {
 	total := 0
-	for kind, count := range stock {
-		if kind.Reclaimable {
+	for pool, count := range current {
+		if pool.Reclaimable {
 			return 0
 		}
 		total += count
@@ -196,13 +199,13 @@
 	return total
 }
 
-// measured returns how many upstreams the load needs by what is known of it.
-func (s *Scaler) measured(service *matcher.Service) int {
+// requiredByLoad returns how many upstreams the measured load needs.
+func (s *Scaler) requiredByLoad(service *matcher.Service) int {
 	work := s.load.Asked * s.load.Each
-	reading := work + safety*math.Sqrt(work)
-	places := spare
+	prefill := work + safetyFactor*math.Sqrt(work)
+	slots := spareUpstreams
 	if service.Engine != nil && service.Engine.Slots > 0 {
-		places += s.load.Running / (full * float64(service.Engine.Slots))
+		slots += s.load.Running / (maxSlotUtilization * float64(service.Engine.Slots))
 	}
-	return int(math.Ceil(max(reading, places))) + s.load.Limited
+	return int(math.Ceil(max(prefill, slots))) + s.load.Limited
 }
--- a/src/scaler/scaler_test.go
+++ b/src/scaler/scaler_test.go
@@ -12,12 +12,12 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-var start = time.Unix(1000, 0)
+var startTime = time.Unix(1000, 0)
 
-// startEach is how many upstreams each data centre begins with.
-const startEach = 5
+// initialPerDataCentre is how many on-demand upstreams each data centre begins with.
+const initialPerDataCentre = 5
 
-const step = 250 * time.Millisecond
+const stepInterval = 250 * time.Millisecond
 
 func service() *matcher.Service {
 	return &matcher.Service{
@@ -33,74 +33,75 @@
 	}
 }
 
-// platform carries out orders after the time that upstreams take to start.
-type platform struct {
-	stock   Stock
-	coming  []coming
+// fakePlatform carries out orders after the time that upstreams take to start.
+type fakePlatform struct {
+	ready   Stock
+	pending []pending
 	service *matcher.Service
-	dry     bool
-	// none are the data centres that have no reclaimable upstreams to give.
-	none map[units.DataCentre]bool
+	soldOut bool
+	// soldOutIn are the data centres that have no reclaimable upstreams to offer.
+	soldOutIn map[units.DataCentre]bool
 }
 
-type coming struct {
+type pending struct {
 	Order
 	at time.Time
 }
 
-func newPlatform(service *matcher.Service) *platform {
-	p := &platform{stock: make(Stock), service: service}
+func newFakePlatform(service *matcher.Service) *fakePlatform {
+	p := &fakePlatform{ready: make(Stock), service: service}
 	for centre := range service.Scaling.Prices {
-		p.stock[Kind{DataCentre: centre}] = startEach
+		p.ready[Kind{DataCentre: centre}] = initialPerDataCentre
 	}
 	return p
 }
 
-// run plays a load for some time and returns the least number that took calls.
-func (p *platform) run(s *Scaler, now time.Time, length time.Duration, load func(upstreams int) Load) (end time.Time, fewest int) {
+// run simulates a load for some time and returns the smallest number of upstreams that took
+// calls.
+func (p *fakePlatform) run(s *Scaler, now time.Time, length time.Duration, load func(upstreams int) Load) (end time.Time, fewest int) {
 	fewest = math.MaxInt
-	for end = now.Add(length); now.Before(end); now = now.Add(step) {
-		for _, c := range p.coming {
+	for end = now.Add(length); now.Before(end); now = now.Add(stepInterval) {
+		for _, c := range p.pending {
 			if !now.Before(c.at) {
-				p.stock[c.Kind] = c.Count
+				p.ready[c.Kind] = c.Count
 			}
 		}
 		fewest = min(fewest, p.total())
-		for _, order := range s.Step(now, p.service, load(p.total()), p.stock) {
-			if order.Reclaimable && (p.dry || p.none[order.DataCentre]) {
+		for _, order := range s.Step(now, p.service, load(p.total()), p.ready) {
+			if order.Reclaimable && (p.soldOut || p.soldOutIn[order.DataCentre]) {
 				s.Refused(now, order.Kind)
 				continue
 			}
 			at := now.Add(p.service.Scaling.Boot)
-			if order.Count < p.stock[order.Kind] {
-				at = now.Add(step)
+			if order.Count < p.ready[order.Kind] {
+				at = now.Add(stepInterval)
 			}
-			p.coming = append(p.coming, coming{Order: order, at: at})
+			p.pending = append(p.pending, pending{Order: order, at: at})
 		}
 	}
 	return end, fewest
 }
 
-func (p *platform) total() int {
+func (p *fakePlatform) total() int {
 	total := 0
-	for _, count := range p.stock {
+	for _, count := range p.ready {
 		total += count
 	}
 	return total
 }
 
-func (p *platform) firm() int {
+func (p *fakePlatform) onDemand() int {
 	total := 0
-	for kind, count := range p.stock {
-		if !kind.Reclaimable {
+	for pool, count := range p.ready {
+		if !pool.Reclaimable {
 			total += count
 		}
 	}
 	return total
 }
 
-// evenLoad is the work of three upstreams while nothing queues, and seems to be more
-// where there are fewer than eight.
+// evenLoad is the work of three upstreams without queueing, and seems to be more where there
+// are fewer than eight.
 func evenLoad(upstreams int) Load {
 	queue := 1.0
 	if upstreams < 8 {
@@ -109,60 +110,59 @@
 	return Load{Asked: 300_000, Each: 1e-5 * queue, Running: 60 * queue}
 }
 
-// The system starts with the upstreams that its operators thought right, all at the
-// full price, some seconds before the first callers come. Reclaimable ones can stand
-// in for them by then, and as many must be there for the first burst.
-func TestStartIsMadeCheaperBeforeTheFirstCalls(t *testing.T) {
-	p := newPlatform(service())
+// The system starts with the upstreams that its operators chose, all on demand, some seconds
+// before the first calls. By then, reclaimable ones must be able to replace them, without a
+// smaller total for the first burst.
+func TestInitialUpstreamsAreReplacedBeforeTheFirstCalls(t *testing.T) {
+	p := newFakePlatform(service())
 	s := &Scaler{}
-	first := p.total()
-	now, fewest := p.run(s, start, 9*time.Second, func(int) Load { return Load{} })
-	if fewest < first {
-		t.Errorf("upstreams before the first calls: got as few as %d, want %d", fewest, first)
+	initial := p.total()
+	now, fewest := p.run(s, startTime, 9*time.Second, func(int) Load { return Load{} })
+	if fewest < initial {
+		t.Errorf("upstreams before the first calls: got as few as %d, want %d", fewest, initial)
 	}
-	if got, most := p.firm(), 8; got > most {
-		t.Errorf("upstreams at the full price when calls come: got %d, want at most %d", got, most)
+	if got, limit := p.onDemand(), 8; got > limit {
+		t.Errorf("on-demand upstreams when calls come: got %d, want at most %d", got, limit)
 	}
 	_, fewest = p.run(s, now, 3*time.Second, evenLoad)
-	if fewest < first {
-		t.Errorf("upstreams for the first seconds of calls: got as few as %d, want %d", fewest, first)
+	if fewest < initial {
+		t.Errorf("upstreams for the first seconds of calls: got as few as %d, want %d", fewest, initial)
 	}
 }
 
-// The upstreams of the start announce themselves one after the other while the leader
-// plans already. Those that stand in for them must be ordered at once, and in the end
-// for all of them.
-func TestStartIsPlannedWhileUpstreamsAnnounceThemselves(t *testing.T) {
+// The initial upstreams announce themselves one after the other while the leader is already
+// planning. Their replacements must be ordered at once, and in the end for all of them.
+func TestReplacementsAreOrderedWhileUpstreamsAnnounceThemselves(t *testing.T) {
 	svc := service()
 	s := &Scaler{}
-	stock := make(Stock)
+	ready := make(Stock)
 	ordered := 0
-	now := start
+	now := startTime
 	for range 20 {
 		for _, centre := range []units.DataCentre{"a", "b", "c", "d"} {
-			if stock[Kind{DataCentre: centre}] < startEach {
-				stock[Kind{DataCentre: centre}]++
+			if ready[Kind{DataCentre: centre}] < initialPerDataCentre {
+				ready[Kind{DataCentre: centre}]++
 				break
 			}
 		}
-		for _, order := range s.Step(now, svc, Load{}, stock) {
+		for _, order := range s.Step(now, svc, Load{}, ready) {
 			if !order.Reclaimable {
-				t.Fatalf("ordered before any stand-in has come: got %+v, want reclaimable ones alone", order)
+				t.Fatalf("ordered before any replacement has come: got %+v, want only reclaimable ones", order)
 			}
 			ordered++
 		}
 		if ordered == 0 {
-			t.Fatal("orders once the first has announced itself: got none, want some")
+			t.Fatal("no orders once the first upstream has announced itself, want some")
 		}
 		now = now.Add(100 * time.Millisecond)
 	}
-	if got, want := s.need(now, svc).least(), 4*startEach; got != want {
+	if got, want := s.requirement(now, svc).minReady(), 4*initialPerDataCentre; got != want {
 		t.Errorf("needed once all have announced themselves: got %d, want %d", got, want)
 	}
 }
 
-// sixCentres is a service of more data centres.
-func sixCentres() *matcher.Service {
+// sixDataCentres is a service in six data centres.
+func sixDataCentres() *matcher.Service {
 	svc := service()
 	svc.Scaling.Most = 40
 	for _, centre := range []units.DataCentre{"e", "f"} {
@@ -171,37 +171,37 @@
 	return svc
 }
 
-// The upstreams of the start are at the full price, and nobody calls yet. Once those that
-// stand in for them take calls, a slow return of each would pay for both.
-func TestStartIsGivenBackOnceItsStandInsAreThere(t *testing.T) {
-	p := newPlatform(sixCentres())
-	first := p.total()
-	_, fewest := p.run(&Scaler{}, start, 5500*time.Millisecond, func(int) Load { return Load{} })
-	if fewest < first {
-		t.Errorf("upstreams before the first calls: got as few as %d, want %d", fewest, first)
+// The initial upstreams are on demand, and there are no calls yet. Once their replacements take
+// calls, releasing them slowly would pay for both.
+func TestInitialUpstreamsAreReleasedOnceReplaced(t *testing.T) {
+	p := newFakePlatform(sixDataCentres())
+	initial := p.total()
+	_, fewest := p.run(&Scaler{}, startTime, 5500*time.Millisecond, func(int) Load { return Load{} })
+	if fewest < initial {
+		t.Errorf("upstreams before the first calls: got as few as %d, want %d", fewest, initial)
 	}
-	if got := p.firm(); got > 0 {
-		t.Errorf("upstreams at the full price 1.5 s after their stand-ins: got %d, want none", got)
+	if got := p.onDemand(); got > 0 {
+		t.Errorf("on-demand upstreams 1.5 s after their replacements: got %d, want none", got)
 	}
 }
 
-// Half of the data centres are taken back one after the other and have none to give. What
-// they lack stands in the others, at a fraction of the full price, so that one more loss
+// Half of the data centres are reclaimed one after the other and have no more to offer. What
+// they lack must run in the others, at a fraction of the on-demand price, so that one more loss
 // still leaves what the load needs.
-func TestOtherDataCentresStandInForDryOnes(t *testing.T) {
-	p := newPlatform(sixCentres())
+func TestOtherDataCentresReplaceSoldOutOnes(t *testing.T) {
+	p := newFakePlatform(sixDataCentres())
 	s := &Scaler{}
-	now, _ := p.run(s, start, time.Minute, evenLoad)
-	needed := s.measured(p.service)
-	p.none = make(map[units.DataCentre]bool)
+	now, _ := p.run(s, startTime, time.Minute, evenLoad)
+	needed := s.requiredByLoad(p.service)
+	p.soldOutIn = make(map[units.DataCentre]bool)
 	for _, centre := range []units.DataCentre{"a", "b", "c"} {
-		p.none[centre] = true
-		p.coming = nil
-		p.stock[Kind{DataCentre: centre, Reclaimable: true}] = 0
+		p.soldOutIn[centre] = true
+		p.pending = nil
+		p.ready[Kind{DataCentre: centre, Reclaimable: true}] = 0
 		now, _ = p.run(s, now, 10*time.Second, evenLoad)
 		reclaimable, largest := 0, 0
-		for kind, count := range p.stock {
-			if kind.Reclaimable {
+		for pool, count := range p.ready {
+			if pool.Reclaimable {
 				reclaimable += count
 				largest = max(largest, count)
 			}
@@ -209,316 +209,316 @@
 		if got := reclaimable - largest; got < needed {
 			t.Errorf("reclaimable upstreams without %s, less one more data centre: got %d, want at least %d", centre, got, needed)
 		}
-		if got, most := p.firm(), len(p.none); got > most {
-			t.Errorf("upstreams at the full price without %s: got %d, want at most the least of each dry data centre, %d", centre, got, most)
+		if got, limit := p.onDemand(), len(p.soldOutIn); got > limit {
+			t.Errorf("on-demand upstreams without %s: got %d, want at most the minimum of each sold-out data centre, %d", centre, got, limit)
 		}
 	}
 }
 
-// A data centre's reclaimable upstreams are taken back, and none are to be had there for
-// half a minute. The one at the full price that must be there meanwhile was given back
-// at each new try and ordered again at its refusal; its calls ended each time.
-func TestLeastOfADryDataCentreStays(t *testing.T) {
+// A data centre's reclaimable upstreams are reclaimed, and none are available there for half a
+// minute. The one on-demand upstream that must be there meanwhile used to be released at each
+// retry and ordered again at its refusal; its calls ended each time.
+func TestMinimumOfASoldOutDataCentreStays(t *testing.T) {
 	light := func(int) Load { return Load{Asked: 10_000, Each: 1e-5, Running: 2} }
-	p := newPlatform(service())
+	p := newFakePlatform(service())
 	s := &Scaler{}
-	now, _ := p.run(s, start, time.Minute, light)
-	p.dry = true
-	p.coming = nil
-	p.stock[Kind{DataCentre: "b", Reclaimable: true}] = 0
+	now, _ := p.run(s, startTime, time.Minute, light)
+	p.soldOut = true
+	p.pending = nil
+	p.ready[Kind{DataCentre: "b", Reclaimable: true}] = 0
 	now, _ = p.run(s, now, 6*time.Second, light)
-	firm := Kind{DataCentre: "b"}
-	if got, want := p.stock[firm], 1; got != want {
-		t.Fatalf("upstreams at the full price in the dry data centre: got %d, want %d", got, want)
+	onDemand := Kind{DataCentre: "b"}
+	if got, want := p.ready[onDemand], 1; got != want {
+		t.Fatalf("on-demand upstreams in the sold-out data centre: got %d, want %d", got, want)
 	}
 	for end := now.Add(30 * time.Second); now.Before(end); {
-		now, _ = p.run(s, now, step, light)
-		if got, want := p.stock[firm], 1; got != want {
-			t.Fatalf("upstreams at the full price after %v: got %d, want %d", now.Sub(end.Add(-30*time.Second)), got, want)
+		now, _ = p.run(s, now, stepInterval, light)
+		if got, want := p.ready[onDemand], 1; got != want {
+			t.Fatalf("on-demand upstreams after %v: got %d, want %d", now.Sub(end.Add(-30*time.Second)), got, want)
 		}
 	}
 }
 
-// A leader takes over while calls run on reclaimable upstreams. What stands there is
-// no plan of the operators, and ordered as such it would grow with each leader.
+// A leader takes over while calls run on reclaimable upstreams. Their number is not the
+// operators' choice; ordered as such, it would grow with each leader.
 func TestNewLeaderKeepsTheFleet(t *testing.T) {
-	p := newPlatform(service())
-	now, _ := p.run(&Scaler{}, start, time.Minute, evenLoad)
+	p := newFakePlatform(service())
+	now, _ := p.run(&Scaler{}, startTime, time.Minute, evenLoad)
 	before := p.total()
-	most := 0
+	largest := 0
 	_, fewest := p.run(&Scaler{}, now, 20*time.Second, func(upstreams int) Load {
-		most = max(most, upstreams)
+		largest = max(largest, upstreams)
 		return evenLoad(upstreams)
 	})
-	if most > before+2 {
-		t.Errorf("upstreams after a change of leaders: got %d, want no more than the %d before", most, before)
+	if largest > before+2 {
+		t.Errorf("upstreams after a change of leaders: got %d, want no more than the %d before", largest, before)
 	}
 	if fewest < 8 {
 		t.Errorf("upstreams after a change of leaders: got as few as %d, want 8", fewest)
 	}
 }
 
-// Upstreams that are not needed cost the full price; callers must not notice that
-// they go. All data centres keep their least number.
+// Upstreams that are not needed cost the on-demand price; callers must not notice that they go.
+// All data centres keep their minimum.
 func TestSteadyLoadIsServedAtLowerCost(t *testing.T) {
-	p := newPlatform(service())
+	p := newFakePlatform(service())
 	s := &Scaler{}
-	now, fewest := p.run(s, start, time.Minute, evenLoad)
+	now, fewest := p.run(s, startTime, time.Minute, evenLoad)
 	if fewest < 8 {
 		t.Errorf("upstreams that took calls: got as few as %d, want 8", fewest)
 	}
-	if got, most := p.firm(), 6; got > most {
-		t.Errorf("upstreams at the full price: got %d, want at most %d", got, most)
+	if got, limit := p.onDemand(), 6; got > limit {
+		t.Errorf("on-demand upstreams: got %d, want at most %d", got, limit)
 	}
 	for centre := range p.service.Scaling.Prices {
-		if p.stock[Kind{DataCentre: centre}]+p.stock[Kind{DataCentre: centre, Reclaimable: true}] < 1 {
-			t.Errorf("upstreams in %s: got none, want the least number", centre)
+		if p.ready[Kind{DataCentre: centre}]+p.ready[Kind{DataCentre: centre, Reclaimable: true}] < 1 {
+			t.Errorf("upstreams in %s: got none, want the minimum", centre)
 		}
 	}
 	_ = now
 }
 
-// Two data centres of reclaimable upstreams are taken back within seconds, and
-// for a while none are to be had. What is left must still be what the load needs,
-// and what is missing beyond must come at the full price.
+// Two data centres of reclaimable upstreams are reclaimed within seconds, and for a while none
+// are available. What is left must still be what the load needs, and what is missing beyond
+// that must be ordered on demand.
 func TestReclaimOfTwoDataCentresLeavesEnough(t *testing.T) {
-	p := newPlatform(service())
+	p := newFakePlatform(service())
 	s := &Scaler{}
-	now, _ := p.run(s, start, time.Minute, evenLoad)
-	p.dry = true
-	p.coming = nil
-	p.stock[Kind{DataCentre: "a", Reclaimable: true}] = 0
-	p.stock[Kind{DataCentre: "b", Reclaimable: true}] = 0
-	needed := s.measured(p.service)
+	now, _ := p.run(s, startTime, time.Minute, evenLoad)
+	p.soldOut = true
+	p.pending = nil
+	p.ready[Kind{DataCentre: "a", Reclaimable: true}] = 0
+	p.ready[Kind{DataCentre: "b", Reclaimable: true}] = 0
+	needed := s.requiredByLoad(p.service)
 	_, fewest := p.run(s, now, 13*time.Second, evenLoad)
 	if fewest < needed {
 		t.Errorf("upstreams that took calls: got as few as %d, want %d", fewest, needed)
 	}
 }
 
-// One data centre after the other is taken back while none are to be had, until none of
-// the reclaimable ones is left. Each must be made up for at the full price within a
-// start of its loss, so that callers never have fewer than the load needs for longer.
-func TestDrySpellIsMadeUpForStepByStep(t *testing.T) {
-	p := newPlatform(service())
+// One data centre after the other is reclaimed while none are available, until no reclaimable
+// upstream is left. Each must be replaced on demand within one start time of its loss, so that
+// callers never have fewer than the load needs for longer.
+func TestSuccessiveReclaimsAreReplacedOnDemand(t *testing.T) {
+	p := newFakePlatform(service())
 	s := &Scaler{}
-	now, _ := p.run(s, start, time.Minute, evenLoad)
-	p.dry = true
-	p.coming = nil
+	now, _ := p.run(s, startTime, time.Minute, evenLoad)
+	p.soldOut = true
+	p.pending = nil
 	for _, centre := range []units.DataCentre{"a", "b", "c", "d"} {
-		p.stock[Kind{DataCentre: centre, Reclaimable: true}] = 0
+		p.ready[Kind{DataCentre: centre, Reclaimable: true}] = 0
 		now, _ = p.run(s, now, p.service.Scaling.Boot+time.Second, evenLoad)
-		if got, want := p.total(), s.measured(p.service); got < want {
-			t.Errorf("upstreams a start after the loss of %s: got %d, want the %d that the load needs", centre, got, want)
+		if got, want := p.total(), s.requiredByLoad(p.service); got < want {
+			t.Errorf("upstreams one start time after the loss of %s: got %d, want the %d that the load needs", centre, got, want)
 		}
 	}
 }
 
-// Data centres of reclaimable upstreams are taken back, long after they were ordered
-// or while some of them are being given back. What is missing must be ordered with the
-// next step, since each second that it takes to start is a second in which callers
-// wait; an order for fewer must not pass for upstreams that are about to come.
-func TestReclaimIsMadeUpForAtOnce(t *testing.T) {
-	twice := func(upstreams int) Load {
+// Data centres of reclaimable upstreams are reclaimed, long after they were ordered or while
+// some of them are being released. What is missing must be ordered with the next step, since
+// callers wait for each second of a start; an order for fewer must not be counted as upstreams
+// that are about to come.
+func TestReclaimIsReplacedAtOnce(t *testing.T) {
+	doubleLoad := func(upstreams int) Load {
 		load := evenLoad(upstreams)
 		load.Asked *= 2
 		return load
 	}
-	cases := map[string]func(p *platform, s *Scaler) time.Time{
-		"long after the last order": func(p *platform, s *Scaler) time.Time {
-			now, _ := p.run(s, start, time.Minute, evenLoad)
+	cases := map[string]func(p *fakePlatform, s *Scaler) time.Time{
+		"long after the last order": func(p *fakePlatform, s *Scaler) time.Time {
+			now, _ := p.run(s, startTime, time.Minute, evenLoad)
 			return now
 		},
-		"while the load ebbs": func(p *platform, s *Scaler) time.Time {
-			now, _ := p.run(s, start, time.Minute, twice)
+		"while the load falls": func(p *fakePlatform, s *Scaler) time.Time {
+			now, _ := p.run(s, startTime, time.Minute, doubleLoad)
 			now, _ = p.run(s, now, 12*time.Second, evenLoad)
 			return now
 		},
 	}
-	for name, lead := range cases {
+	for name, prepare := range cases {
 		t.Run(name, func(t *testing.T) {
-			p := newPlatform(service())
+			p := newFakePlatform(service())
 			s := &Scaler{}
-			now := lead(p, s)
+			now := prepare(p, s)
 			for centre := range p.service.Scaling.Prices {
 				if centre != "d" {
-					p.stock[Kind{DataCentre: centre, Reclaimable: true}] = 0
+					p.ready[Kind{DataCentre: centre, Reclaimable: true}] = 0
 				}
 			}
-			firm := p.firm()
+			onDemand := p.onDemand()
 			ordered := 0
-			for _, order := range s.Step(now, p.service, evenLoad(p.total()), p.stock) {
+			for _, order := range s.Step(now, p.service, evenLoad(p.total()), p.ready) {
 				if !order.Reclaimable {
-					ordered += order.Count - p.stock[order.Kind]
+					ordered += order.Count - p.ready[order.Kind]
 				}
 			}
-			if missing := s.measured(p.service) - p.stock[Kind{DataCentre: "d", Reclaimable: true}] - firm; ordered < missing {
-				t.Errorf("ordered at the full price: got %d, want the %d that are missing", ordered, missing)
+			if missing := s.requiredByLoad(p.service) - p.ready[Kind{DataCentre: "d", Reclaimable: true}] - onDemand; ordered < missing {
+				t.Errorf("ordered on demand: got %d, want the %d that are missing", ordered, missing)
 			}
 		})
 	}
 }
 
-// The load needs nearly all that a data centre may have, and half of them are taken
-// back while no reclaimable ones are to be had. Their places must go to upstreams at
-// the full price with the first refusal; kept for the others, they stay empty for as
-// long as the dry spell lasts, and callers wait ten times as long.
-func TestPlacesOfWhatIsNotToBeHadGoToTheFullPrice(t *testing.T) {
-	p := newPlatform(service())
+// The load needs nearly all that a data centre may have, and half of them are reclaimed while
+// no reclaimable ones are available. On-demand upstreams must replace them with the first
+// refusal; if that capacity is kept for reclaimable ones, it stays empty until some are
+// available again, and callers wait ten times as long.
+func TestSoldOutCapacityIsOrderedOnDemand(t *testing.T) {
+	p := newFakePlatform(service())
 	s := &Scaler{}
 	heavy := func(int) Load { return Load{Asked: 2_000_000, Each: 1e-5, Running: 200} }
-	now, _ := p.run(s, start, time.Minute, heavy)
-	needed := s.measured(p.service)
-	p.dry = true
-	p.coming = nil
+	now, _ := p.run(s, startTime, time.Minute, heavy)
+	needed := s.requiredByLoad(p.service)
+	p.soldOut = true
+	p.pending = nil
 	for _, centre := range []units.DataCentre{"a", "b"} {
-		p.stock[Kind{DataCentre: centre, Reclaimable: true}] = 0
+		p.ready[Kind{DataCentre: centre, Reclaimable: true}] = 0
 	}
 	now, _ = p.run(s, now, p.service.Scaling.Boot+time.Second, heavy)
 	if got := p.total(); got < needed {
-		t.Errorf("upstreams a start after the reclaim: got %d, want the %d that the load needs", got, needed)
+		t.Errorf("upstreams one start time after the reclaim: got %d, want the %d that the load needs", got, needed)
 	}
 	_, fewest := p.run(s, now, 13*time.Second, heavy)
 	if fewest < needed {
-		t.Errorf("upstreams while none are to be had: got as few as %d, want %d", fewest, needed)
+		t.Errorf("upstreams while none are available: got as few as %d, want %d", fewest, needed)
 	}
 }
 
-// Prompts of very different lengths come at random to a small and to a large fleet of
-// the planned size, each to the least busy of a few upstreams. Few of them may wait for
-// long behind others, and the large fleet must not stand idle for most of its time.
+// Prompts of very different lengths arrive at random at a small and at a large fleet of the
+// planned size, each at the least busy of a few upstreams. Few of them may wait long behind
+// others, and the large fleet must not be idle for most of its time.
 func TestPlanIsEnoughAtAnySize(t *testing.T) {
 	cases := map[string]struct {
 		work float64
-		// most is how many times the work the plan may hold.
-		most float64
+		// limit is how many times the work the plan may hold.
+		limit float64
 	}{
-		"a few":   {work: 3, most: 3.5},
-		"some":    {work: 8, most: 2.5},
-		"many":    {work: 20, most: 2},
-		"a crowd": {work: 80, most: 1.5},
+		"3 upstreams busy":  {work: 3, limit: 3.5},
+		"8 upstreams busy":  {work: 8, limit: 2.5},
+		"20 upstreams busy": {work: 20, limit: 2},
+		"80 upstreams busy": {work: 80, limit: 1.5},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			s := &Scaler{load: Load{Asked: c.work * 1e5, Each: 1e-5}}
-			planned := s.measured(service())
-			if most := int(math.Ceil(c.most * c.work)); planned > most {
-				t.Errorf("planned: got %d upstreams, want at most %d", planned, most)
+			planned := s.requiredByLoad(service())
+			if limit := int(math.Ceil(c.limit * c.work)); planned > limit {
+				t.Errorf("planned: got %d upstreams, want at most %d", planned, limit)
 			}
-			if got, most := lateShare(planned, c.work), 0.03; got > most {
-				t.Errorf("prompts that wait for 0.3 s and more: got %.3f of them, want at most %.3f", got, most)
+			if got, limit := lateFraction(planned, c.work), 0.03; got > limit {
+				t.Errorf("prompts that wait for 0.3 s or more: got %.3f of them, want at most %.3f", got, limit)
 			}
 		})
 	}
 }
 
-// lateShare plays prompts at so many upstreams, which they keep busy for work of
-// them, and returns the part that waits for 0.3 s and more.
-func lateShare(upstreams int, work float64) float64 {
+// lateFraction simulates prompts at a number of upstreams, of which they keep work busy, and
+// returns the fraction that waits for 0.3 s or more.
+func lateFraction(upstreams int, work float64) float64 {
 	random := rand.New(rand.NewPCG(1, 2))
 	const mean, spread, calls = 0.2, 1.2, 40_000
-	free := make([]float64, upstreams)
+	freeAt := make([]float64, upstreams)
 	now, late := 0.0, 0
 	for range calls {
 		now += random.ExpFloat64() * mean / work
 		best := random.IntN(upstreams)
 		for range 5 {
-			if other := random.IntN(upstreams); free[other] < free[best] {
+			if other := random.IntN(upstreams); freeAt[other] < freeAt[best] {
 				best = other
 			}
 		}
-		wait := max(0, free[best]-now)
+		wait := max(0, freeAt[best]-now)
 		if wait >= 0.3 {
 			late++
 		}
-		read := mean * math.Exp(spread*random.NormFloat64()-spread*spread/2)
-		free[best] = now + wait + read
+		prefill := mean * math.Exp(spread*random.NormFloat64()-spread*spread/2)
+		freeAt[best] = now + wait + prefill
 	}
 	return float64(late) / calls
 }
 
-// Nearly all upstreams of a large fleet have been ordered at the full price in a dry
-// spell. Once reclaimable ones are to be had, they must take their places within
-// seconds, though each data centre is full and the load needs what is there.
-func TestFullPriceEndsWithTheDrySpell(t *testing.T) {
+// Nearly all upstreams of a large fleet have been ordered on demand while no reclaimable ones
+// were available. Once some are, they must replace them within seconds, though each data centre
+// is full and the load needs every upstream.
+func TestOnDemandIsReplacedOnceReclaimableIsAvailable(t *testing.T) {
 	svc := service()
 	svc.Scaling.Most = 60
-	p := newPlatform(svc)
+	p := newFakePlatform(svc)
 	s := &Scaler{}
 	heavy := func(int) Load { return Load{Asked: 6_000_000, Each: 1e-5, Running: 200} }
-	now, _ := p.run(s, start, time.Minute, heavy)
-	p.dry = true
-	p.coming = nil
+	now, _ := p.run(s, startTime, time.Minute, heavy)
+	p.soldOut = true
+	p.pending = nil
 	for centre := range svc.Scaling.Prices {
-		p.stock[Kind{DataCentre: centre, Reclaimable: true}] = 0
+		p.ready[Kind{DataCentre: centre, Reclaimable: true}] = 0
 	}
 	now, _ = p.run(s, now, 20*time.Second, heavy)
-	needed := s.measured(svc)
-	if got := p.firm(); got < needed {
-		t.Fatalf("upstreams at the full price in the dry spell: got %d, want the %d that the load needs", got, needed)
+	needed := s.requiredByLoad(svc)
+	if got := p.onDemand(); got < needed {
+		t.Fatalf("on-demand upstreams while no reclaimable ones are available: got %d, want the %d that the load needs", got, needed)
 	}
-	p.dry = false
+	p.soldOut = false
 	_, fewest := p.run(s, now, 13*time.Second, heavy)
-	if got, most := p.firm(), needed/4; got > most {
-		t.Errorf("upstreams at the full price 13 s after the dry spell: got %d, want at most %d", got, most)
+	if got, limit := p.onDemand(), needed/4; got > limit {
+		t.Errorf("on-demand upstreams 13 s after reclaimable ones are available again: got %d, want at most %d", got, limit)
 	}
 	if fewest < needed {
-		t.Errorf("upstreams on the way: got as few as %d, want %d", fewest, needed)
+		t.Errorf("upstreams in the meantime: got as few as %d, want %d", fewest, needed)
 	}
 }
 
-// Before the first calls, and after a new leader has taken over, nothing is known
-// of the load. An upstream given back then would be missing in a moment.
-func TestNothingIsGivenBackBeforeTheLoadIsKnown(t *testing.T) {
-	p := newPlatform(service())
+// Before the first calls, and after a new leader has taken over, the load is unknown. An
+// upstream released then would be missing a moment later.
+func TestNothingIsReleasedBeforeTheLoadIsKnown(t *testing.T) {
+	p := newFakePlatform(service())
 	s := &Scaler{}
-	_, fewest := p.run(s, start, 20*time.Second, func(int) Load { return Load{} })
+	_, fewest := p.run(s, startTime, 20*time.Second, func(int) Load { return Load{} })
 	if got, want := fewest, 20; got < want {
 		t.Errorf("upstreams without a load: got %d, want all %d", got, want)
 	}
 }
 
-// The first calls have come and none has been under way for long. The places that
-// calls need must be learnt from later ones, or slots run out where they bind.
-func TestPlacesAreLearntFromCallsThatLast(t *testing.T) {
+// The first calls have begun and none has been in flight for long. The slots that calls need
+// must be estimated from later ones, or the plan has too few slots where they are the limit.
+func TestSlotsAreEstimatedFromLongRunningCalls(t *testing.T) {
 	s := &Scaler{}
 	svc := service()
-	now := start
-	for passed := time.Duration(0); passed < 20*time.Second; passed += step {
+	now := startTime
+	for passed := time.Duration(0); passed < 20*time.Second; passed += stepInterval {
 		running := min(1, passed.Seconds()/3) * 160
 		s.Step(now.Add(passed), svc, Load{Asked: 100_000, Each: 1e-6, Running: running}, Stock{})
 	}
-	// Half of an upstream's 32 places may be taken.
-	if got, want := s.measured(svc), 10; got < want {
-		t.Errorf("needed for 160 calls under way: got %d, want %d", got, want)
+	// Half of an upstream's 32 slots may be in use.
+	if got, want := s.requiredByLoad(svc), 10; got < want {
+		t.Errorf("needed for 160 calls in flight: got %d, want %d", got, want)
 	}
 }
 
-// Upstreams crash until too few are left and every call queues. The queues must
-// not be taken for a load: callers need a few more upstreams, not all there are.
+// Upstreams crash until too few are left and every call queues. The queues must not be taken
+// for load: callers need a few more upstreams, not the maximum.
 func TestQueuesAreNotTakenForLoad(t *testing.T) {
-	p := newPlatform(service())
+	p := newFakePlatform(service())
 	s := &Scaler{}
-	now, _ := p.run(s, start, 30*time.Second, evenLoad)
-	before := s.measured(p.service)
+	now, _ := p.run(s, startTime, 30*time.Second, evenLoad)
+	before := s.requiredByLoad(p.service)
 	_, _ = p.run(s, now, 10*time.Second, func(int) Load {
 		return Load{Asked: 300_000, Each: 5e-4, Running: 900}
 	})
-	if got, most := s.measured(p.service), before*2; got > most {
-		t.Errorf("needed while all queue: got %d, want at most %d", got, most)
+	if got, limit := s.requiredByLoad(p.service), before*2; got > limit {
+		t.Errorf("needed while all queue: got %d, want at most %d", got, limit)
 	}
 }
 
-// Whatever the load does and the platform refuses, each data centre's orders stay
-// within its bounds, both prices together.
+// Whatever the load is and the platform refuses, each data centre's orders stay within its
+// bounds, reclaimable and on-demand upstreams together.
 func TestOrdersStayWithinBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		svc := service()
 		svc.Scaling.Most = rapid.IntRange(1, 10).Draw(t, "most")
 		s := &Scaler{}
-		stock := make(Stock)
+		ready := make(Stock)
 		ordered := make(Stock)
-		now := start
+		now := startTime
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(100, 3000).Draw(t, "passes")) * time.Millisecond)
 			load := Load{
@@ -526,19 +526,19 @@
 				Each:    rapid.Float64Range(0, 1e-4).Draw(t, "each"),
 				Running: rapid.Float64Range(0, 1000).Draw(t, "running"),
 			}
-			for _, order := range s.Step(now, svc, load, stock) {
+			for _, order := range s.Step(now, svc, load, ready) {
 				if rapid.IntRange(0, 4).Draw(t, "refused") == 0 {
 					s.Refused(now, order.Kind)
 					continue
 				}
 				ordered[order.Kind] = order.Count
-				stock[order.Kind] = order.Count
+				ready[order.Kind] = order.Count
 				if order.Count < 0 || order.Count > svc.Scaling.Most {
 					t.Fatalf("order: got %d of %+v, want 0 to %d", order.Count, order.Kind, svc.Scaling.Most)
 				}
 			}
 		}
-		plan := s.plan(now, svc, s.need(now, svc), stock)
+		plan := s.plan(now, svc, s.requirement(now, svc), ready)
 		for centre := range svc.Scaling.Prices {
 			both := plan[Kind{DataCentre: centre}] + plan[Kind{DataCentre: centre, Reclaimable: true}]
 			if both < svc.Scaling.Least || both > svc.Scaling.Most {
