--- a/src/buyer/buyer.go
+++ b/src/buyer/buyer.go
@@ -12,27 +12,28 @@
 )
 
 const (
-	// headroom is the part of the slots that may be used at the latency target.
-	headroom = 0.8
-	// riseBy and fallBy bound a band in which the demand counts as unchanged.
-	riseBy = 1.1
-	fallBy = 0.7
+	// targetUtilization is the fraction of the slots that may be used at the latency target.
+	targetUtilization = 0.8
+	// riseRatio and fallRatio bound the band in which the demand counts as unchanged.
+	riseRatio = 1.1
+	fallRatio = 0.7
 )
 
-// Buyer buys and gives back; Options are set before the first Step.
+// Buyer buys and releases instances; Options are set before the first Step.
 type Buyer struct {
 	Options Options
 
-	leading bool
-	term    units.Term
-	ledAt   time.Time
-	bought  int
-	listed  Listed
-	// proposed are the states on their way into the log.
-	proposed map[string]*messages.Purchase
-	askedAt  map[string]time.Time
-	refusals map[offerKey]*refusal
-	demands  map[units.Service]*held
+	leading       bool
+	term          units.Term
+	leadingSince  time.Time
+	purchaseCount int
+	listed        Listed
+	// proposed holds the latest state of each purchase: the one proposed to the log, or the
+	// committed one.
+	proposed    map[string]*messages.Purchase
+	requestedAt map[string]time.Time
+	refusals    map[offerKey]*refusal
+	demands     map[units.Service]*demandState
 }
 
 type offerKey struct {
@@ -41,17 +42,17 @@
 	onDemand   bool
 }
 
-// refusal leaves an offer out for a while.
+// refusal excludes an offer for a while.
 type refusal struct {
 	count int
 	until time.Time
 }
 
-// held is a service's demand with its hysteresis.
-type held struct {
+// demandState is a service's demand with its hysteresis.
+type demandState struct {
 	need     int
 	lowSince time.Time
-	// surplusSince is when an instance first was too much.
+	// surplusSince is when an instance first was surplus.
 	surplusSince time.Time
 }
 
@@ -59,52 +60,52 @@
 func (b *Buyer) Step(now time.Time, event Event) []Action {
 	switch e := event.(type) {
 	case Led:
-		b.lead(now, e.Term)
+		b.startTerm(now, e.Term)
 	case Lost:
 		b.leading = false
 	case Listed:
 		b.listed = e
 	case Answered:
 		if b.leading {
-			return b.answer(now, e)
+			return b.handleAnswer(now, e)
 		}
 	case Ticked:
 		if b.leading {
-			return b.tick(now, e)
+			return b.handleTick(now, e)
 		}
 	}
 	return nil
 }
 
-func (b *Buyer) lead(now time.Time, term units.Term) {
+func (b *Buyer) startTerm(now time.Time, term units.Term) {
 	b.leading = true
 	b.term = term
-	b.ledAt = now
-	b.bought = 0
+	b.leadingSince = now
+	b.purchaseCount = 0
 	b.listed = Listed{}
 	b.proposed = make(map[string]*messages.Purchase)
-	b.askedAt = make(map[string]time.Time)
+	b.requestedAt = make(map[string]time.Time)
 	b.refusals = make(map[offerKey]*refusal)
-	b.demands = make(map[units.Service]*held)
+	b.demands = make(map[units.Service]*demandState)
 }
 
-// answer proposes what the platform's answer means for a purchase.
-func (b *Buyer) answer(now time.Time, e Answered) []Action {
-	known := b.proposed[e.Token]
-	if known == nil || known.GetState() != messages.PurchaseState_PURCHASE_STATE_PLANNED {
+// handleAnswer proposes the purchase's next state after the platform's answer.
+func (b *Buyer) handleAnswer(now time.Time, e Answered) []Action {
+	purchase := b.proposed[e.Token]
+	if purchase == nil || purchase.GetState() != messages.PurchaseState_PURCHASE_STATE_PLANNED {
 		return nil
 	}
 	if e.Instance == "" {
-		b.refuse(now, keyOf(known))
-		return b.propose(now, known, messages.PurchaseState_PURCHASE_STATE_REFUSED, "", e.Reason)
+		b.recordRefusal(now, keyOf(purchase))
+		return b.propose(now, purchase, messages.PurchaseState_PURCHASE_STATE_REFUSED, "", e.Reason)
 	}
-	delete(b.refusals, keyOf(known))
-	return b.propose(now, known, messages.PurchaseState_PURCHASE_STATE_LAUNCHED, e.Instance, known.GetReason())
+	delete(b.refusals, keyOf(purchase))
+	return b.propose(now, purchase, messages.PurchaseState_PURCHASE_STATE_LAUNCHED, e.Instance, purchase.GetReason())
 }
 
-// refuse leaves an offer out for longer with each refusal in a row; else a data
+// recordRefusal excludes an offer for longer with each refusal in a row; otherwise a data
 // centre that is sold out would be asked on each tick and others never.
-func (b *Buyer) refuse(now time.Time, key offerKey) {
+func (b *Buyer) recordRefusal(now time.Time, key offerKey) {
 	r := b.refusals[key]
 	if r == nil {
 		r = &refusal{}
@@ -125,19 +126,19 @@
 	return []Action{Commit{Purchase: next}}
 }
 
-func (b *Buyer) tick(now time.Time, e Ticked) []Action {
+func (b *Buyer) handleTick(now time.Time, e Ticked) []Action {
 	ledger := b.merge(e.Ledger)
 	var actions []Action
-	// Only what is committed is carried out: a purchase that is made before it is
-	// committed can be forgotten by the next leader, who would buy it again.
+	// Only committed states are carried out: an instance that is bought before its purchase is
+	// committed can be unknown to the next leader, which would buy it again.
 	for _, p := range e.Ledger {
 		if b.proposed[p.GetToken()].GetState() == p.GetState() {
-			actions = append(actions, b.pursue(now, p, e.Upstreams)...)
+			actions = append(actions, b.advance(now, p, e.Upstreams)...)
 		}
 	}
-	// A new leader has heard neither the platform nor the entries; it would take
-	// all that it does not know of for lost and buy it again.
-	if now.Sub(b.ledAt) < b.Options.Settle || b.listed.At.Before(b.ledAt) {
+	// A new leader has no reports of the platform or the entries yet; it would take everything
+	// it does not know of for lost and buy it again.
+	if now.Sub(b.leadingSince) < b.Options.Settle || b.listed.At.Before(b.leadingSince) {
 		return actions
 	}
 	for _, demand := range e.Demands {
@@ -146,10 +147,10 @@
 	return actions
 }
 
-// merge returns the committed purchases with what is on its way into the log.
+// merge returns the committed purchases together with those proposed to the log.
 //
-// A proposal counts from the moment it is made: if it counted only once it is
-// committed, each tick until then would buy the same capacity again.
+// A proposal counts from the moment it is made: if it counted only once it is committed, each
+// tick until then would buy the same capacity again.
 func (b *Buyer) merge(committed []*messages.Purchase) []*messages.Purchase {
 	seen := make(map[string]bool)
 	var merged []*messages.Purchase
@@ -181,24 +182,24 @@
 	return merged
 }
 
-// pursue carries one purchase towards its end.
-func (b *Buyer) pursue(now time.Time, p *messages.Purchase, upstreams []Upstream) []Action {
-	due := now.Sub(b.askedAt[p.GetToken()]) >= b.Options.Retry
+// advance returns the actions that bring one purchase to its next state.
+func (b *Buyer) advance(now time.Time, p *messages.Purchase, upstreams []Upstream) []Action {
+	due := now.Sub(b.requestedAt[p.GetToken()]) >= b.Options.Retry
 	since := now.Sub(time.UnixMilli(p.GetAtMs()))
 	listed := b.isListed(p)
 	switch p.GetState() {
 	case messages.PurchaseState_PURCHASE_STATE_PLANNED:
 		if due {
-			b.askedAt[p.GetToken()] = now
+			b.requestedAt[p.GetToken()] = now
 			return []Action{Launch{Purchase: p}}
 		}
 	case messages.PurchaseState_PURCHASE_STATE_REFUSED, messages.PurchaseState_PURCHASE_STATE_ENDED:
-		return b.releaseStray(now, p)
+		return b.releaseOrphan(now, p)
 	case messages.PurchaseState_PURCHASE_STATE_LAUNCHED:
 		if !listed && b.listed.At.After(time.UnixMilli(p.GetAtMs())) {
 			return b.propose(now, p, messages.PurchaseState_PURCHASE_STATE_ENDED, p.GetInstance(), "the platform lists it no more")
 		}
-		if since >= b.Options.Start && announcedBy(p, upstreams) == nil {
+		if since >= b.Options.Start && upstreamOf(p, upstreams) == nil {
 			return b.propose(now, p, messages.PurchaseState_PURCHASE_STATE_RELEASING, p.GetInstance(), "it never announced itself")
 		}
 	case messages.PurchaseState_PURCHASE_STATE_RELEASING:
@@ -206,27 +207,27 @@
 			return b.propose(now, p, messages.PurchaseState_PURCHASE_STATE_ENDED, p.GetInstance(), "given back")
 		}
 		if due {
-			b.askedAt[p.GetToken()] = now
+			b.requestedAt[p.GetToken()] = now
 			return []Action{Release{Purchase: p}}
 		}
 	}
 	return nil
 }
 
-// releaseStray gives back an instance whose purchase has ended.
+// releaseOrphan releases an instance whose purchase has ended.
 //
-// A repeated request can reach the platform after the first was refused and be
-// granted then; without this nobody would know of its instance, and it would be
-// paid for until someone reads the bill.
-func (b *Buyer) releaseStray(now time.Time, p *messages.Purchase) []Action {
+// A repeated request can reach the platform after the first was refused and be granted then.
+// Without this the instance would be unknown to every leader, and paid for until someone reads
+// the bill.
+func (b *Buyer) releaseOrphan(now time.Time, p *messages.Purchase) []Action {
 	for _, i := range b.listed.Instances {
-		if i.Token != p.GetToken() || i.Noticed || now.Sub(b.askedAt[i.Token]) < b.Options.Retry {
+		if i.Token != p.GetToken() || i.Noticed || now.Sub(b.requestedAt[i.Token]) < b.Options.Retry {
 			continue
 		}
-		b.askedAt[i.Token] = now
-		stray := proto.CloneOf(p)
-		stray.Instance = i.ID
-		return []Action{Release{Purchase: stray}}
+		b.requestedAt[i.Token] = now
+		orphan := proto.CloneOf(p)
+		orphan.Instance = i.ID
+		return []Action{Release{Purchase: orphan}}
 	}
 	return nil
 }
@@ -235,11 +236,11 @@
 	return slices.ContainsFunc(b.listed.Instances, func(i Instance) bool { return i.Token == p.GetToken() })
 }
 
-func (b *Buyer) noticed(p *messages.Purchase) bool {
+func (b *Buyer) hasNotice(p *messages.Purchase) bool {
 	return slices.ContainsFunc(b.listed.Instances, func(i Instance) bool { return i.Token == p.GetToken() && i.Noticed })
 }
 
-func announcedBy(p *messages.Purchase, upstreams []Upstream) *Upstream {
+func upstreamOf(p *messages.Purchase, upstreams []Upstream) *Upstream {
 	for i := range upstreams {
 		if p.GetInstance() != "" && upstreams[i].Instance == p.GetInstance() {
 			return &upstreams[i]
@@ -257,9 +258,9 @@
 }
 
 func (b *Buyer) buy(now time.Time, service units.Service, offer Offer, reason string) []Action {
-	b.bought++
+	b.purchaseCount++
 	p := &messages.Purchase{
-		Token:        fmt.Sprintf("rosecroft-%d-%d", b.term, b.bought),
+		Token:        fmt.Sprintf("rosecroft-%d-%d", b.term, b.purchaseCount),
 		Service:      string(service),
 		DataCentre:   string(offer.DataCentre),
 		MachineClass: string(offer.Class),
--- a/src/buyer/buyer_test.go
+++ b/src/buyer/buyer_test.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	tick     = 200 * time.Millisecond
-	bootTime = 3 * time.Second
+	tickInterval = 200 * time.Millisecond
+	bootTime     = 3 * time.Second
 )
 
 var testOptions = Options{
@@ -37,9 +37,9 @@
 	os.Exit(m.Run())
 }
 
-// A mix that costs more than needed is paid for each hour. The planner's mix
-// must survive the loss of any one data centre at the cost of the best one that
-// a search of all mixes finds.
+// A mix of offers that costs more than needed is paid for each hour. The planner's mix must
+// survive the loss of any one data centre at the cost of the best mix that an exhaustive search
+// finds.
 func TestPlanIsTheCheapestThatSurvives(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var offers []Offer
@@ -62,18 +62,18 @@
 			cost += float64(offer.Price)
 			capacity[offer.DataCentre] += offer.Slots
 		}
-		if got, want := Remaining(capacity), need; got < want {
+		if got, want := RemainingSlots(capacity), need; got < want {
 			t.Fatalf("slots without the largest data centre: got %d, want at least %d", got, want)
 		}
-		if got, want := cost, search(need, base, offers, 0); math.Abs(got-want) > 1e-9 {
+		if got, want := cost, searchMinCost(need, base, offers, 0); math.Abs(got-want) > 1e-9 {
 			t.Fatalf("cost of the plan: got %v, want %v", got, want)
 		}
 	})
 }
 
-// search returns the least cost of all mixes of up to need+3 of each offer.
-func search(need int, capacity map[units.DataCentre]int, offers []Offer, from int) float64 {
-	if Remaining(capacity) >= need {
+// searchMinCost returns the minimum cost over all mixes of up to need+3 of each offer.
+func searchMinCost(need int, capacity map[units.DataCentre]int, offers []Offer, from int) float64 {
+	if RemainingSlots(capacity) >= need {
 		return 0
 	}
 	if from == len(offers) {
@@ -83,41 +83,41 @@
 	offer := offers[from]
 	for count := range need + 4 {
 		capacity[offer.DataCentre] += count * offer.Slots
-		best = min(best, float64(count)*float64(offer.Price)+search(need, capacity, offers, from+1))
+		best = min(best, float64(count)*float64(offer.Price)+searchMinCost(need, capacity, offers, from+1))
 		capacity[offer.DataCentre] -= count * offer.Slots
 	}
 	return best
 }
 
-// Leaders change every few seconds while a fleet is bought, requests and
-// answers get lost and proposals of a lost leader are committed or not. Each
-// instance must be bought once: none twice, none forgotten.
+// Leaders change every few seconds while a fleet is bought, requests and answers are lost, and
+// proposals of a former leader may or may not be committed. Each instance must be bought
+// exactly once and never be forgotten.
 func TestPurchasesSurviveLeaders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(rapid.Uint64().Draw(t, "seed"))
-		w.loss = rapid.Float64Range(0, 0.4).Draw(t, "loss")
+		s := newSimulation(rapid.Uint64().Draw(t, "seed"))
+		s.lossRate = rapid.Float64Range(0, 0.4).Draw(t, "loss")
 		for range 30 {
 			switch rapid.IntRange(0, 7).Draw(t, "event") {
 			case 0, 1:
-				w.elect()
+				s.elect()
 			case 2:
-				w.refusing = units.DataCentre(fmt.Sprint("dc-", rapid.IntRange(0, 3).Draw(t, "refusing")))
+				s.soldOut = units.DataCentre(fmt.Sprint("dc-", rapid.IntRange(0, 3).Draw(t, "refusing")))
 			case 3:
-				w.reclaim(rapid.IntRange(0, 20).Draw(t, "reclaimed"))
+				s.reclaim(rapid.IntRange(0, 20).Draw(t, "reclaimed"))
 			}
-			w.run(time.Duration(rapid.IntRange(1, 40).Draw(t, "for")) * tick)
-			if got, want := w.problem, ""; got != want {
-				t.Fatalf("broken rule: got %q, want none", got)
+			s.run(time.Duration(rapid.IntRange(1, 40).Draw(t, "for")) * tickInterval)
+			if got, want := s.violation, ""; got != want {
+				t.Fatalf("violated invariant: got %q, want none", got)
 			}
 		}
-		w.loss = 0
-		w.refusing = ""
-		w.run(3 * time.Minute)
-		if got, want := w.remaining(), w.demand.Slots; got < want {
+		s.lossRate = 0
+		s.soldOut = ""
+		s.run(3 * time.Minute)
+		if got, want := s.remainingSlots(), s.demand.Slots; got < want {
 			t.Fatalf("slots without the largest data centre: got %d, want at least %d", got, want)
 		}
-		for _, i := range w.instances {
-			p := w.ledger[i.token]
+		for _, i := range s.instances {
+			p := s.ledger[i.token]
 			if got, want := p.GetState(), messages.PurchaseState_PURCHASE_STATE_LAUNCHED; i.endsAt.IsZero() && got != want {
 				t.Fatalf("state of the purchase of a running instance: got %s, want %s", got, want)
 			}
@@ -125,90 +125,89 @@
 	})
 }
 
-// Nothing fails while the fleet is bought over ten leaders; what runs in the
-// end must be one plan's instances and not one more.
+// Nothing fails while the fleet is bought over ten leaders; the instances in the end must be
+// exactly those of one plan.
 func TestNothingIsBoughtTwice(t *testing.T) {
-	w := newWorld(5)
-	planned := len(Plan(w.demand.Slots, nil, w.offers, w.demand.Load))
+	s := newSimulation(5)
+	planned := len(Plan(s.demand.Slots, nil, s.offers, s.demand.Load))
 	for range 10 {
-		w.run(3 * time.Second)
-		w.elect()
+		s.run(3 * time.Second)
+		s.elect()
 	}
-	w.run(time.Minute)
-	if got, want := len(w.instances), planned; got != want {
+	s.run(time.Minute)
+	if got, want := len(s.instances), planned; got != want {
 		t.Errorf("instances launched: got %d, want %d", got, want)
 	}
 }
 
-// The platform gives a minute's notice of one instance. Its replacement must be
-// bought at the notice; begun at the loss, it would leave the service without
-// its reserve until it has loaded.
+// The platform gives a minute's notice of one instance. Its replacement must be bought at the
+// notice; bought at the loss, it would leave the service without its reserve until it has
+// loaded.
 func TestReplacementStartsAtTheNotice(t *testing.T) {
-	w := newWorld(6)
-	w.run(2 * time.Minute)
-	w.notice = time.Minute
-	w.reclaim(0)
-	w.run(20 * time.Second)
-	if got, want := w.remaining(), w.demand.Slots; got < want {
+	s := newSimulation(6)
+	s.run(2 * time.Minute)
+	s.notice = time.Minute
+	s.reclaim(0)
+	s.run(20 * time.Second)
+	if got, want := s.remainingSlots(), s.demand.Slots; got < want {
 		t.Errorf("slots without the noticed instance and the largest data centre: got %d, want at least %d", got, want)
 	}
-	if got, want := w.instances[0].ended, false; got != want {
+	if got, want := s.instances[0].ended, false; got != want {
 		t.Errorf("instance with the notice has ended: got %t, want %t", got, want)
 	}
 }
 
-// The load swings by half every few seconds. Buying and giving back with it
-// would pay for loading over and over: nothing may change but what the first
-// rise brings.
+// The load changes by half every few seconds. Buying and releasing with it would pay for
+// loading over and over: nothing may change after the first rise.
 func TestSwingingDemandChangesNothing(t *testing.T) {
-	w := newWorld(7)
-	w.demand.Slots = 0
-	w.demand.Used = 60
-	w.run(2 * time.Minute)
-	before, releases := len(w.instances), w.released
+	s := newSimulation(7)
+	s.demand.Slots = 0
+	s.demand.Used = 60
+	s.run(2 * time.Minute)
+	before, releases := len(s.instances), s.released
 	for i := range 100 {
-		w.demand.Used = 60 - 30*(i%2)
-		w.run(5 * time.Second)
+		s.demand.Used = 60 - 30*(i%2)
+		s.run(5 * time.Second)
 	}
-	if got, want := len(w.instances)+w.released, before+releases; got != want {
+	if got, want := len(s.instances)+s.released, before+releases; got != want {
 		t.Errorf("purchases and releases: got %d, want %d", got, want)
 	}
 }
 
-// The demand falls to a third for good. Instances are given back one at a time
-// after the cool-down, never below what the rest of the demand needs.
+// The demand falls to a third for good. Instances are released one at a time after the
+// cool-down, and never below what the remaining demand needs.
 func TestSurplusIsGivenBack(t *testing.T) {
-	w := newWorld(8)
-	w.demand.Slots = 16
-	w.demand.Used = 90
-	w.run(2 * time.Minute)
-	before := w.remaining()
-	w.demand.Used = 20
-	w.run(20 * time.Minute)
-	if got, want := w.remaining() < before, true; got != want {
+	s := newSimulation(8)
+	s.demand.Slots = 16
+	s.demand.Used = 90
+	s.run(2 * time.Minute)
+	before := s.remainingSlots()
+	s.demand.Used = 20
+	s.run(20 * time.Minute)
+	if got, want := s.remainingSlots() < before, true; got != want {
 		t.Errorf("capacity has fallen from %d: got %t, want %t", before, got, want)
 	}
-	if got, want := w.remaining(), 25; got < want {
+	if got, want := s.remainingSlots(), 25; got < want {
 		t.Errorf("slots without the largest data centre: got %d, want at least %d", got, want)
 	}
 }
 
-// A data centre is sold out. The buyer must turn to others and ask the sold-out
-// one less and less, or each tick would bring it a request.
+// A data centre is sold out. The buyer must turn to others and ask the sold-out one less and
+// less often, or each tick would send it a request.
 func TestRefusedOffersAreBackedOff(t *testing.T) {
-	w := newWorld(9)
-	w.refusing = "dc-0"
-	w.run(3 * time.Minute)
-	if got, want := w.remaining(), w.demand.Slots; got < want {
+	s := newSimulation(9)
+	s.soldOut = "dc-0"
+	s.run(3 * time.Minute)
+	if got, want := s.remainingSlots(), s.demand.Slots; got < want {
 		t.Errorf("slots without the largest data centre: got %d, want at least %d", got, want)
 	}
-	if got, want := w.refused, 12; got > want {
+	if got, want := s.refused, 12; got > want {
 		t.Errorf("refused requests in 3 minutes: got %d, want at most %d", got, want)
 	}
 }
 
-// A leader that has lost its place still has proposals under way; committed
-// late, they must not make an instance count again that was given back.
+// A leader that has been replaced still has proposals in flight; committed late, they must not
+// make an instance that was released count again.
 func TestStatesOnlyGoForward(t *testing.T) {
 	states := []messages.PurchaseState{0, 1, 2, 3, 4, 5}
 	for _, from := range states[1:] {
@@ -220,28 +219,28 @@
 		}
 	}
 	if got, want := Follows(nil, &messages.Purchase{State: 2}), false; got != want {
-		t.Errorf("launched without a plan: got %t, want %t", got, want)
+		t.Errorf("launched without a planned state: got %t, want %t", got, want)
 	}
 }
 
-// world is a leader, its log and the platform.
-type world struct {
+// simulation is a leader, its log and the platform.
+type simulation struct {
 	now       time.Time
 	random    *rand.Rand
 	buyer     *Buyer
 	term      units.Term
 	offers    []Offer
 	demand    Demand
-	loss      float64
-	refusing  units.DataCentre
+	lossRate  float64
+	soldOut   units.DataCentre
 	notice    time.Duration
 	ledger    map[string]*messages.Purchase
-	inLog     []*messages.Purchase
+	proposals []*messages.Purchase
 	instances []*instance
 	refused   int
 	released  int
-	problem   string
-	late      []*messages.Purchase
+	violation string
+	delayed   []*messages.Purchase
 }
 
 type instance struct {
@@ -252,8 +251,8 @@
 	ended     bool
 }
 
-func newWorld(seed uint64) *world {
-	w := &world{
+func newSimulation(seed uint64) *simulation {
+	s := &simulation{
 		now:    time.Unix(1000, 0),
 		random: rand.New(rand.NewPCG(seed, 3)),
 		ledger: make(map[string]*messages.Purchase),
@@ -268,7 +267,7 @@
 	}
 	for d := range 4 {
 		for c, class := range []units.MachineClass{"small", "large"} {
-			w.offers = append(w.offers, Offer{
+			s.offers = append(s.offers, Offer{
 				DataCentre:      units.DataCentre(fmt.Sprint("dc-", d)),
 				Class:           class,
 				Price:           units.Price(float64(c+1) * (1 + 0.1*float64(d))),
@@ -276,7 +275,7 @@
 				Slots:           8 * (c + 1),
 			})
 		}
-		w.offers = append(w.offers, Offer{
+		s.offers = append(s.offers, Offer{
 			DataCentre: units.DataCentre(fmt.Sprint("dc-", d)),
 			Class:      "small",
 			OnDemand:   true,
@@ -284,56 +283,56 @@
 			Slots:      8,
 		})
 	}
-	w.elect()
-	return w
+	s.elect()
+	return s
 }
 
-// elect makes a new leader; what the old one proposed is committed or lost.
-func (w *world) elect() {
-	w.term++
-	for _, p := range w.inLog {
-		if w.random.IntN(2) == 0 {
-			w.commit(p)
+// elect replaces the leader; what the old one proposed is committed or lost.
+func (s *simulation) elect() {
+	s.term++
+	for _, p := range s.proposals {
+		if s.random.IntN(2) == 0 {
+			s.commit(p)
 		}
 	}
-	w.inLog = nil
-	w.buyer = &Buyer{Options: testOptions}
-	w.buyer.Step(w.now, Led{Term: w.term})
+	s.proposals = nil
+	s.buyer = &Buyer{Options: testOptions}
+	s.buyer.Step(s.now, Led{Term: s.term})
 }
 
-func (w *world) commit(p *messages.Purchase) {
-	if Follows(w.ledger[p.GetToken()], p) {
-		w.ledger[p.GetToken()] = p
+func (s *simulation) commit(p *messages.Purchase) {
+	if Follows(s.ledger[p.GetToken()], p) {
+		s.ledger[p.GetToken()] = p
 	}
 }
 
-func (w *world) run(span time.Duration) {
-	for range span / tick {
-		w.now = w.now.Add(tick)
-		w.step()
+func (s *simulation) run(span time.Duration) {
+	for range span / tickInterval {
+		s.now = s.now.Add(tickInterval)
+		s.step()
 	}
 }
 
-func (w *world) step() {
-	// A proposal takes a while until it is committed, in order.
-	for len(w.inLog) > 0 && w.random.IntN(3) > 0 {
-		w.commit(w.inLog[0])
-		w.inLog = w.inLog[1:]
-	}
-	// A request that was under way for long reaches the platform after others.
-	if len(w.late) > 0 && w.random.IntN(20) == 0 {
-		late := w.late[0]
-		w.late = w.late[1:]
-		w.launch(late)
-	}
-	listed := Listed{At: w.now}
+func (s *simulation) step() {
+	// Proposals are committed in order, each after a delay.
+	for len(s.proposals) > 0 && s.random.IntN(3) > 0 {
+		s.commit(s.proposals[0])
+		s.proposals = s.proposals[1:]
+	}
+	// A delayed request reaches the platform after others.
+	if len(s.delayed) > 0 && s.random.IntN(20) == 0 {
+		delayed := s.delayed[0]
+		s.delayed = s.delayed[1:]
+		s.launch(delayed)
+	}
+	listed := Listed{At: s.now}
 	t := Ticked{
-		Offers:   w.offers,
-		Demands:  []Demand{w.demand},
+		Offers:   s.offers,
+		Demands:  []Demand{s.demand},
 		Starting: 8,
 	}
-	for _, i := range w.instances {
-		i.ended = i.ended || !i.endsAt.IsZero() && w.now.After(i.endsAt)
+	for _, i := range s.instances {
+		i.ended = i.ended || !i.endsAt.IsZero() && s.now.After(i.endsAt)
 		if i.ended {
 			continue
 		}
@@ -342,7 +341,7 @@
 			Token:   i.token,
 			Noticed: !i.endsAt.IsZero(),
 		})
-		if w.now.After(i.bootedAt) {
+		if s.now.After(i.bootedAt) {
 			t.Upstreams = append(t.Upstreams, Upstream{
 				Instance:   i.id,
 				Service:    "s",
@@ -353,78 +352,78 @@
 			})
 		}
 	}
-	for _, p := range w.ledger {
+	for _, p := range s.ledger {
 		t.Ledger = append(t.Ledger, p)
 	}
-	if w.random.Float64() >= w.loss {
-		w.buyer.Step(w.now, listed)
+	if s.random.Float64() >= s.lossRate {
+		s.buyer.Step(s.now, listed)
 	}
-	for _, action := range w.buyer.Step(w.now, t) {
-		w.carryOut(action)
+	for _, action := range s.buyer.Step(s.now, t) {
+		s.carryOut(action)
 	}
 }
 
-func (w *world) carryOut(action Action) {
+func (s *simulation) carryOut(action Action) {
 	switch a := action.(type) {
 	case Commit:
-		w.inLog = append(w.inLog, a.Purchase)
+		s.proposals = append(s.proposals, a.Purchase)
 	case Launch:
-		w.launch(a.Purchase)
+		s.launch(a.Purchase)
 	case Release:
-		for _, i := range w.instances {
+		for _, i := range s.instances {
 			if i.token == a.Purchase.GetToken() && i.endsAt.IsZero() {
-				w.released++
-				i.endsAt = w.now.Add(w.notice)
+				s.released++
+				i.endsAt = s.now.Add(s.notice)
 			}
 		}
 	}
 }
 
-func (w *world) launch(p *messages.Purchase) {
-	if w.random.Float64() < w.loss {
-		w.late = append(w.late, p)
+func (s *simulation) launch(p *messages.Purchase) {
+	if s.random.Float64() < s.lossRate {
+		s.delayed = append(s.delayed, p)
 	}
-	if w.ledger[p.GetToken()] == nil {
-		w.problem = "a request before its purchase was committed"
+	if s.ledger[p.GetToken()] == nil {
+		s.violation = "a request before its purchase was committed"
 	}
-	if w.random.Float64() < w.loss {
+	if s.random.Float64() < s.lossRate {
 		return
 	}
 	answer := Answered{Token: p.GetToken()}
-	if known := slices.IndexFunc(w.instances, func(i *instance) bool { return i.token == p.GetToken() }); known >= 0 {
-		answer.Instance = w.instances[known].id
-	} else if p.GetDataCentre() == string(w.refusing) {
-		w.refused++
+	if known := slices.IndexFunc(s.instances, func(i *instance) bool { return i.token == p.GetToken() }); known >= 0 {
+		answer.Instance = s.instances[known].id
+	} else if p.GetDataCentre() == string(s.soldOut) {
+		s.refused++
 		answer.Reason = "sold out"
 	} else {
-		answer.Instance = fmt.Sprint("i-", len(w.instances))
-		offer := w.offers[slices.IndexFunc(w.offers, func(o Offer) bool { return o.key() == keyOf(p) })]
-		w.instances = append(w.instances, &instance{
+		answer.Instance = fmt.Sprint("i-", len(s.instances))
+		offer := s.offers[slices.IndexFunc(s.offers, func(o Offer) bool { return o.key() == keyOf(p) })]
+		s.instances = append(s.instances, &instance{
 			id:       answer.Instance,
 			token:    p.GetToken(),
 			offer:    offer,
-			bootedAt: w.now.Add(bootTime),
+			bootedAt: s.now.Add(bootTime),
 		})
 	}
-	if w.random.Float64() >= w.loss {
-		for _, action := range w.buyer.Step(w.now, answer) {
-			w.carryOut(action)
+	if s.random.Float64() >= s.lossRate {
+		for _, action := range s.buyer.Step(s.now, answer) {
+			s.carryOut(action)
 		}
 	}
 }
 
-func (w *world) reclaim(index int) {
-	if index < len(w.instances) && !w.instances[index].ended && w.instances[index].endsAt.IsZero() {
-		w.instances[index].endsAt = w.now.Add(w.notice)
+func (s *simulation) reclaim(index int) {
+	if index < len(s.instances) && !s.instances[index].ended && s.instances[index].endsAt.IsZero() {
+		s.instances[index].endsAt = s.now.Add(s.notice)
 	}
 }
 
-func (w *world) remaining() int {
+func (s *simulation) remainingSlots() int {
 	capacity := make(map[units.DataCentre]int)
-	for _, i := range w.instances {
+	for _, i := range s.instances {
 		if i.endsAt.IsZero() {
 			capacity[i.offer.DataCentre] += i.offer.Slots
 		}
 	}
-	return Remaining(capacity)
+	return RemainingSlots(capacity)
 }
--- a/src/buyer/capacity.go
+++ b/src/buyer/capacity.go
@@ -10,62 +10,62 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// stock is what a service has and will have.
-type stock struct {
-	capacity map[units.DataCentre]int
-	onDemand int
-	count    int
-	starting int
-	held     []*messages.Purchase
+// inventory is the capacity that a service has and will have.
+type inventory struct {
+	capacity  map[units.DataCentre]int
+	onDemand  int
+	instances int
+	starting  int
+	purchases []*messages.Purchase
 }
 
-// plan buys what a service lacks, or gives back what it has too much.
+// plan buys what a service lacks, or releases its surplus.
 func (b *Buyer) plan(now time.Time, e Ticked, demand Demand, ledger []*messages.Purchase) []Action {
 	need := b.need(now, demand)
-	s := b.stock(e, demand.Service, ledger)
-	offers := b.available(now, e.Offers)
+	s := b.inventory(e, demand.Service, ledger)
+	offers := b.availableOffers(now, e.Offers)
 	wanted := floorOffers(s, demand, offers)
 	base := maps.Clone(s.capacity)
 	for _, offer := range wanted {
 		base[offer.DataCentre] += offer.Slots
 	}
 	reason := "on-demand floor"
-	if Remaining(base) < need {
+	if RemainingSlots(base) < need {
 		wanted = append(wanted, Plan(need, base, offers, demand.Load)...)
-		reason = fmt.Sprintf("need %d slots without the largest data centre, have %d", need, Remaining(s.capacity))
+		reason = fmt.Sprintf("need %d slots without the largest data centre, have %d", need, RemainingSlots(s.capacity))
 	}
 	h := b.demands[demand.Service]
-	if len(wanted) > 0 || Remaining(s.capacity) < need {
+	if len(wanted) > 0 || RemainingSlots(s.capacity) < need {
 		h.surplusSince = time.Time{}
 	}
 	var actions []Action
 	for _, offer := range wanted {
-		if s.count >= demand.Most || s.starting >= e.Starting {
+		if s.instances >= demand.Most || s.starting >= e.Starting {
 			break
 		}
-		s.count++
+		s.instances++
 		s.starting++
 		actions = append(actions, b.buy(now, demand.Service, offer, reason)...)
 	}
 	if len(wanted) > 0 {
 		return actions
 	}
-	return b.giveBack(now, e, demand, need, s)
+	return b.releaseSurplus(now, e, demand, need, s)
 }
 
-// need is the demand in slots, which rises at once and falls late.
+// need returns the demand in slots; it rises at once and falls after a cool-down.
 func (b *Buyer) need(now time.Time, demand Demand) int {
 	h := b.demands[demand.Service]
 	if h == nil {
-		h = &held{}
+		h = &demandState{}
 		b.demands[demand.Service] = h
 	}
-	wanted := max(demand.Slots, int(math.Ceil(float64(demand.Used)/headroom)))
+	wanted := max(demand.Slots, int(math.Ceil(float64(demand.Used)/targetUtilization)))
 	switch {
-	case float64(wanted) > riseBy*float64(h.need) || h.need < demand.Slots:
+	case float64(wanted) > riseRatio*float64(h.need) || h.need < demand.Slots:
 		h.need = wanted
 		h.lowSince = time.Time{}
-	case float64(wanted) >= fallBy*float64(h.need):
+	case float64(wanted) >= fallRatio*float64(h.need):
 		h.lowSince = time.Time{}
 	case h.lowSince.IsZero():
 		h.lowSince = now
@@ -76,10 +76,10 @@
 	return h.need
 }
 
-// stock counts what a service has; what got its notice counts no more, so that
-// its replacement starts at the notice and not at the loss.
-func (b *Buyer) stock(e Ticked, service units.Service, ledger []*messages.Purchase) *stock {
-	s := &stock{
+// inventory counts a service's capacity; an instance with a reclaim notice does not count, so
+// that its replacement starts at the notice and not at the loss.
+func (b *Buyer) inventory(e Ticked, service units.Service, ledger []*messages.Purchase) *inventory {
+	s := &inventory{
 		capacity: make(map[units.DataCentre]int),
 	}
 	own := make(map[string]bool)
@@ -87,19 +87,19 @@
 		if p.GetInstance() != "" {
 			own[p.GetInstance()] = true
 		}
-		if p.GetService() != string(service) || !counts(p) {
+		if p.GetService() != string(service) || !isActive(p) {
 			continue
 		}
-		s.count++
-		u := announcedBy(p, e.Upstreams)
-		if b.noticed(p) || u != nil && u.Leaving {
+		s.instances++
+		u := upstreamOf(p, e.Upstreams)
+		if b.hasNotice(p) || u != nil && u.Leaving {
 			continue
 		}
 		if u == nil || !u.Serving {
 			s.starting++
 		}
 		s.add(units.DataCentre(p.GetDataCentre()), slotsOf(e.Offers, p), p.GetOnDemand())
-		s.held = append(s.held, p)
+		s.purchases = append(s.purchases, p)
 	}
 	for _, u := range e.Upstreams {
 		if u.Service == service && u.Serving && !u.Leaving && !own[u.Instance] {
@@ -109,8 +109,8 @@
 	return s
 }
 
-// counts reports whether a purchase is an instance that is to stay.
-func counts(p *messages.Purchase) bool {
+// isActive reports whether a purchase stands for an instance that is to stay.
+func isActive(p *messages.Purchase) bool {
 	switch p.GetState() {
 	case messages.PurchaseState_PURCHASE_STATE_PLANNED, messages.PurchaseState_PURCHASE_STATE_LAUNCHED:
 		return true
@@ -118,7 +118,7 @@
 	return false
 }
 
-func (s *stock) add(dataCentre units.DataCentre, slots int, onDemand bool) {
+func (s *inventory) add(dataCentre units.DataCentre, slots int, onDemand bool) {
 	s.capacity[dataCentre] += slots
 	if onDemand {
 		s.onDemand += slots
@@ -142,29 +142,29 @@
 	}
 }
 
-// available returns the offers that were not refused of late.
-func (b *Buyer) available(now time.Time, offers []Offer) []Offer {
-	var available []Offer
+// availableOffers returns the offers that are not excluded after a refusal.
+func (b *Buyer) availableOffers(now time.Time, offers []Offer) []Offer {
+	var availableOffers []Offer
 	for _, offer := range offers {
 		if r := b.refusals[offer.key()]; r == nil || !now.Before(r.until) {
-			available = append(available, offer)
+			availableOffers = append(availableOffers, offer)
 		}
 	}
-	return available
+	return availableOffers
 }
 
-// floorOffers returns the on-demand offers that are lacking, cheapest first and
-// spread over the data centres.
-func floorOffers(s *stock, demand Demand, offers []Offer) []Offer {
+// floorOffers returns the on-demand offers to buy until the service's on-demand minimum is met,
+// cheapest first and spread over the data centres.
+func floorOffers(s *inventory, demand Demand, offers []Offer) []Offer {
 	var wanted []Offer
-	placed := make(map[units.DataCentre]int)
-	for have := s.onDemand; have < demand.OnDemand; {
+	perDataCentre := make(map[units.DataCentre]int)
+	for slots := s.onDemand; slots < demand.OnDemand; {
 		best := -1
 		for i, offer := range offers {
 			if !offer.OnDemand || offer.Slots == 0 {
 				continue
 			}
-			if best < 0 || cheaper(offer, offers[best], placed) {
+			if best < 0 || isPreferred(offer, offers[best], perDataCentre) {
 				best = i
 			}
 		}
@@ -172,21 +172,21 @@
 			return wanted
 		}
 		wanted = append(wanted, offers[best])
-		placed[offers[best].DataCentre]++
-		have += offers[best].Slots
+		perDataCentre[offers[best].DataCentre]++
+		slots += offers[best].Slots
 	}
 	return wanted
 }
 
-func cheaper(a, b Offer, placed map[units.DataCentre]int) bool {
-	if placed[a.DataCentre] != placed[b.DataCentre] {
-		return placed[a.DataCentre] < placed[b.DataCentre]
+func isPreferred(a, b Offer, perDataCentre map[units.DataCentre]int) bool {
+	if perDataCentre[a.DataCentre] != perDataCentre[b.DataCentre] {
+		return perDataCentre[a.DataCentre] < perDataCentre[b.DataCentre]
 	}
 	return float64(a.Price)/float64(a.Slots) < float64(b.Price)/float64(b.Slots)
 }
 
-// giveBack releases one instance once it has been too much for long enough.
-func (b *Buyer) giveBack(now time.Time, e Ticked, demand Demand, need int, s *stock) []Action {
+// releaseSurplus releases one instance once it has been surplus for the cool-down.
+func (b *Buyer) releaseSurplus(now time.Time, e Ticked, demand Demand, need int, s *inventory) []Action {
 	h := b.demands[demand.Service]
 	surplus := b.surplus(e, demand, need, s)
 	if surplus == nil {
@@ -201,29 +201,29 @@
 	}
 	h.surplusSince = time.Time{}
 	return b.propose(now, surplus, messages.PurchaseState_PURCHASE_STATE_RELEASING, surplus.GetInstance(),
-		fmt.Sprintf("too much: %d slots needed without the largest data centre, %d there", need, Remaining(s.capacity)))
+		fmt.Sprintf("too much: %d slots needed without the largest data centre, %d there", need, RemainingSlots(s.capacity)))
 }
 
-// surplus returns the dearest instance without which enough is left.
-func (b *Buyer) surplus(e Ticked, demand Demand, need int, s *stock) *messages.Purchase {
-	var dearest *messages.Purchase
+// surplus returns the most expensive instance that can go with enough capacity left.
+func (b *Buyer) surplus(e Ticked, demand Demand, need int, s *inventory) *messages.Purchase {
+	var mostExpensive *messages.Purchase
 	price := 0.0
-	for _, p := range s.held {
+	for _, p := range s.purchases {
 		slots := slotsOf(e.Offers, p)
 		if p.GetState() != messages.PurchaseState_PURCHASE_STATE_LAUNCHED || p.GetOnDemand() && s.onDemand-slots < demand.OnDemand {
 			continue
 		}
 		rest := maps.Clone(s.capacity)
 		rest[units.DataCentre(p.GetDataCentre())] -= slots
-		if Remaining(rest) < need {
+		if RemainingSlots(rest) < need {
 			continue
 		}
 		for _, offer := range e.Offers {
-			if offer.key() == keyOf(p) && offer.Effective(demand.Load) > price {
-				price = offer.Effective(demand.Load)
-				dearest = p
+			if offer.key() == keyOf(p) && offer.EffectivePrice(demand.Load) > price {
+				price = offer.EffectivePrice(demand.Load)
+				mostExpensive = p
 			}
 		}
 	}
-	return dearest
+	return mostExpensive
 }
--- a/src/buyer/event.go
+++ b/src/buyer/event.go
@@ -7,34 +7,34 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// Offer is what one data centre sells.
+// Offer is a class of machine that a data centre sells, on demand or reclaimable.
 type Offer struct {
 	DataCentre units.DataCentre
 	Class      units.MachineClass
 	OnDemand   bool
 	Price      units.Price
-	// ReclaimsPerHour is how often an instance is taken back on average.
+	// ReclaimsPerHour is how often an instance is reclaimed on average.
 	ReclaimsPerHour float64
 	Slots           int
 }
 
-// Demand is what one service needs.
+// Demand is the capacity that one service needs.
 type Demand struct {
 	Service units.Service
-	// Slots is the least capacity, Used what is under way now.
+	// Slots is the minimum capacity, Used the number of slots in use now.
 	Slots    int
 	Used     int
 	OnDemand int
 	Most     int
-	// Load is the time from a purchase until the instance serves.
+	// Load is the time from the purchase until the instance serves.
 	Load time.Duration
 }
 
-// Instance is what the platform lists.
+// Instance is an instance as the platform lists it.
 type Instance struct {
 	ID    string
 	Token string
-	// Noticed is set once the platform takes the instance back.
+	// Noticed is set once the platform has given notice that it reclaims the instance.
 	Noticed bool
 }
 
@@ -45,42 +45,42 @@
 	DataCentre units.DataCentre
 	OnDemand   bool
 	Slots      int
-	// Serving is set for a live upstream, Leaving once it has announced that.
+	// Serving is set for a live upstream, Leaving once it has announced that it leaves.
 	Serving bool
 	Leaving bool
 }
 
-// Event is something that happened to the buyer.
+// Event is an input of the buyer's state machine.
 type Event interface{ event() }
 
-// Led says that this instance leads from now on.
+// Led reports that this instance is the leader from now on.
 type Led struct {
 	Term units.Term
 }
 
-// Lost says that this instance leads no more.
+// Lost reports that this instance is no longer the leader.
 type Lost struct{}
 
-// Listed is the platform's list of instances as it was at At.
+// Listed is the platform's list of instances as of At.
 type Listed struct {
 	At        time.Time
 	Instances []Instance
 }
 
-// Answered is the platform's answer to a launch; Instance is empty where it refused.
+// Answered is the platform's answer to a launch; Instance is empty if the platform refused.
 type Answered struct {
 	Token    string
 	Instance string
 	Reason   string
 }
 
-// Ticked says that time has passed; it brings what the log and the entries tell.
+// Ticked is a timer event; it carries the state of the log and the reports of the entries.
 type Ticked struct {
 	Ledger    []*messages.Purchase
 	Offers    []Offer
 	Demands   []Demand
 	Upstreams []Upstream
-	// Starting bounds the instances that wait for their weights at once.
+	// Starting bounds the number of instances that load their weights at once.
 	Starting int
 }
 
@@ -90,7 +90,7 @@
 func (Answered) event() {}
 func (Ticked) event()   {}
 
-// Action is something that the caller of Step must carry out.
+// Action is an effect that the caller of Step must carry out.
 type Action interface{ action() }
 
 // Commit asks for a purchase's next state to be committed to the log.
@@ -98,12 +98,13 @@
 	Purchase *messages.Purchase
 }
 
-// Launch asks the platform for an instance; it is committed and may be asked for again.
+// Launch asks the platform for an instance; its purchase is committed, and the request may be
+// repeated.
 type Launch struct {
 	Purchase *messages.Purchase
 }
 
-// Release asks the platform to take an instance back; it may be asked for again.
+// Release asks the platform to end an instance; the request may be repeated.
 type Release struct {
 	Purchase *messages.Purchase
 }
@@ -112,16 +113,16 @@
 func (Launch) action()  {}
 func (Release) action() {}
 
-// Options are the periods of a buyer.
+// Options are the time limits of a buyer.
 type Options struct {
-	// Settle is how long a new leader listens before it plans.
+	// Settle is how long a new leader collects reports before it plans.
 	Settle time.Duration
-	// Retry is the time between two requests for one purchase.
+	// Retry is the interval between two requests for one purchase.
 	Retry time.Duration
-	// Backoff is how long an offer is left out after a refusal; it doubles up to MostBackoff.
+	// Backoff is how long an offer is excluded after a refusal; it doubles up to MostBackoff.
 	Backoff     time.Duration
 	MostBackoff time.Duration
-	// CoolDown is how long capacity must be too much before it is given back.
+	// CoolDown is how long capacity must be surplus before it is released.
 	CoolDown time.Duration
 	// Start is how long a launched instance may take to announce itself.
 	Start time.Duration
--- a/src/buyer/ledger.go
+++ b/src/buyer/ledger.go
@@ -2,11 +2,11 @@
 
 import "github.com/rosecroft/rosecroft/src/messages"
 
-// Follows reports whether a purchase's next state may replace the known one,
-// nil for none.
+// Follows reports whether a purchase's next state may replace the known one, which is nil if
+// there is none.
 //
-// States only go forward: a proposal of an earlier leader that is committed
-// late must not make an instance that was given back count again.
+// States only move forward: a proposal of an earlier leader that is committed late must not
+// make an instance that was released count again.
 func Follows(known, next *messages.Purchase) bool {
 	if known == nil {
 		return next.GetState() == messages.PurchaseState_PURCHASE_STATE_PLANNED
--- a/src/buyer/planner.go
+++ b/src/buyer/planner.go
@@ -9,28 +9,28 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// mostUnits bounds the planner's work; capacity beyond it is counted more coarsely.
-const mostUnits = 64
+// maxUnits bounds the planner's work; larger capacities are counted in coarser units.
+const maxUnits = 64
 
-// Effective returns an offer's price with the expected cost of its reclaims:
-// each one pays for the time in which a replacement does not serve yet.
-func (o Offer) Effective(load time.Duration) float64 {
+// EffectivePrice returns an offer's price including the expected cost of its reclaims: each reclaim
+// costs the time in which its replacement does not serve yet.
+func (o Offer) EffectivePrice(load time.Duration) float64 {
 	return float64(o.Price) * (1 + o.ReclaimsPerHour*load.Hours())
 }
 
-// Plan returns the cheapest offers to add to the capacity in place, in slots
-// for each data centre, so that need slots remain without any one data centre.
+// Plan returns the cheapest offers to add to the existing capacity, given in slots per data
+// centre, so that need slots remain after the loss of any one data centre.
 //
-// It is exact for capacities that are whole units: for each capacity that the
-// largest data centre may have, it fills the data centres at the least cost.
+// It is exact for capacities that are whole units: for each possible capacity of the largest
+// data centre, it fills the data centres at minimum cost.
 func Plan(need int, base map[units.DataCentre]int, offers []Offer, load time.Duration) []Offer {
-	p := newPlan(need, base, offers, load)
+	p := newProblem(need, base, offers, load)
 	best := math.Inf(1)
 	var chosen []Offer
 	// A larger machine can be cheaper than a smaller one, so that the largest
 	// data centre may have more than the need.
 	for largest := p.largestBase(); largest <= max(p.need, p.largestBase())+p.largestOffer(); largest++ {
-		cost, added := p.fill(largest)
+		cost, added := p.minCost(largest)
 		if cost < best {
 			best = cost
 			chosen = added
@@ -39,8 +39,8 @@
 	return chosen
 }
 
-// plan is the problem in units of capacity.
-type plan struct {
+// problem is the planning problem in units of capacity.
+type problem struct {
 	unit        int
 	need        int
 	dataCentres []units.DataCentre
@@ -49,9 +49,9 @@
 	load        time.Duration
 }
 
-func newPlan(need int, base map[units.DataCentre]int, offers []Offer, load time.Duration) *plan {
-	p := &plan{
-		unit: unitOf(need, offers),
+func newProblem(need int, base map[units.DataCentre]int, offers []Offer, load time.Duration) *problem {
+	p := &problem{
+		unit: unitSize(need, offers),
 		load: load,
 	}
 	p.need = (need + p.unit - 1) / p.unit
@@ -73,14 +73,15 @@
 	return p
 }
 
-// unitOf is the largest common part of the capacities, and more for large needs.
-func unitOf(need int, offers []Offer) int {
+// unitSize returns the greatest common divisor of the offers' capacities, doubled for large
+// needs until the need is at most maxUnits.
+func unitSize(need int, offers []Offer) int {
 	unit := 0
 	for _, offer := range offers {
 		unit = gcd(unit, offer.Slots)
 	}
 	unit = max(unit, 1)
-	for need/unit > mostUnits {
+	for need/unit > maxUnits {
 		unit *= 2
 	}
 	return unit
@@ -93,14 +94,14 @@
 	return a
 }
 
-func (p *plan) largestBase() int {
+func (p *problem) largestBase() int {
 	if len(p.base) == 0 {
 		return 0
 	}
 	return slices.Max(p.base)
 }
 
-func (p *plan) largestOffer() int {
+func (p *problem) largestOffer() int {
 	largest := 0
 	for _, offers := range p.offers {
 		for _, offer := range offers {
@@ -110,9 +111,9 @@
 	return largest
 }
 
-// fill returns the least cost and its offers when no data centre has more than
-// largest units; need units are left when the largest one is lost.
-func (p *plan) fill(largest int) (float64, []Offer) {
+// minCost returns the minimum cost and its offers with no data centre above largest units; need
+// units are left when the largest one is lost.
+func (p *problem) minCost(largest int) (float64, []Offer) {
 	target := p.need + largest
 	costs := make([]float64, target+1)
 	added := make([][]Offer, target+1)
@@ -120,14 +121,14 @@
 		costs[i] = math.Inf(1)
 	}
 	for i := range p.dataCentres {
-		own, choices := p.within(i, largest)
+		extraCosts, choices := p.costsWithin(i, largest)
 		next := make([]float64, target+1)
 		nextAdded := make([][]Offer, target+1)
 		for t := range next {
 			next[t] = math.Inf(1)
 		}
 		for t, cost := range costs {
-			for x, extra := range own {
+			for x, extra := range extraCosts {
 				to := min(t+p.base[i]+x, target)
 				if cost+extra < next[to] {
 					next[to] = cost + extra
@@ -140,19 +141,19 @@
 	return costs[target], added[target]
 }
 
-// within returns the least cost of each additional capacity of one data centre.
-func (p *plan) within(i, largest int) ([]float64, [][]Offer) {
-	room := largest - p.base[i]
-	costs := make([]float64, room+1)
-	choices := make([][]Offer, room+1)
-	for x := 1; x <= room; x++ {
+// costsWithin returns the minimum cost of each additional capacity of one data centre.
+func (p *problem) costsWithin(i, largest int) ([]float64, [][]Offer) {
+	maxExtra := largest - p.base[i]
+	costs := make([]float64, maxExtra+1)
+	choices := make([][]Offer, maxExtra+1)
+	for x := 1; x <= maxExtra; x++ {
 		costs[x] = math.Inf(1)
 		for _, offer := range p.offers[i] {
 			size := offer.Slots / p.unit
 			if size == 0 || size > x {
 				continue
 			}
-			cost := costs[x-size] + offer.Effective(p.load)
+			cost := costs[x-size] + offer.EffectivePrice(p.load)
 			if cost < costs[x] {
 				costs[x] = cost
 				choices[x] = append(slices.Clone(choices[x-size]), offer)
@@ -162,8 +163,8 @@
 	return costs, choices
 }
 
-// Remaining returns the slots that are left when the largest data centre is lost.
-func Remaining(capacity map[units.DataCentre]int) int {
+// RemainingSlots returns the slots that are left after the loss of the largest data centre.
+func RemainingSlots(capacity map[units.DataCentre]int) int {
 	total, largest := 0, 0
 	for _, slots := range capacity {
 		total += slots
