--- a/src/orderer/event.go
+++ b/src/orderer/event.go
@@ -7,19 +7,19 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// Service is what the configuration wants of one service's upstreams.
+// Service is the state that the configuration wants for one service's upstreams.
 type Service struct {
 	Name units.Service
-	// Versions are those that the service may use.
+	// Versions are the model versions that the service may use.
 	Versions []units.ModelVersion
 	Wanted   *messages.Wanted
-	// Floor is how many upstreams must stay in service.
+	// Floor is the minimum number of upstreams that must stay in service.
 	Floor int
 	// Bytes is the size of the wanted version in the weight store.
 	Bytes int64
 }
 
-// Upstream is what an upstream last announced of itself.
+// Upstream is the state that an upstream last announced.
 type Upstream struct {
 	Name          units.Upstream
 	Service       units.Service
@@ -32,36 +32,37 @@
 	Loading       units.ModelVersion
 	ChecksFencing bool
 	Fencing       units.Term
-	// Live is set unless the upstream leaves or is suspected.
+	// Live is set unless the upstream is leaving or suspected to have failed.
 	Live bool
 }
 
-// Event is something that happened to the orderer.
+// Event is an input of the orderer's state machine.
 type Event interface{ event() }
 
-// Led says that this instance leads from now on.
+// Led reports that this instance is the leader from now on.
 type Led struct {
 	Term units.Term
 }
 
-// Lost says that this instance leads no more.
+// Lost reports that this instance is no longer the leader.
 type Lost struct{}
 
-// Answered is an upstream's answer to an order; the outcome is unspecified where there was none.
+// Answered is an upstream's answer to an order; the outcome is unspecified if there was no
+// answer.
 type Answered struct {
 	Upstream units.Upstream
 	Order    *messages.Order
 	Result   *messages.OrderResult
 }
 
-// Ticked says that time has passed; it brings what is wanted and what is announced.
+// Ticked is a timer event; it carries the wanted and the announced state.
 type Ticked struct {
 	Services  []Service
 	Upstreams []Upstream
 	Store     Store
 }
 
-// Store is the limit of the weight store.
+// Store holds the limits of the weight store.
 type Store struct {
 	BytesPerSecond int64
 	LoadsAtOnce    int
@@ -79,18 +80,18 @@
 	Reason  string
 }
 
-// Options are the periods of an orderer.
+// Options are the time limits of an orderer.
 type Options struct {
-	// Lease is how long an earlier leader may have gone on after this one's election.
+	// Lease is how long an earlier leader may have remained active after this one's election.
 	Lease time.Duration
-	// Drift is by how much clocks may differ over a lease.
+	// Drift is the maximum difference between two clocks over a lease.
 	Drift time.Duration
-	// Timeout bounds how long an order is under way.
+	// Timeout bounds how long an order is in flight.
 	Timeout time.Duration
-	// Observe is how long a change at an upstream takes to be announced here.
+	// Observe is how long it takes until a change at an upstream is announced here.
 	Observe time.Duration
-	// Resend is the time before an order without effect is sent again; it
-	// doubles with each sending, up to MostResend.
+	// Resend is the time after which an order without effect is sent again; it doubles with
+	// each attempt, up to MostResend.
 	Resend     time.Duration
 	MostResend time.Duration
 }
--- a/src/orderer/orderer.go
+++ b/src/orderer/orderer.go
@@ -12,24 +12,25 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// Orderer gives a leader's orders; Options are set before the first Step.
+// Orderer decides on a leader's orders; Options are set before the first Step.
 type Orderer struct {
 	Options Options
 
-	leading bool
-	term    units.Term
-	ledAt   time.Time
-	// given are the orders whose effect is not yet announced.
-	given map[units.Upstream]*given
+	leading      bool
+	term         units.Term
+	leadingSince time.Time
+	// pending are the orders whose effect is not yet announced.
+	pending map[units.Upstream]*pending
 	// fenced are the incarnations that have acknowledged this term.
-	fenced  map[units.Upstream]units.Incarnation
-	fencing map[units.Upstream]time.Time
-	// nextLoad is when the weight store has passed on what earlier loads took.
+	fenced      map[units.Upstream]units.Incarnation
+	fenceSentAt map[units.Upstream]time.Time
+	// nextLoad is when the weight store has transferred the bytes of earlier loads and the next
+	// load may begin.
 	nextLoad time.Time
 }
 
-// given is an order under way.
-type given struct {
+// pending is an order whose effect is not yet announced.
+type pending struct {
 	order  *messages.Order
 	loads  bool
 	sentAt time.Time
@@ -40,44 +41,44 @@
 func (o *Orderer) Step(now time.Time, event Event) []Send {
 	switch e := event.(type) {
 	case Led:
-		o.lead(now, e.Term)
+		o.startTerm(now, e.Term)
 	case Lost:
 		o.leading = false
 	case Answered:
-		o.answer(e)
+		o.handleAnswer(e)
 	case Ticked:
 		if o.leading {
-			return o.tick(now, e)
+			return o.handleTick(now, e)
 		}
 	}
 	return nil
 }
 
-// Given returns how many orders have not shown their effect.
-func (o *Orderer) Given() int { return len(o.given) }
+// PendingCount returns how many orders have no announced effect yet.
+func (o *Orderer) PendingCount() int { return len(o.pending) }
 
-// QuietUntil is when orders that change an upstream may begin.
+// QuietUntil returns when orders that change an upstream may begin.
 //
-// An earlier leader that froze before it was voted out may still send until
-// its lease has run out on its own clock, and an order may be under way for a
-// timeout more. An upstream that ignores the fencing number would carry out
-// both leaders' orders, in any order. What the last one did must also have been
-// announced, or the floor and the weight store's limit would be counted wrongly.
+// An earlier leader that froze before it was voted out may still send until its lease has
+// expired on its own clock, and an order may be in flight for one Timeout more. An upstream
+// that ignores the fencing number would carry out both leaders' orders, in any order. The
+// effects of the last one must also have been announced, or the floor and the weight store's
+// limit would be computed from stale state.
 func (o *Orderer) QuietUntil() time.Time {
-	return o.ledAt.Add(o.Options.Lease + o.Options.Drift + o.Options.Timeout + o.Options.Observe)
+	return o.leadingSince.Add(o.Options.Lease + o.Options.Drift + o.Options.Timeout + o.Options.Observe)
 }
 
-func (o *Orderer) lead(now time.Time, term units.Term) {
+func (o *Orderer) startTerm(now time.Time, term units.Term) {
 	o.leading = true
 	o.term = term
-	o.ledAt = now
-	o.given = make(map[units.Upstream]*given)
+	o.leadingSince = now
+	o.pending = make(map[units.Upstream]*pending)
 	o.fenced = make(map[units.Upstream]units.Incarnation)
-	o.fencing = make(map[units.Upstream]time.Time)
+	o.fenceSentAt = make(map[units.Upstream]time.Time)
 	o.nextLoad = time.Time{}
 }
 
-func (o *Orderer) answer(e Answered) {
+func (o *Orderer) handleAnswer(e Answered) {
 	if !o.leading || units.Term(e.Order.GetFencing()) != o.term {
 		return
 	}
@@ -87,7 +88,7 @@
 	}
 }
 
-func (o *Orderer) tick(now time.Time, e Ticked) []Send {
+func (o *Orderer) handleTick(now time.Time, e Ticked) []Send {
 	present := make(map[units.Upstream]*Upstream)
 	byService := make(map[units.Service][]*Upstream)
 	for i := range e.Upstreams {
@@ -95,7 +96,7 @@
 		present[u.Name] = u
 		byService[u.Service] = append(byService[u.Service], u)
 	}
-	o.settle(now, e.Services, present)
+	o.dropSettled(now, e.Services, present)
 	loads := o.loads(now, e, present)
 	var sends []Send
 	for _, service := range e.Services {
@@ -111,70 +112,72 @@
 	return sends
 }
 
-// settle forgets the orders that have taken effect or whose upstream is gone.
-func (o *Orderer) settle(now time.Time, services []Service, present map[units.Upstream]*Upstream) {
+// dropSettled removes the orders that have taken effect or whose upstream is gone.
+func (o *Orderer) dropSettled(now time.Time, services []Service, present map[units.Upstream]*Upstream) {
 	wanted := make(map[units.Service]*messages.Wanted)
 	for _, service := range services {
 		wanted[service.Name] = service.Wanted
 	}
-	for name, g := range o.given {
+	for name, p := range o.pending {
 		u := present[name]
-		gone := u == nil || u.Incarnation != units.Incarnation(g.order.GetIncarnation())
-		if gone || matches(u, g.order.GetWanted()) {
-			delete(o.given, name)
+		gone := u == nil || u.Incarnation != units.Incarnation(p.order.GetIncarnation())
+		if gone || matches(u, p.order.GetWanted()) {
+			delete(o.pending, name)
 			continue
 		}
-		// An order that is no longer wanted is forgotten once it can arrive no
-		// more; until then its upstream may yet go out of service.
+		// An order that is no longer wanted is removed once it can no longer arrive; until then
+		// its upstream may still go out of service.
 		w := wanted[u.Service]
-		unwanted := w == nil || orderID(u, w) != g.order.GetId()
-		if unwanted && now.Sub(g.sentAt) >= o.Options.Timeout+o.Options.Observe {
-			delete(o.given, name)
+		unwanted := w == nil || orderID(u, w) != p.order.GetId()
+		if unwanted && now.Sub(p.sentAt) >= o.Options.Timeout+o.Options.Observe {
+			delete(o.pending, name)
 		}
 	}
 }
 
-// budget is what the weight store still allows.
+// budget is what the weight store still allows: the number of loads that may begin and its rate
+// in bytes per second.
 type budget struct {
-	free int
-	rate int64
+	freeLoads      int
+	bytesPerSecond int64
 }
 
+// loads returns how many loads may begin now, and the weight store's rate.
 func (o *Orderer) loads(now time.Time, e Ticked, present map[units.Upstream]*Upstream) *budget {
-	free := e.Store.LoadsAtOnce
+	freeLoads := e.Store.LoadsAtOnce
 	for _, u := range present {
-		g := o.given[u.Name]
-		if u.Loading != "" || g != nil && g.loads {
-			free--
+		p := o.pending[u.Name]
+		if u.Loading != "" || p != nil && p.loads {
+			freeLoads--
 		}
 	}
-	// What an earlier leader's loads still take from the store is not known;
-	// it is at most one more load's part.
-	if now.Before(o.QuietUntil()) && free < e.Store.LoadsAtOnce {
-		o.nextLoad = now.Add(longest(e))
+	// How much an earlier leader's loads still take from the store is unknown; it is at most
+	// one more load.
+	if now.Before(o.QuietUntil()) && freeLoads < e.Store.LoadsAtOnce {
+		o.nextLoad = now.Add(maxTransferTime(e))
 	}
 	if now.Before(o.nextLoad) {
-		free = 0
+		freeLoads = 0
 	}
 	return &budget{
-		free: free,
-		rate: e.Store.BytesPerSecond,
+		freeLoads:      freeLoads,
+		bytesPerSecond: e.Store.BytesPerSecond,
 	}
 }
 
-// fence raises the fencing number at each upstream that checks it, before any
-// of a service's upstreams is changed: an earlier leader's late order would
-// else take a second one out of service.
+// fence raises the fencing number at each upstream that checks it, before any of a service's
+// upstreams is changed: otherwise a late order of an earlier leader could take a second one out
+// of service.
 func (o *Orderer) fence(now time.Time, service Service, upstreams []*Upstream) []Send {
 	if !slices.ContainsFunc(upstreams, func(u *Upstream) bool { return !matches(u, service.Wanted) }) {
 		return nil
 	}
 	var sends []Send
 	for _, u := range upstreams {
-		if !u.ChecksFencing || o.certain(now, u) || now.Sub(o.fencing[u.Name]) < o.Options.Resend {
+		if !u.ChecksFencing || o.isFenced(now, u) || now.Sub(o.fenceSentAt[u.Name]) < o.Options.Resend {
 			continue
 		}
-		o.fencing[u.Name] = now
+		o.fenceSentAt[u.Name] = now
 		sends = append(sends, Send{
 			Address: u.Address,
 			Reason:  "fence",
@@ -189,53 +192,54 @@
 	return sends
 }
 
-// certain reports whether no earlier leader's order can change an upstream any more.
-func (o *Orderer) certain(now time.Time, u *Upstream) bool {
+// isFenced reports whether orders of earlier leaders can no longer change an upstream.
+func (o *Orderer) isFenced(now time.Time, u *Upstream) bool {
 	if u.ChecksFencing {
 		return u.Fencing >= o.term || o.fenced[u.Name] == u.Incarnation
 	}
 	return !now.Before(o.QuietUntil())
 }
 
-// resend repeats orders that show no effect.
+// resend repeats orders that show no effect after their wait.
 func (o *Orderer) resend(now time.Time, service Service, upstreams []*Upstream) []Send {
 	var sends []Send
 	for _, u := range upstreams {
-		g := o.given[u.Name]
-		if g == nil || u.Loading != "" || now.Sub(g.sentAt) < g.wait || orderID(u, service.Wanted) != g.order.GetId() {
+		p := o.pending[u.Name]
+		if p == nil || u.Loading != "" || now.Sub(p.sentAt) < p.wait || orderID(u, service.Wanted) != p.order.GetId() {
 			continue
 		}
-		g.sentAt = now
-		g.wait = min(2*g.wait, o.Options.MostResend)
+		p.sentAt = now
+		p.wait = min(2*p.wait, o.Options.MostResend)
 		sends = append(sends, Send{
 			Address: u.Address,
-			Order:   g.order,
+			Order:   p.order,
 			Reason:  "no effect so far",
 		})
 	}
 	return sends
 }
 
-// change orders the upstreams that are not as wanted, as far as floor and store allow.
+// change sends orders to the upstreams that are not as wanted, as far as the floor and the
+// weight store allow.
 func (o *Orderer) change(now time.Time, service Service, upstreams []*Upstream, store *budget) []Send {
 	serving := 0
 	for _, u := range upstreams {
-		if o.serves(now, service, u) {
+		if o.isServing(now, service, u) {
 			serving++
 		}
 	}
 	var sends []Send
 	for _, u := range upstreams {
-		if !o.changeable(now, service, u) {
+		if !o.canChange(now, service, u) {
 			continue
 		}
-		loads := u.Version != units.ModelVersion(service.Wanted.GetModelVersion()) || !sameAdapters(u, service.Wanted)
-		if loads && store.free <= 0 {
+		loads := u.Version != units.ModelVersion(service.Wanted.GetModelVersion()) || !hasAdapters(u, service.Wanted)
+		if loads && store.freeLoads <= 0 {
 			continue
 		}
-		// Each change takes its upstream out of service until it has loaded.
-		// Below the floor the rest could not hold the latency target.
-		takesOut := o.serves(now, service, u)
+		// Each change takes its upstream out of service until it has loaded. Below the floor
+		// the others could not meet the latency target.
+		takesOut := o.isServing(now, service, u)
 		if takesOut && serving-1 < service.Floor {
 			continue
 		}
@@ -245,50 +249,51 @@
 		if loads {
 			o.reserve(now, service, store)
 		}
-		sends = append(sends, o.give(now, service, u, loads))
+		sends = append(sends, o.newOrder(now, service, u, loads))
 	}
 	return sends
 }
 
-func (o *Orderer) changeable(now time.Time, service Service, u *Upstream) bool {
-	return u.Live && u.Loading == "" && o.given[u.Name] == nil && o.certain(now, u) && !matches(u, service.Wanted)
+func (o *Orderer) canChange(now time.Time, service Service, u *Upstream) bool {
+	return u.Live && u.Loading == "" && o.pending[u.Name] == nil && o.isFenced(now, u) && !matches(u, service.Wanted)
 }
 
-// serves reports whether an upstream is surely in service.
-func (o *Orderer) serves(now time.Time, service Service, u *Upstream) bool {
-	return u.Live && u.Loading == "" && o.given[u.Name] == nil && o.certain(now, u) &&
+// isServing reports whether an upstream is known to be in service.
+func (o *Orderer) isServing(now time.Time, service Service, u *Upstream) bool {
+	return u.Live && u.Loading == "" && o.pending[u.Name] == nil && o.isFenced(now, u) &&
 		slices.Contains(service.Versions, u.Version)
 }
 
-// reserve takes a load's part of the weight store's rate.
+// reserve takes a load from the weight store's budget.
 func (o *Orderer) reserve(now time.Time, service Service, store *budget) {
-	store.free--
-	if store.rate <= 0 {
+	store.freeLoads--
+	if store.bytesPerSecond <= 0 {
 		return
 	}
-	o.nextLoad = now.Add(passes(service.Bytes, store.rate))
+	o.nextLoad = now.Add(transferTime(service.Bytes, store.bytesPerSecond))
 	if o.nextLoad.After(now) {
-		store.free = 0
+		store.freeLoads = 0
 	}
 }
 
-// passes is how long the weight store takes for a load.
-func passes(bytes, rate int64) time.Duration {
+// transferTime is how long the weight store takes for a load.
+func transferTime(bytes, rate int64) time.Duration {
 	if rate <= 0 {
 		return 0
 	}
 	return time.Duration(float64(bytes) / float64(rate) * float64(time.Second))
 }
 
-func longest(e Ticked) time.Duration {
-	most := time.Duration(0)
+func maxTransferTime(e Ticked) time.Duration {
+	longest := time.Duration(0)
 	for _, service := range e.Services {
-		most = max(most, passes(service.Bytes, e.Store.BytesPerSecond))
+		longest = max(longest, transferTime(service.Bytes, e.Store.BytesPerSecond))
 	}
-	return most
+	return longest
 }
 
-func (o *Orderer) give(now time.Time, service Service, u *Upstream, loads bool) Send {
+// newOrder returns an order for the wanted state and records it as pending.
+func (o *Orderer) newOrder(now time.Time, service Service, u *Upstream, loads bool) Send {
 	order := &messages.Order{
 		Id:          orderID(u, service.Wanted),
 		Fencing:     uint64(o.term),
@@ -296,7 +301,7 @@
 		Incarnation: uint64(u.Incarnation),
 		Wanted:      service.Wanted,
 	}
-	o.given[u.Name] = &given{
+	o.pending[u.Name] = &pending{
 		order:  order,
 		loads:  loads,
 		sentAt: now,
@@ -309,7 +314,7 @@
 	}
 }
 
-// orderID is the same for every sending of one wanted state to one incarnation.
+// orderID is the same each time that one wanted state is sent to one incarnation.
 func orderID(u *Upstream, wanted *messages.Wanted) string {
 	key := fmt.Sprint(u.Name, "/", u.Incarnation, "/", wanted.GetModel(), "/", wanted.GetModelVersion(), "/", wanted.GetAdapters(), "/", wanted.GetRole())
 	return fmt.Sprintf("%016x", xxhash.Sum64String(key))
@@ -317,10 +322,10 @@
 
 func matches(u *Upstream, wanted *messages.Wanted) bool {
 	return u.Loading == "" && u.Version == units.ModelVersion(wanted.GetModelVersion()) &&
-		sameAdapters(u, wanted) && (wanted.GetRole() == "" || u.Role == wanted.GetRole())
+		hasAdapters(u, wanted) && (wanted.GetRole() == "" || u.Role == wanted.GetRole())
 }
 
-func sameAdapters(u *Upstream, wanted *messages.Wanted) bool {
+func hasAdapters(u *Upstream, wanted *messages.Wanted) bool {
 	for _, adapter := range wanted.GetAdapters() {
 		if !slices.Contains(u.Adapters, adapter) {
 			return false
--- a/src/orderer/orderer_test.go
+++ b/src/orderer/orderer_test.go
@@ -39,112 +39,110 @@
 	os.Exit(m.Run())
 }
 
-// A leader orders a change and is cut off; its successor must send nothing to
-// an upstream that ignores fencing numbers before the old lease, the clocks'
-// drift and the time an order may be under way have passed. The upstream would
-// carry out both leaders' orders, the old one's perhaps last.
-func TestNothingIsSentBeforeTheOldLeaseHasRunOut(t *testing.T) {
-	w := newWorld(4, false, 1)
-	w.wanted = "2"
-	w.orderer.Step(w.now, Led{Term: 2})
-	until := w.now.Add(testOptions.Lease + testOptions.Drift + testOptions.Timeout)
-	for w.now.Before(until.Add(-tick)) {
-		w.step()
-	}
-	if got, want := w.sent, 0; got != want {
-		t.Errorf("orders before the old lease has run out: got %d, want %d", got, want)
-	}
-	w.run(2 * time.Minute)
-	if got, want := w.matching(), 4; got != want {
+// A leader orders a change and is partitioned. Its successor must send nothing to an upstream
+// that ignores fencing numbers until the old lease, the clock drift and the time that an order
+// may be in flight have passed. Otherwise the upstream would carry out both leaders' orders,
+// possibly the old one's last.
+func TestNothingIsSentBeforeTheOldLeaseHasExpired(t *testing.T) {
+	s := newSimulation(4, false, 1)
+	s.wanted = "2"
+	s.orderer.Step(s.now, Led{Term: 2})
+	until := s.now.Add(testOptions.Lease + testOptions.Drift + testOptions.Timeout)
+	for s.now.Before(until.Add(-tick)) {
+		s.step()
+	}
+	if got, want := s.sent, 0; got != want {
+		t.Errorf("orders before the old lease has expired: got %d, want %d", got, want)
+	}
+	s.run(2 * time.Minute)
+	if got, want := s.matching(), 4; got != want {
 		t.Errorf("upstreams with the wanted version in the end: got %d, want %d", got, want)
 	}
 }
 
-// A leader orders one of three upstreams to load and freezes in the middle of the
-// write; its successor orders another one. Then the first leader wakes and
-// finishes its write: the upstream would go out of service as well, and the
-// rest could not hold the latency target. The successor must raise the fencing
-// number at each of them first.
+// A leader orders one of three upstreams to load and freezes in the middle of the write; its
+// successor orders another one. Then the first leader resumes and finishes its write: that
+// upstream would go out of service as well, and the rest could not meet the latency target. The
+// successor must first raise the fencing number at each of them.
 func TestOrderOfAFrozenLeaderIsRefused(t *testing.T) {
-	w := newWorld(3, true, 4)
-	w.wanted = "2"
-	w.floor = 1
-	w.engines[0].away = true
-	var late *messages.Order
-	w.freeze = func(order *messages.Order) bool {
+	s := newSimulation(3, true, 4)
+	s.wanted = "2"
+	s.floor = 1
+	s.engines[0].suspected = true
+	var lateOrder *messages.Order
+	s.freeze = func(order *messages.Order) bool {
 		if order.GetWanted() != nil {
-			late = order
+			lateOrder = order
 		}
 		return order.GetWanted() != nil
 	}
 	for range 600 {
-		if late == nil {
-			w.step()
+		if lateOrder == nil {
+			s.step()
 		}
 	}
-	w.freeze = nil
-	w.engines[0].away = false
-	w.floor = 2
-	w.elect()
+	s.freeze = nil
+	s.engines[0].suspected = false
+	s.floor = 2
+	s.elect()
 	for range 600 {
-		if w.engines[0].loading == "" {
-			w.step()
+		if s.engines[0].loading == "" {
+			s.step()
 		}
 	}
-	if got, want := w.obey(w.engines[1], 1, late).GetOutcome(), messages.OrderOutcome_ORDER_OUTCOME_OLD_FENCING; got != want {
+	if got, want := s.carryOut(s.engines[1], 1, lateOrder).GetOutcome(), messages.OrderOutcome_ORDER_OUTCOME_OLD_FENCING; got != want {
 		t.Errorf("outcome of the late order: got %s, want %s", got, want)
 	}
 }
 
-// Two upstreams load at once and each load takes its part of the weight
-// store's rate: the store refuses what goes beyond, and the upstreams would
-// stand idle without a model.
-func TestRateOfTheWeightStoreIsKept(t *testing.T) {
-	w := newWorld(12, true, 2)
-	w.floor = 2
-	w.wanted = "2"
-	w.run(5 * time.Minute)
-	if got, want := w.matching(), 12; got != want {
+// Two upstreams load at once, and each load uses a share of the weight store's rate. The store
+// refuses requests beyond its rate, and the upstreams would be idle without a model.
+func TestRateOfTheWeightStoreIsNotExceeded(t *testing.T) {
+	s := newSimulation(12, true, 2)
+	s.floor = 2
+	s.wanted = "2"
+	s.run(5 * time.Minute)
+	if got, want := s.matching(), 12; got != want {
 		t.Errorf("upstreams with the wanted version: got %d, want %d", got, want)
 	}
-	if got, want := w.problem(), ""; got != want {
-		t.Errorf("broken rule: got %q, want none", got)
+	if got, want := s.violation(), ""; got != want {
+		t.Errorf("violated invariant: got %q, want none", got)
 	}
 }
 
-// Versions change while leaders come and go, orders are lost, doubled and
-// delayed, loads fail, and a frozen leader's orders arrive long after its end.
-// Whatever happens, no service falls under its floor, the store's limits hold,
-// and no upstream carries out an order of an ended lease.
-func TestRulesOfOrders(t *testing.T) {
+// Versions change while leaders are replaced, orders are lost, duplicated and delayed, loads
+// fail, and a frozen leader's orders arrive long after its lease. In all cases no service falls
+// below its floor, the store's limits hold, and no upstream carries out an order of an expired
+// lease.
+func TestOrdersKeepTheInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(rapid.IntRange(3, 8).Draw(t, "upstreams"), rapid.Bool().Draw(t, "checks"), rapid.Uint64().Draw(t, "seed"))
-		w.floor = rapid.IntRange(1, len(w.engines)-1).Draw(t, "floor")
-		w.loss = rapid.Float64Range(0, 0.4).Draw(t, "loss")
+		s := newSimulation(rapid.IntRange(3, 8).Draw(t, "upstreams"), rapid.Bool().Draw(t, "checks"), rapid.Uint64().Draw(t, "seed"))
+		s.floor = rapid.IntRange(1, len(s.engines)-1).Draw(t, "floor")
+		s.lossRate = rapid.Float64Range(0, 0.4).Draw(t, "loss")
 		for range 40 {
 			switch rapid.IntRange(0, 11).Draw(t, "event") {
 			case 0:
-				w.elect()
+				s.elect()
 			case 1:
-				w.wanted = units.ModelVersion(fmt.Sprint(rapid.IntRange(1, 3).Draw(t, "version")))
+				s.wanted = units.ModelVersion(fmt.Sprint(rapid.IntRange(1, 3).Draw(t, "version")))
 			case 2:
-				w.engines[rapid.IntRange(0, len(w.engines)-1).Draw(t, "failing")].fails = true
+				s.engines[rapid.IntRange(0, len(s.engines)-1).Draw(t, "failing")].fails = true
 			}
-			w.run(time.Duration(rapid.IntRange(1, 20).Draw(t, "for")) * tick)
-			if got, want := w.problem(), ""; got != want {
-				t.Fatalf("broken rule: got %q, want none", got)
+			s.run(time.Duration(rapid.IntRange(1, 20).Draw(t, "for")) * tick)
+			if got, want := s.violation(), ""; got != want {
+				t.Fatalf("violated invariant: got %q, want none", got)
 			}
 		}
-		w.loss = 0
-		w.run(10 * time.Minute)
-		if got, want := w.matching(), len(w.engines); got != want {
-			t.Fatalf("upstreams as wanted once all is calm: got %d, want %d", got, want)
+		s.lossRate = 0
+		s.run(10 * time.Minute)
+		if got, want := s.matching(), len(s.engines); got != want {
+			t.Fatalf("upstreams as wanted after the last fault: got %d, want %d", got, want)
 		}
 	})
 }
 
-// world is a leader, upstreams and the messages between them.
-type world struct {
+// simulation is a leader, its upstreams and the messages between them.
+type simulation struct {
 	now      time.Time
 	random   *rand.Rand
 	orderer  *Orderer
@@ -152,36 +150,36 @@
 	engines  []*engine
 	wanted   units.ModelVersion
 	floor    int
-	loss     float64
+	lossRate float64
 	sent     int
-	underWay []message
-	// freeze holds an order back at its sender; it may be nil.
-	freeze   func(order *messages.Order) bool
-	problems []string
-	began    []time.Time
-	// quiet is when the last elected leader's predecessors have fallen silent.
-	quiet time.Time
+	inFlight []message
+	// freeze reports whether an order is held back at its sender; it may be nil.
+	freeze         func(order *messages.Order) bool
+	violations     []string
+	loadsStartedAt []time.Time
+	// quietAt is when no order of the last elected leader's predecessors can arrive any more.
+	quietAt time.Time
 }
 
 type message struct {
-	at  time.Time
-	run func()
+	arrivesAt time.Time
+	deliver   func()
 }
 
 type engine struct {
-	name     string
-	checks   bool
-	version  units.ModelVersion
-	loading  units.ModelVersion
-	until    time.Time
-	fencing  uint64
-	fails    bool
-	away     bool
-	sequence []Upstream
+	name          string
+	checks        bool
+	version       units.ModelVersion
+	loading       units.ModelVersion
+	loadedAt      time.Time
+	fencing       uint64
+	fails         bool
+	suspected     bool
+	announcements []Upstream
 }
 
-func newWorld(engines int, checks bool, seed uint64) *world {
-	w := &world{
+func newSimulation(engines int, checks bool, seed uint64) *simulation {
+	s := &simulation{
 		now:     time.Unix(1000, 0),
 		random:  rand.New(rand.NewPCG(seed, 7)),
 		orderer: &Orderer{Options: testOptions},
@@ -190,55 +188,55 @@
 		term:    1,
 	}
 	for i := range engines {
-		w.engines = append(w.engines, &engine{
+		s.engines = append(s.engines, &engine{
 			name:    fmt.Sprint("u", i),
 			checks:  checks,
 			version: "1",
 		})
 	}
-	w.orderer.Step(w.now, Led{Term: w.term})
-	w.quiet = w.now
-	return w
+	s.orderer.Step(s.now, Led{Term: s.term})
+	s.quietAt = s.now
+	return s
 }
 
-// elect replaces the leader after its lease has ended; what it sent is still
-// under way, and one order of it waits in a frozen process.
-func (w *world) elect() {
-	w.term++
-	w.orderer = &Orderer{Options: testOptions}
-	w.orderer.Step(w.now, Led{Term: w.term})
-	w.quiet = w.now.Add(testOptions.Lease + testOptions.Drift + testOptions.Timeout)
+// elect replaces the leader after its lease has ended; the orders that it sent are still in
+// flight, and one of them is held in a frozen process.
+func (s *simulation) elect() {
+	s.term++
+	s.orderer = &Orderer{Options: testOptions}
+	s.orderer.Step(s.now, Led{Term: s.term})
+	s.quietAt = s.now.Add(testOptions.Lease + testOptions.Drift + testOptions.Timeout)
 }
 
-func (w *world) run(span time.Duration) {
+func (s *simulation) run(span time.Duration) {
 	for range span / tick {
-		w.step()
+		s.step()
 	}
 }
 
-func (w *world) step() {
-	w.now = w.now.Add(tick)
-	due := w.underWay
-	w.underWay = nil
+func (s *simulation) step() {
+	s.now = s.now.Add(tick)
+	due := s.inFlight
+	s.inFlight = nil
 	for _, m := range due {
-		if m.at.After(w.now) {
-			w.underWay = append(w.underWay, m)
+		if m.arrivesAt.After(s.now) {
+			s.inFlight = append(s.inFlight, m)
 			continue
 		}
-		m.run()
+		m.deliver()
 	}
-	for _, e := range w.engines {
-		e.finish(w.now)
-		e.sequence = append(e.sequence, e.announce())
+	for _, e := range s.engines {
+		e.finish(s.now)
+		e.announcements = append(e.announcements, e.announce())
 	}
-	for _, send := range w.orderer.Step(w.now, w.tick()) {
-		w.post(send)
+	for _, send := range s.orderer.Step(s.now, s.tick()) {
+		s.transmit(send)
 	}
-	w.check()
+	s.check()
 }
 
-// tick brings announcements of a random moment within the last second.
-func (w *world) tick() Ticked {
+// tick returns announcements of a random moment within the last second.
+func (s *simulation) tick() Ticked {
 	t := Ticked{
 		Store: Store{
 			BytesPerSecond: storeRate,
@@ -247,44 +245,44 @@
 		Services: []Service{{
 			Name:     "s",
 			Versions: []units.ModelVersion{"1", "2", "3"},
-			Floor:    w.floor,
+			Floor:    s.floor,
 			Bytes:    modelBytes,
 			Wanted: &messages.Wanted{
-				ModelVersion: string(w.wanted),
+				ModelVersion: string(s.wanted),
 			},
 		}},
 	}
-	for _, e := range w.engines {
-		late := min(w.random.IntN(10), len(e.sequence)-1)
-		e.sequence = e.sequence[max(0, len(e.sequence)-1-late):]
-		t.Upstreams = append(t.Upstreams, e.sequence[0])
+	for _, e := range s.engines {
+		delay := min(s.random.IntN(10), len(e.announcements)-1)
+		e.announcements = e.announcements[max(0, len(e.announcements)-1-delay):]
+		t.Upstreams = append(t.Upstreams, e.announcements[0])
 	}
 	return t
 }
 
-func (w *world) post(send Send) {
-	w.sent++
-	if w.freeze != nil && w.freeze(send.Order) {
+func (s *simulation) transmit(send Send) {
+	s.sent++
+	if s.freeze != nil && s.freeze(send.Order) {
 		return
 	}
-	to := w.engines[slices.IndexFunc(w.engines, func(e *engine) bool { return e.name == send.Order.GetUpstream() })]
+	to := s.engines[slices.IndexFunc(s.engines, func(e *engine) bool { return e.name == send.Order.GetUpstream() })]
 	copies := 1
-	if w.random.Float64() < w.loss {
-		copies = w.random.IntN(3)
+	if s.random.Float64() < s.lossRate {
+		copies = s.random.IntN(3)
 	}
-	term := w.term
+	term := s.term
 	for i := range copies {
-		delay := time.Duration(w.random.Int64N(int64(testOptions.Timeout)))
+		delay := time.Duration(s.random.Int64N(int64(testOptions.Timeout)))
 		if i == 1 && to.checks {
-			// A frozen sender finishes its write long after.
-			delay = time.Duration(w.random.Int64N(int64(20 * time.Second)))
+			// A frozen sender finishes its write much later.
+			delay = time.Duration(s.random.Int64N(int64(20 * time.Second)))
 		}
-		w.underWay = append(w.underWay, message{
-			at: w.now.Add(delay),
-			run: func() {
-				result := w.obey(to, term, send.Order)
-				if w.random.Float64() >= w.loss && w.term == term {
-					w.orderer.Step(w.now, Answered{
+		s.inFlight = append(s.inFlight, message{
+			arrivesAt: s.now.Add(delay),
+			deliver: func() {
+				result := s.carryOut(to, term, send.Order)
+				if s.random.Float64() >= s.lossRate && s.term == term {
+					s.orderer.Step(s.now, Answered{
 						Upstream: units.Upstream(to.name),
 						Order:    send.Order,
 						Result:   result,
@@ -295,9 +293,9 @@
 	}
 }
 
-func (w *world) obey(e *engine, term units.Term, order *messages.Order) *messages.OrderResult {
-	if !e.checks && term < w.term && w.now.After(w.quiet) {
-		w.problems = append(w.problems, fmt.Sprintf("%s got an order of term %d in term %d", e.name, term, w.term))
+func (s *simulation) carryOut(e *engine, term units.Term, order *messages.Order) *messages.OrderResult {
+	if !e.checks && term < s.term && s.now.After(s.quietAt) {
+		s.violations = append(s.violations, fmt.Sprintf("%s got an order of term %d in term %d", e.name, term, s.term))
 	}
 	if e.checks && order.GetFencing() < e.fencing {
 		return &messages.OrderResult{
@@ -309,16 +307,16 @@
 	version := units.ModelVersion(order.GetWanted().GetModelVersion())
 	if order.GetWanted() != nil && version != e.version && version != e.loading {
 		if e.loading == "" {
-			w.began = append(w.began, w.now)
+			s.loadsStartedAt = append(s.loadsStartedAt, s.now)
 		}
 		e.loading = version
-		e.until = w.now.Add(loadTime)
+		e.loadedAt = s.now.Add(loadTime)
 	}
 	return &messages.OrderResult{Outcome: messages.OrderOutcome_ORDER_OUTCOME_UNDER_WAY}
 }
 
 func (e *engine) finish(now time.Time) {
-	if e.loading == "" || now.Before(e.until) {
+	if e.loading == "" || now.Before(e.loadedAt) {
 		return
 	}
 	if !e.fails {
@@ -336,7 +334,7 @@
 		Version:       e.version,
 		Loading:       e.loading,
 		ChecksFencing: e.checks,
-		Live:          !e.away,
+		Live:          !e.suspected,
 	}
 	if e.checks {
 		u.Fencing = units.Term(e.fencing)
@@ -344,56 +342,56 @@
 	return u
 }
 
-func (w *world) check() {
+func (s *simulation) check() {
 	serving, loading := 0, 0
-	for _, e := range w.engines {
+	for _, e := range s.engines {
 		if e.loading == "" {
 			serving++
 		} else {
 			loading++
 		}
 	}
-	if serving < w.floor {
-		w.problems = append(w.problems, fmt.Sprintf("%d in service, floor %d", serving, w.floor))
+	if serving < s.floor {
+		s.violations = append(s.violations, fmt.Sprintf("%d in service, floor %d", serving, s.floor))
 	}
 	if loading > 2 {
-		w.problems = append(w.problems, fmt.Sprintf("%d loads at once", loading))
+		s.violations = append(s.violations, fmt.Sprintf("%d loads at once", loading))
 	}
-	w.began = slices.DeleteFunc(w.began, func(at time.Time) bool { return w.now.Sub(at) > 20*time.Second })
-	if got, most := len(w.began)*modelBytes, 20*storeRate+modelBytes; got > most {
-		w.problems = append(w.problems, fmt.Sprintf("%d bytes in 20 s, at most %d", got, most))
+	s.loadsStartedAt = slices.DeleteFunc(s.loadsStartedAt, func(at time.Time) bool { return s.now.Sub(at) > 20*time.Second })
+	if got, limit := len(s.loadsStartedAt)*modelBytes, 20*storeRate+modelBytes; got > limit {
+		s.violations = append(s.violations, fmt.Sprintf("%d bytes in 20 s, at most %d", got, limit))
 	}
 }
 
-func (w *world) problem() string {
-	if len(w.problems) == 0 {
+func (s *simulation) violation() string {
+	if len(s.violations) == 0 {
 		return ""
 	}
-	return w.problems[0]
+	return s.violations[0]
 }
 
-func (w *world) matching() int {
+func (s *simulation) matching() int {
 	count := 0
-	for _, e := range w.engines {
-		if e.version == w.wanted && e.loading == "" {
+	for _, e := range s.engines {
+		if e.version == s.wanted && e.loading == "" {
 			count++
 		}
 	}
 	return count
 }
 
-// Equal wanted states must give equal orders, so that a repeated one is recognised.
+// Equal wanted states must give equal orders, so that a repeated one is recognized.
 func TestOrderIsTheSameWhenRepeated(t *testing.T) {
-	w := newWorld(1, false, 3)
-	w.floor = 0
-	w.wanted = "2"
-	w.loss = 1
+	s := newSimulation(1, false, 3)
+	s.floor = 0
+	s.wanted = "2"
+	s.lossRate = 1
 	var first *messages.Order
 	for range 300 {
-		w.now = w.now.Add(tick)
-		for _, send := range w.orderer.Step(w.now, Ticked{
-			Services:  w.tickOf(),
-			Upstreams: []Upstream{w.engines[0].announce()},
+		s.now = s.now.Add(tick)
+		for _, send := range s.orderer.Step(s.now, Ticked{
+			Services:  s.services(),
+			Upstreams: []Upstream{s.engines[0].announce()},
 			Store:     Store{LoadsAtOnce: 1},
 		}) {
 			if first == nil {
@@ -402,20 +400,20 @@
 			if got, want := proto.Equal(send.Order, first), true; got != want {
 				t.Errorf("repeated order equals the first: got %t, want %t", got, want)
 			}
-			w.sent++
+			s.sent++
 		}
 	}
-	if got, want := w.sent > 2, true; got != want {
+	if got, want := s.sent > 2, true; got != want {
 		t.Errorf("order repeated: got %t, want %t", got, want)
 	}
 }
 
-func (w *world) tickOf() []Service {
+func (s *simulation) services() []Service {
 	return []Service{{
 		Name:     "s",
 		Versions: []units.ModelVersion{"1", "2"},
 		Wanted: &messages.Wanted{
-			ModelVersion: string(w.wanted),
+			ModelVersion: string(s.wanted),
 		},
 	}}
 }
