--- /dev/null
+++ b/src/releaser/aggregate.go
@@ -0,0 +1,168 @@
+package releaser
+
+import (
+	"cmp"
+	"fmt"
+	"maps"
+	"math"
+	"slices"
+)
+
+// aggregate is the sum of all entries' measurements.
+type aggregate struct {
+	target    Sample
+	other     Sample
+	routes    map[Route]*routeAggregate
+	upstreams map[Place]bool
+}
+
+type routeAggregate struct {
+	target    Sample
+	other     Sample
+	upstreams map[Place]*Sample
+}
+
+func newAggregate() *aggregate {
+	return &aggregate{
+		routes:    make(map[Route]*routeAggregate),
+		upstreams: make(map[Place]bool),
+	}
+}
+
+func (s *aggregate) add(f *Figures, sign float64) {
+	r := s.routes[f.Route]
+	if r == nil {
+		r = &routeAggregate{upstreams: make(map[Place]*Sample)}
+		s.routes[f.Route] = r
+	}
+	if f.Place == 0 {
+		s.other.accumulate(&f.Sample, sign)
+		r.other.accumulate(&f.Sample, sign)
+		return
+	}
+	s.target.accumulate(&f.Sample, sign)
+	r.target.accumulate(&f.Sample, sign)
+	if r.upstreams[f.Place] == nil {
+		r.upstreams[f.Place] = &Sample{}
+	}
+	r.upstreams[f.Place].accumulate(&f.Sample, sign)
+	s.upstreams[f.Place] = true
+}
+
+// since returns the measurements after an earlier aggregate was taken.
+func (s *aggregate) since(earlier *aggregate) *aggregate {
+	d := newAggregate()
+	for _, operand := range []struct {
+		of   *aggregate
+		sign float64
+	}{{of: s, sign: 1}, {of: earlier, sign: -1}} {
+		for route, r := range operand.of.routes {
+			d.add(&Figures{
+				Route:  route,
+				Sample: r.other,
+			}, operand.sign)
+			for upstream, sample := range r.upstreams {
+				d.add(&Figures{
+					Place:  upstream,
+					Route:  route,
+					Sample: *sample,
+				}, operand.sign)
+			}
+		}
+	}
+	return d
+}
+
+// useBaselineOf takes the other version's measurements from another aggregate.
+func (s *aggregate) useBaselineOf(o *aggregate) {
+	s.other = o.other
+	for route, r := range s.routes {
+		if from := o.routes[route]; from != nil {
+			r.other = from.other
+		}
+	}
+}
+
+// without returns the aggregate without some upstreams of the target.
+func (s *aggregate) without(upstreams []Place) *aggregate {
+	w := newAggregate()
+	for route, r := range s.routes {
+		rest := &routeAggregate{
+			target: r.target,
+			other:  r.other,
+		}
+		for _, upstream := range upstreams {
+			if sample := r.upstreams[upstream]; sample != nil {
+				rest.target.accumulate(sample, -1)
+				w.target.accumulate(sample, -1)
+			}
+		}
+		w.routes[route] = rest
+	}
+	w.target.accumulate(&s.target, 1)
+	w.other = s.other
+	return w
+}
+
+// verdict returns why the target is worse, "" if that is not shown. It must also be shown
+// without the worst of its upstreams: these may be faulty themselves, and not their version.
+func (s *aggregate) verdict() string {
+	reason := s.regression()
+	if reason == "" || len(s.upstreams) < minUpstreamsToTrim {
+		return reason
+	}
+	worst := s.byBadness()[:int(math.Ceil(trimmedFraction*float64(len(s.upstreams))))]
+	return s.without(worst).regression()
+}
+
+// byBadness returns the target's upstreams, ordered by failure rate and latency with the worst
+// first.
+func (s *aggregate) byBadness() []Place {
+	badness := make(map[Place]float64, len(s.upstreams))
+	for upstream := range s.upstreams {
+		all := Sample{}
+		for _, r := range s.routes {
+			if sample := r.upstreams[upstream]; sample != nil {
+				all.accumulate(sample, 1)
+			}
+		}
+		badness[upstream] = all.badness()
+	}
+	return slices.SortedFunc(maps.Keys(badness), func(a, b Place) int {
+		return cmp.Or(cmp.Compare(badness[b], badness[a]), cmp.Compare(a, b))
+	})
+}
+
+// failureWeight makes an upstream that fails a third of its calls rank like one that takes
+// several times as long.
+const failureWeight = 5
+
+// badness ranks upstreams of one version among each other.
+func (s *Sample) badness() float64 {
+	badness := failureWeight * s.Failures / max(1, s.Answers)
+	if s.First.Count > 0 {
+		badness += s.First.mean()
+	}
+	if s.Pace.Count > 0 {
+		badness += s.Pace.mean()
+	}
+	return badness
+}
+
+// regression returns why the target is worse on one route, or on all of them combined.
+func (s *aggregate) regression() string {
+	var combined [len(excessFailureRates)]float64
+	for _, name := range slices.Sorted(maps.Keys(s.routes)) {
+		r := s.routes[name]
+		if reason := regression(&r.target, &r.other); reason != "" {
+			return fmt.Sprintf("route %s: %s", name, reason)
+		}
+		for i, ratio := range logLikelihoodRatios(&r.target, &r.other) {
+			combined[i] += ratio
+		}
+	}
+	if slices.Max(combined[:]) > -math.Log(falsePositiveRate) {
+		return fmt.Sprintf("%.0f of %.0f answers failed", s.target.Failures, s.target.Answers)
+	}
+	return ""
+}
--- a/src/releaser/sample.go
+++ b/src/releaser/sample.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// Moments is the number, the sum and the sum of squares of some values.
+// Moments are the count, the sum and the sum of squares of some values.
 type Moments struct {
 	Count   float64
 	Sum     float64
 	Squares float64
 }
 
-// Add takes one value.
+// Add records one value.
 func (m *Moments) Add(value float64) {
 	m.Count++
 	m.Sum += value
 	m.Squares += value * value
 }
 
-func (m *Moments) join(o Moments, sign float64) {
+func (m *Moments) accumulate(o Moments, sign float64) {
 	m.Count += sign * o.Count
 	m.Sum += sign * o.Sum
 	m.Squares += sign * o.Squares
@@ -27,25 +27,25 @@
 
 func (m Moments) mean() float64 { return m.Sum / m.Count }
 
-// variance returns the variance of the mean.
-func (m Moments) variance() float64 {
-	spread := max(0, m.Squares/m.Count-m.mean()*m.mean())
-	return spread / m.Count
+// varianceOfMean returns the squared standard error of the mean.
+func (m Moments) varianceOfMean() float64 {
+	variance := max(0, m.Squares/m.Count-m.mean()*m.mean())
+	return variance / m.Count
 }
 
-// Sample is what was seen of a version's answers on one route.
+// Sample holds the measurements of a version's answers on one route.
 type Sample struct {
 	Answers  float64
 	Failures float64
-	// First holds logarithms of the seconds to the first byte, Pace those of the seconds
-	// from one event to the next.
+	// First holds the logarithms of the seconds to the first byte, Pace those of the mean
+	// seconds from one event to the next.
 	First Moments
 	Pace  Moments
-	// Running is how many calls are under way.
+	// Running is the number of calls in flight.
 	Running float64
 }
 
-// Answer notes one answer; a pace of 0 stands for an answer without events.
+// Answer records one answer; a pace of 0 stands for an answer without events.
 func (s *Sample) Answer(failed bool, first, pace time.Duration) {
 	s.Answers++
 	if failed {
@@ -60,10 +60,10 @@
 	}
 }
 
-func (s *Sample) join(o *Sample, sign float64) {
+func (s *Sample) accumulate(o *Sample, sign float64) {
 	s.Answers += sign * o.Answers
 	s.Failures += sign * o.Failures
-	s.First.join(o.First, sign)
-	s.Pace.join(o.Pace, sign)
+	s.First.accumulate(o.First, sign)
+	s.Pace.accumulate(o.Pace, sign)
 	s.Running += sign * o.Running
 }
--- a/src/scaler/plan.go
+++ b/src/scaler/plan.go
@@ -95,8 +95,6 @@
 // The minimum of a data centre counts the upstreams that are ready or starting there, not those
 // that are wanted: while no reclaimable ones are available, each retry for them would release
 // the on-demand one, and order it again when the retry is refused.
-// wanted: while none are to be had, each new try for reclaimable ones would give the one
-// at the full price back, and order it again when the try is refused.
 func (s *Scaler) planOnDemand(plan Stock, centres []units.DataCentre, readyOrStarting map[units.DataCentre]int, count int, scaling *matcher.Scaling) {
 	half := (count + 1) / 2
 	for _, centre := range centres {
