--- a/src/apportioner/allocator.go
+++ b/src/apportioner/allocator.go
@@ -34,17 +34,17 @@
 	// admitted since the entry's start.
 	Rate  float64
 	Spent float64
-	// Unheard is the part of Spent that no leader has acknowledged.
-	Unheard float64
+	// Unacknowledged is the part of Spent that no leader has acknowledged.
+	Unacknowledged float64
 	// Level is the level of the account's bucket in the last leader's response,
 	// LevelAge the age of that response; 0 if there was none.
 	Level    float64
 	LevelAge time.Duration
 }
 
-// Divider keeps the accounts' buckets and grants shares of them to entries; it is a
+// Allocator keeps the accounts' buckets and grants shares of them to entries; it is a
 // state machine without a clock.
-type Divider struct {
+type Allocator struct {
 	// Lease is for how long an entry uses its share without contact.
 	Lease  time.Duration
 	Window Window
@@ -84,9 +84,9 @@
 	refilledAt time.Time
 }
 
-// Hear charges the accounts' buckets with what an entry has admitted since its last
+// RecordDemand charges the accounts' buckets with what an entry has admitted since its last
 // poll.
-func (d *Divider) Hear(now time.Time, name units.Instance, incarnation units.Incarnation, demands map[units.Account]Demand) {
+func (d *Allocator) RecordDemand(now time.Time, name units.Instance, incarnation units.Incarnation, demands map[units.Account]Demand) {
 	if d.entries == nil {
 		d.entries = make(map[units.Instance]*entryState)
 		d.buckets = make(map[units.Account]*globalBucket)
@@ -107,7 +107,7 @@
 			// the previous leader. If this leader has answered the entry before and
 			// dropped it when its lease expired, that usage is already charged.
 			if demand.LevelAge == 0 || demand.LevelAge > now.Sub(d.Since) {
-				bucket.level -= demand.Unheard
+				bucket.level -= demand.Unacknowledged
 			}
 		case e.incarnation != incarnation:
 			bucket.level -= demand.Spent
@@ -121,30 +121,30 @@
 	clear(e.assumedSpent)
 }
 
-// Forget removes an entry that has announced its shutdown.
-func (d *Divider) Forget(name units.Instance) {
+// RemoveEntry removes an entry that has announced its shutdown.
+func (d *Allocator) RemoveEntry(name units.Instance) {
 	delete(d.entries, name)
 	d.refreshedAt = time.Time{}
 }
 
-// Uses reports whether an entry holds shares.
-func (d *Divider) Uses(name units.Instance) bool { return d.entries[name] != nil }
+// HasEntry reports whether an entry holds shares.
+func (d *Allocator) HasEntry(name units.Instance) bool { return d.entries[name] != nil }
 
-// Entries returns how many entries hold shares now.
-func (d *Divider) Entries(now time.Time) int {
+// CountEntries returns how many entries hold shares now.
+func (d *Allocator) CountEntries(now time.Time) int {
 	d.refresh(now)
 	return len(d.entries)
 }
 
 // Settled reports whether this leader has been active for long enough that every
 // reachable entry has polled it.
-func (d *Divider) Settled(now time.Time) bool { return now.Sub(d.Since) >= settleDelay }
+func (d *Allocator) Settled(now time.Time) bool { return now.Sub(d.Since) >= settleDelay }
 
 // refresh drops entries whose lease has expired and recomputes the sums over all
 // entries. Scanning all entries at each poll would cost the leader time quadratic
 // in their number; with two hundred entries it would have no time for anything
 // else.
-func (d *Divider) refresh(now time.Time) {
+func (d *Allocator) refresh(now time.Time) {
 	if !d.refreshedAt.IsZero() && now.Sub(d.refreshedAt) < refreshInterval {
 		return
 	}
@@ -167,11 +167,11 @@
 	}
 }
 
-// Part returns an entry's share of an account's limit, from 0 to 1, and what all
+// Share returns an entry's share of an account's limit, from 0 to 1, and what all
 // entries may still admit; known is false while that is not known well enough to
 // change the entry's share.
-func (d *Divider) Part(now time.Time, name units.Instance, account *matcher.Account) (share, level float64, known bool) {
-	count := d.Entries(now)
+func (d *Allocator) Share(now time.Time, name units.Instance, account *matcher.Account) (share, level float64, known bool) {
+	count := d.CountEntries(now)
 	own := d.entries[name]
 	if own == nil {
 		return 0, 0, false
@@ -190,7 +190,7 @@
 
 // refill adds the tokens accrued since the last refill to an account's bucket, less
 // what silent entries may be admitting, and returns its level.
-func (d *Divider) refill(now time.Time, account *matcher.Account) float64 {
+func (d *Allocator) refill(now time.Time, account *matcher.Account) float64 {
 	rate, burst := d.Window.rate(account), d.Window.burst(account)
 	bucket := d.buckets[account.Name]
 	if bucket == nil {
@@ -220,13 +220,13 @@
 // if two leaders are lost within one window, an account could run more than its
 // limit allows. The most recent level reported to any entry, less the usage that no
 // leader has charged since, is exact except for responses that were in flight.
-func (d *Divider) initialLevel(now time.Time, account *matcher.Account) float64 {
+func (d *Allocator) initialLevel(now time.Time, account *matcher.Account) float64 {
 	rate, burst := d.Window.rate(account), d.Window.burst(account)
 	settleTime := min(settleDelay, now.Sub(d.Since))
 	level, age, unacknowledged := defaultLevelFraction*burst+rate*settleTime.Seconds(), time.Duration(0), 0.0
 	for _, e := range d.entries {
 		demand := e.demands[account.Name]
-		unacknowledged += demand.Unheard
+		unacknowledged += demand.Unacknowledged
 		if demand.LevelAge == 0 {
 			continue
 		}
--- a/src/apportioner/apportioner_test.go
+++ b/src/apportioner/apportioner_test.go
@@ -21,8 +21,8 @@
 // fleet is a number of entries that poll one divider.
 type fleet struct {
 	account *matcher.Account
-	divider *Divider
-	meters  []*Meter
+	divider *Allocator
+	meters  []*LocalLimiter
 	ran     []admittedCall
 }
 
@@ -34,22 +34,22 @@
 func newFleet(entries int) *fleet {
 	f := &fleet{
 		account: &matcher.Account{Name: "hot", ByTokens: true, Rate: 200_000, Burst: 200_000},
-		divider: &Divider{Lease: 4 * time.Second, Since: start.Add(-time.Hour), Window: window},
+		divider: &Allocator{Lease: 4 * time.Second, Since: start.Add(-time.Hour), Window: window},
 	}
 	for range entries {
-		f.meters = append(f.meters, &Meter{Window: window})
+		f.meters = append(f.meters, &LocalLimiter{Window: window})
 	}
 	return f
 }
 
 // poll sends an entry's poll to the divider; respond delivers the response.
 func (f *fleet) poll(now time.Time, i int) {
-	f.divider.Hear(now, entryName(i), 1, f.meters[i].Demand(now))
+	f.divider.RecordDemand(now, entryName(i), 1, f.meters[i].ReportDemand(now))
 }
 
 func (f *fleet) respond(now time.Time, i int) {
-	if share, level, known := f.divider.Part(now, entryName(i), f.account); known {
-		f.meters[i].SetPart(now, f.account, share, level)
+	if share, level, known := f.divider.Share(now, entryName(i), f.account); known {
+		f.meters[i].SetShare(now, f.account, share, level)
 	}
 }
 
@@ -175,11 +175,11 @@
 		for n := range 2000 {
 			now = now.Add(step)
 			if n == recoveredAt {
-				f.divider = &Divider{Lease: 4 * time.Second, Since: now, Window: window}
+				f.divider = &Allocator{Lease: 4 * time.Second, Since: now, Window: window}
 			}
 			if n == lostAt+20 {
 				for i := range restarts {
-					f.meters[i] = &Meter{Window: window}
+					f.meters[i] = &LocalLimiter{Window: window}
 					incarnations[i]++
 				}
 			}
@@ -189,7 +189,7 @@
 				}
 				switch (n + i*7) % 20 {
 				case 0:
-					f.divider.Hear(now, entryName(i), incarnations[i], f.meters[i].Demand(now))
+					f.divider.RecordDemand(now, entryName(i), incarnations[i], f.meters[i].ReportDemand(now))
 				case 3:
 					f.respond(now, i)
 				}
@@ -235,7 +235,7 @@
 		for n := range 2000 {
 			now = now.Add(step)
 			if n == firstLostAt+lostFor || n == secondLostAt+lostFor {
-				f.divider = &Divider{Lease: 4 * time.Second, Since: now, Window: window}
+				f.divider = &Allocator{Lease: 4 * time.Second, Since: now, Window: window}
 			}
 			if (n < firstLostAt || n >= firstLostAt+lostFor) && (n < secondLostAt || n >= secondLostAt+lostFor) {
 				f.pollInTurn(now, n)
@@ -296,9 +296,9 @@
 // debt waits until its share of it is paid; otherwise all of them would go on
 // admitting at the account's rate despite the debt.
 func TestDebtIsPaidFirst(t *testing.T) {
-	m := &Meter{Window: window}
+	m := &LocalLimiter{Window: window}
 	account := &matcher.Account{Name: "a", ByTokens: true, Rate: 200_000, Burst: 200_000}
-	m.SetPart(start, account, 0.5, -200_000)
+	m.SetShare(start, account, 0.5, -200_000)
 	if _, admitted := m.Admit(start.Add(500*time.Millisecond), account, 1000); admitted {
 		t.Error("call 0.5 s after a debt of 1 s: got admitted, want refused")
 	}
@@ -309,7 +309,7 @@
 
 // A call that is larger than an entry's whole share must be admitted eventually.
 func TestLargeCallIsNotStarved(t *testing.T) {
-	m := &Meter{Window: window}
+	m := &LocalLimiter{Window: window}
 	account := &matcher.Account{Name: "a", Rate: 1000, Burst: 1000}
 	if _, admitted := m.Admit(start, account, 1e9); !admitted {
 		t.Error("large call at a full bucket: got refused, want admitted")
@@ -419,14 +419,14 @@
 }
 
 func TestNewLeaderKeepsSharesUntilSettled(t *testing.T) {
-	d := &Divider{Lease: time.Second, Since: start, Window: window}
+	d := &Allocator{Lease: time.Second, Since: start, Window: window}
 	account := &matcher.Account{Name: "a", Rate: 1000, Burst: 1000}
-	d.Hear(start, "e1", 1, map[units.Account]Demand{"a": {Rate: 1}})
-	if _, _, known := d.Part(start.Add(settleDelay-time.Millisecond), "e1", account); known {
+	d.RecordDemand(start, "e1", 1, map[units.Account]Demand{"a": {Rate: 1}})
+	if _, _, known := d.Share(start.Add(settleDelay-time.Millisecond), "e1", account); known {
 		t.Error("share before all entries have polled: got one, want none")
 	}
-	d.Hear(start.Add(2*time.Second), "e1", 1, map[units.Account]Demand{"a": {Rate: 1}})
-	if got, _, known := d.Part(start.Add(2*time.Second), "e1", account); !known || got != 1 {
+	d.RecordDemand(start.Add(2*time.Second), "e1", 1, map[units.Account]Demand{"a": {Rate: 1}})
+	if got, _, known := d.Share(start.Add(2*time.Second), "e1", account); !known || got != 1 {
 		t.Errorf("share: got %v, known %t, want 1", got, known)
 	}
 }
@@ -436,7 +436,7 @@
 func TestSilentEntryIsCharged(t *testing.T) {
 	account := &matcher.Account{Name: "a", Rate: 1_000_000, Burst: 1_000_000}
 	level := func(silent bool) float64 {
-		d := &Divider{Lease: time.Minute, Since: start.Add(-time.Hour), Window: window}
+		d := &Allocator{Lease: time.Minute, Since: start.Add(-time.Hour), Window: window}
 		now := start
 		spent := 0.0
 		for range 50 {
@@ -444,14 +444,14 @@
 			spent += 50_000
 			// The bucket starts well below full, since a full one would take no
 			// refill.
-			d.Hear(now, "e1", 1, map[units.Account]Demand{"a": {Rate: 500_000, Spent: spent, Level: 80_000, LevelAge: 1}})
+			d.RecordDemand(now, "e1", 1, map[units.Account]Demand{"a": {Rate: 500_000, Spent: spent, Level: 80_000, LevelAge: 1}})
 			if !silent || now.Sub(start) < time.Second || now.Sub(start) > 4900*time.Millisecond {
-				d.Hear(now, "e2", 1, map[units.Account]Demand{"a": {Rate: 500_000, Spent: spent}})
+				d.RecordDemand(now, "e2", 1, map[units.Account]Demand{"a": {Rate: 500_000, Spent: spent}})
 			}
-			_, _, _ = d.Part(now, "e1", account)
-			_, _, _ = d.Part(now, "e2", account)
+			_, _, _ = d.Share(now, "e1", account)
+			_, _, _ = d.Share(now, "e2", account)
 		}
-		_, level, _ := d.Part(now, "e1", account)
+		_, level, _ := d.Share(now, "e1", account)
 		return level
 	}
 	if got, want := level(true), level(false); got < want-1 || got > want+1 {
--- a/src/apportioner/meter.go
+++ b/src/apportioner/meter.go
@@ -8,9 +8,9 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// Meter charges calls to the shares granted to this entry; it is safe for
+// LocalLimiter charges calls to the shares granted to this entry; it is safe for
 // concurrent use.
-type Meter struct {
+type LocalLimiter struct {
 	Window Window
 
 	mu      sync.Mutex
@@ -24,7 +24,7 @@
 // room for its whole size, small calls would use up every refill and all large
 // calls would be refused. A call therefore needs room for at most the usual call
 // size; the rest of a larger call is a debt that later calls pay.
-func (m *Meter) Admit(now time.Time, account *matcher.Account, size float64) (retryAfter time.Duration, admitted bool) {
+func (m *LocalLimiter) Admit(now time.Time, account *matcher.Account, size float64) (retryAfter time.Duration, admitted bool) {
 	if account.Rate <= 0 {
 		return 0, true
 	}
@@ -47,7 +47,7 @@
 }
 
 // Refund returns the charge of a call that did not run.
-func (m *Meter) Refund(account units.Account, size float64) {
+func (m *LocalLimiter) Refund(account units.Account, size float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if b := m.buckets[account]; b != nil {
@@ -56,8 +56,8 @@
 	}
 }
 
-// SetPart applies the share that the response to the last poll grants this entry.
-func (m *Meter) SetPart(now time.Time, account *matcher.Account, share, level float64) {
+// SetShare applies the share that the response to the last poll grants this entry.
+func (m *LocalLimiter) SetShare(now time.Time, account *matcher.Account, share, level float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	b := m.localBucket(now, account)
@@ -73,8 +73,8 @@
 	b.borrowed = false
 }
 
-// Demand returns the demand and the admitted tokens of each account for a poll.
-func (m *Meter) Demand(now time.Time) map[units.Account]Demand {
+// ReportDemand returns the demand and the admitted tokens of each account for a poll.
+func (m *LocalLimiter) ReportDemand(now time.Time) map[units.Account]Demand {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	demand := make(map[units.Account]Demand, len(m.buckets))
@@ -82,10 +82,10 @@
 		b.decayDemand(now)
 		b.reportedSpent = b.spent
 		d := Demand{
-			Rate:    b.demand,
-			Spent:   b.spent,
-			Unheard: b.spent - b.acknowledgedSpent,
-			Level:   b.globalLevel,
+			Rate:           b.demand,
+			Spent:          b.spent,
+			Unacknowledged: b.spent - b.acknowledgedSpent,
+			Level:          b.globalLevel,
 		}
 		if !b.globalLevelAt.IsZero() {
 			d.LevelAge = max(1, now.Sub(b.globalLevelAt))
@@ -95,7 +95,7 @@
 	return demand
 }
 
-func (m *Meter) localBucket(now time.Time, account *matcher.Account) *localBucket {
+func (m *LocalLimiter) localBucket(now time.Time, account *matcher.Account) *localBucket {
 	if m.buckets == nil {
 		m.buckets = make(map[units.Account]*localBucket)
 	}
@@ -114,8 +114,8 @@
 	return b
 }
 
-// Resize applies changed limits; tokens beyond the new limits are dropped.
-func (m *Meter) Resize(now time.Time, table *matcher.Table) {
+// UpdateLimits applies changed limits; tokens beyond the new limits are dropped.
+func (m *LocalLimiter) UpdateLimits(now time.Time, table *matcher.Table) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for name, b := range m.buckets {
--- a/src/apportioner/window.go
+++ b/src/apportioner/window.go
@@ -15,8 +15,8 @@
 	Slack   float64
 }
 
-// WindowOf returns the window from the settings.
-func WindowOf(quota parser.Quota) Window {
+// NewWindow returns the window from the settings.
+func NewWindow(quota parser.Quota) Window {
 	return Window{
 		Length:  quota.Window,
 		Overage: quota.Overage,
--- a/src/borrower/borrower.go
+++ b/src/borrower/borrower.go
@@ -21,8 +21,8 @@
 type Borrower struct {
 	Self        units.Instance
 	Incarnation uint64
-	// Hold is how long entries of an earlier view may still use its shares.
-	Hold time.Duration
+	// ViewTTL is how long entries of an earlier view may still use its shares.
+	ViewTTL time.Duration
 
 	view           *messages.EntryView
 	viewReceivedAt time.Time
@@ -55,15 +55,15 @@
 // Step takes one event and returns the actions to carry out, in order.
 func (b *Borrower) Step(now time.Time, event Event) []Action {
 	switch e := event.(type) {
-	case Viewed:
+	case ViewChanged:
 		b.setView(now, e.View)
-	case Confirmed:
+	case ViewConfirmed:
 		if e.At.After(b.confirmedAt) {
 			b.confirmedAt = e.At
 		}
-	case Wanted:
+	case DemandChanged:
 		return b.buildRequests(now, e.Demands)
-	case Answered:
+	case ResponseReceived:
 		b.applyResponse(now, e)
 	}
 	return nil
@@ -73,30 +73,30 @@
 	if view.GetNumber() <= b.view.GetNumber() {
 		return
 	}
-	b.previousFloor = b.Floor(now)
+	b.previousFloor = b.GuaranteedShare(now)
 	// An entry that was out of contact may have been removed by a view in between.
 	// Its floor may then have been given to other entries, which use it until they
 	// receive a newer view.
-	if now.Sub(b.confirmedAt) >= b.Hold {
+	if now.Sub(b.confirmedAt) >= b.ViewTTL {
 		b.previousFloor = 0
 	}
 	b.view = view
 	b.viewReceivedAt = now
 }
 
-// Floor returns the fraction of every limit that this entry may use without a loan,
+// GuaranteedShare returns the fraction of every limit that this entry may use without a loan,
 // as long as it serves at all.
 //
 // Entries of the previous view may still use their floors until they receive this
 // view or fence themselves. Until then the smaller of both floors is used, and none
 // by a new entry; otherwise a growing view would give out more than the floors'
 // fraction of the limit.
-func (b *Borrower) Floor(now time.Time) float64 {
+func (b *Borrower) GuaranteedShare(now time.Time) float64 {
 	if !b.member() {
 		return 0
 	}
-	floor := lender.Floors / float64(len(b.view.GetMembers()))
-	if b.view.GetNumber() > 1 && now.Sub(b.viewReceivedAt) < lender.Wait(b.Hold) {
+	floor := lender.GuaranteedFraction / float64(len(b.view.GetMembers()))
+	if b.view.GetNumber() > 1 && now.Sub(b.viewReceivedAt) < lender.ViewChangeWait(b.ViewTTL) {
 		return min(floor, b.previousFloor)
 	}
 	return floor
@@ -126,16 +126,16 @@
 	if !b.member() {
 		return nil
 	}
-	sends := make(map[string]*Ask)
-	floor := b.Floor(now)
+	sends := make(map[string]*SendRequest)
+	floor := b.GuaranteedShare(now)
 	for _, limit := range slices.Sorted(maps.Keys(demands)) {
 		demand := demands[limit]
 		owners := b.owners(limit)
-		for part := range uint32(lender.Parts) {
+		for part := range uint32(lender.Partitions) {
 			owner := owners[int(part)%len(owners)]
 			send := sends[owner.GetEntry()]
 			if send == nil {
-				send = &Ask{
+				send = &SendRequest{
 					Member: owner,
 					Request: &messages.ShareRequest{
 						Entry:      string(b.Self),
@@ -147,8 +147,8 @@
 			send.Request.Demands = append(send.Request.Demands, &messages.ShareDemand{
 				Limit:  limit,
 				Part:   part,
-				Wanted: max(0, demand.Offered*demandHeadroom-floor) / lender.Parts,
-				InUse:  max(0, demand.InUse-floor) / lender.Parts,
+				Wanted: max(0, demand.Offered*demandHeadroom-floor) / lender.Partitions,
+				InUse:  max(0, demand.InUse-floor) / lender.Partitions,
 				Held:   b.loans[b.loanKey(limit, part)].number,
 			})
 		}
@@ -170,7 +170,7 @@
 			cmp.Compare(one.GetEntry(), other.GetEntry()),
 		)
 	})
-	return members[:min(len(members), lender.Parts)]
+	return members[:min(len(members), lender.Partitions)]
 }
 
 func rendezvousWeight(limit string, member *messages.EntryMember) uint64 {
@@ -191,7 +191,7 @@
 // loan older than the one held is dropped, since this entry has reported to the
 // lender that it does not use it. A response to an earlier incarnation of this
 // entry is dropped too, since that incarnation may have reported the same.
-func (b *Borrower) applyResponse(now time.Time, event Answered) {
+func (b *Borrower) applyResponse(now time.Time, event ResponseReceived) {
 	if event.Response.GetViewNumber() != b.view.GetNumber() || !b.member() {
 		return
 	}
--- a/src/borrower/borrower_test.go
+++ b/src/borrower/borrower_test.go
@@ -108,12 +108,12 @@
 		Self:        units.Instance(n.name),
 		Incarnation: n.incarnation,
 		Lease:       testLease,
-		Hold:        testHold,
+		ViewTTL:     testHold,
 	}
 	n.borrower = &Borrower{
 		Self:        units.Instance(n.name),
 		Incarnation: n.incarnation,
-		Hold:        testHold,
+		ViewTTL:     testHold,
 	}
 }
 
@@ -167,10 +167,10 @@
 	now := n.now(c.now)
 	n.view = c.view
 	n.confirmed = now
-	n.lender.Step(now, lender.Viewed{View: c.view})
-	n.lender.Step(now, lender.Confirmed{At: now})
-	n.borrower.Step(now, Viewed{View: c.view})
-	n.borrower.Step(now, Confirmed{At: now})
+	n.lender.Step(now, lender.ViewChanged{View: c.view})
+	n.lender.Step(now, lender.ViewConfirmed{At: now})
+	n.borrower.Step(now, ViewChanged{View: c.view})
+	n.borrower.Step(now, ViewConfirmed{At: now})
 }
 
 // step advances time, lets entries send requests and delivers messages late, twice
@@ -183,9 +183,9 @@
 		if n.idleSteps > 0 || rapid.SampledFrom([]bool{false, true, true, true}).Draw(t, "rests") {
 			continue
 		}
-		actions := n.borrower.Step(n.now(c.now), Wanted{Demands: map[string]Demand{testLimit: {Offered: n.offered}}})
+		actions := n.borrower.Step(n.now(c.now), DemandChanged{Demands: map[string]Demand{testLimit: {Offered: n.offered}}})
 		for _, action := range actions {
-			ask := action.(Ask)
+			ask := action.(SendRequest)
 			c.send(t, message{to: c.index(ask.Member.GetEntry()), from: i, sentAt: n.now(c.now), request: ask.Request})
 		}
 	}
@@ -218,15 +218,15 @@
 	}
 	n := c.nodes[m.to]
 	if m.response != nil {
-		n.borrower.Step(n.now(c.now), Answered{
+		n.borrower.Step(n.now(c.now), ResponseReceived{
 			From:     units.Instance(c.nodes[m.from].name),
 			SentAt:   m.sentAt,
 			Response: m.response,
 		})
 		return
 	}
-	for _, action := range n.lender.Step(n.now(c.now), lender.Asked{Request: m.request}) {
-		c.send(t, message{to: m.from, from: m.to, sentAt: m.sentAt, response: action.(lender.Answer).Response})
+	for _, action := range n.lender.Step(n.now(c.now), lender.RequestReceived{Request: m.request}) {
+		c.send(t, message{to: m.from, from: m.to, sentAt: m.sentAt, response: action.(lender.SendResponse).Response})
 	}
 }
 
@@ -237,7 +237,7 @@
 	for _, n := range c.nodes {
 		now := n.now(c.now)
 		if now.Sub(n.confirmed) < testHold {
-			sum += n.borrower.Floor(now)
+			sum += n.borrower.GuaranteedShare(now)
 		}
 	}
 	return sum
@@ -311,11 +311,11 @@
 			c.step(t)
 			// The bounds add up to the limit. Each is checked by itself, since the
 			// slack of one would hide a violation of another.
-			if got, want := c.floors(), lender.Floors; got > want+1e-6 {
+			if got, want := c.floors(), lender.GuaranteedFraction; got > want+1e-6 {
 				t.Fatalf("floors: got %f of the limit, want at most %f", got, want)
 			}
-			for part := range uint32(lender.Parts) {
-				if got, want := c.lentFraction(part), lender.Pool; got > want+1e-6 {
+			for part := range uint32(lender.Partitions) {
+				if got, want := c.lentFraction(part), lender.PartitionFraction; got > want+1e-6 {
 					t.Fatalf("partition %d: got %f of the limit lent, want at most %f", part, got, want)
 				}
 			}
--- a/src/borrower/event.go
+++ b/src/borrower/event.go
@@ -10,20 +10,20 @@
 // Event is an input to the borrower.
 type Event interface{ event() }
 
-// Viewed carries the entry view that this process has received.
-type Viewed struct {
+// ViewChanged carries the entry view that this process has received.
+type ViewChanged struct {
 	View *messages.EntryView
 }
 
-// Confirmed reports that control's leader held the view to be the newest at a time
+// ViewConfirmed reports that control's leader held the view to be the newest at a time
 // not before At.
-type Confirmed struct {
+type ViewConfirmed struct {
 	At time.Time
 }
 
-// Wanted carries the demand of the entry's calls for each limit; the borrower
+// DemandChanged carries the demand of the entry's calls for each limit; the borrower
 // requests loans for it.
-type Wanted struct {
+type DemandChanged struct {
 	Demands map[string]Demand
 }
 
@@ -33,25 +33,25 @@
 	InUse   float64
 }
 
-// Answered carries a lender's response to a request that was sent at SentAt.
-type Answered struct {
+// ResponseReceived carries a lender's response to a request that was sent at SentAt.
+type ResponseReceived struct {
 	From     units.Instance
 	SentAt   time.Time
 	Response *messages.ShareResponse
 }
 
-func (Viewed) event()    {}
-func (Confirmed) event() {}
-func (Wanted) event()    {}
-func (Answered) event()  {}
+func (ViewChanged) event()      {}
+func (ViewConfirmed) event()    {}
+func (DemandChanged) event()    {}
+func (ResponseReceived) event() {}
 
 // Action is something that the caller of Step must carry out.
 type Action interface{ action() }
 
-// Ask sends a request to a member of the view.
-type Ask struct {
+// SendRequest sends a request to a member of the view.
+type SendRequest struct {
 	Member  *messages.EntryMember
 	Request *messages.ShareRequest
 }
 
-func (Ask) action() {}
+func (SendRequest) action() {}
--- a/src/borrower/incarnation_test.go
+++ b/src/borrower/incarnation_test.go
@@ -24,13 +24,13 @@
 			b := &Borrower{
 				Self:        "e1",
 				Incarnation: c.incarnation,
-				Hold:        time.Second,
+				ViewTTL:     time.Second,
 			}
-			b.Step(now, Viewed{View: &messages.EntryView{
+			b.Step(now, ViewChanged{View: &messages.EntryView{
 				Number:  1,
 				Members: []*messages.EntryMember{{Entry: "e1", Incarnation: 1}},
 			}})
-			b.Step(now, Answered{
+			b.Step(now, ResponseReceived{
 				From:   "e2",
 				SentAt: now,
 				Response: &messages.ShareResponse{
--- a/src/buyer/buyer.go
+++ b/src/buyer/buyer.go
@@ -59,9 +59,9 @@
 // Step takes one event and returns the actions to carry out, in order.
 func (b *Buyer) Step(now time.Time, event Event) []Action {
 	switch e := event.(type) {
-	case Led:
+	case LeadershipGained:
 		b.startTerm(now, e.Term)
-	case Lost:
+	case LeadershipLost:
 		b.leading = false
 	case Listed:
 		b.listed = e
@@ -113,7 +113,7 @@
 	}
 	wait := b.Options.Backoff << min(r.count, 16)
 	r.count++
-	r.until = now.Add(min(wait, b.Options.MostBackoff))
+	r.until = now.Add(min(wait, b.Options.MaxBackoff))
 }
 
 func (b *Buyer) propose(now time.Time, p *messages.Purchase, state messages.PurchaseState, instance, reason string) []Action {
@@ -138,7 +138,7 @@
 	}
 	// A new leader has no reports of the platform or the entries yet; it would take everything
 	// it does not know of for lost and buy it again.
-	if now.Sub(b.leadingSince) < b.Options.Settle || b.listed.At.Before(b.leadingSince) {
+	if now.Sub(b.leadingSince) < b.Options.WarmUp || b.listed.At.Before(b.leadingSince) {
 		return actions
 	}
 	for _, demand := range e.Demands {
@@ -184,7 +184,7 @@
 
 // advance returns the actions that bring one purchase to its next state.
 func (b *Buyer) advance(now time.Time, p *messages.Purchase, upstreams []Upstream) []Action {
-	due := now.Sub(b.requestedAt[p.GetToken()]) >= b.Options.Retry
+	due := now.Sub(b.requestedAt[p.GetToken()]) >= b.Options.RetryInterval
 	since := now.Sub(time.UnixMilli(p.GetAtMs()))
 	listed := b.isListed(p)
 	switch p.GetState() {
@@ -199,7 +199,7 @@
 		if !listed && b.listed.At.After(time.UnixMilli(p.GetAtMs())) {
 			return b.propose(now, p, messages.PurchaseState_PURCHASE_STATE_ENDED, p.GetInstance(), "the platform lists it no more")
 		}
-		if since >= b.Options.Start && upstreamOf(p, upstreams) == nil {
+		if since >= b.Options.AnnounceTimeout && upstreamOf(p, upstreams) == nil {
 			return b.propose(now, p, messages.PurchaseState_PURCHASE_STATE_RELEASING, p.GetInstance(), "it never announced itself")
 		}
 	case messages.PurchaseState_PURCHASE_STATE_RELEASING:
@@ -221,7 +221,7 @@
 // the bill.
 func (b *Buyer) releaseOrphan(now time.Time, p *messages.Purchase) []Action {
 	for _, i := range b.listed.Instances {
-		if i.Token != p.GetToken() || i.Noticed || now.Sub(b.requestedAt[i.Token]) < b.Options.Retry {
+		if i.Token != p.GetToken() || i.Noticed || now.Sub(b.requestedAt[i.Token]) < b.Options.RetryInterval {
 			continue
 		}
 		b.requestedAt[i.Token] = now
--- a/src/buyer/buyer_test.go
+++ b/src/buyer/buyer_test.go
@@ -22,12 +22,12 @@
 )
 
 var testOptions = Options{
-	Settle:      2 * time.Second,
-	Retry:       time.Second,
-	Backoff:     5 * time.Second,
-	MostBackoff: time.Minute,
-	CoolDown:    time.Minute,
-	Start:       30 * time.Second,
+	WarmUp:          2 * time.Second,
+	RetryInterval:   time.Second,
+	Backoff:         5 * time.Second,
+	MaxBackoff:      time.Minute,
+	CoolDown:        time.Minute,
+	AnnounceTimeout: 30 * time.Second,
 }
 
 // TestMain fixes the seed of the property tests unless the command line names one.
@@ -129,7 +129,7 @@
 // exactly those of one plan.
 func TestNothingIsBoughtTwice(t *testing.T) {
 	s := newSimulation(5)
-	planned := len(Plan(s.demand.Slots, nil, s.offers, s.demand.Load))
+	planned := len(Plan(s.demand.Slots, nil, s.offers, s.demand.LoadTime))
 	for range 10 {
 		s.run(3 * time.Second)
 		s.elect()
@@ -162,11 +162,11 @@
 func TestSwingingDemandChangesNothing(t *testing.T) {
 	s := newSimulation(7)
 	s.demand.Slots = 0
-	s.demand.Used = 60
+	s.demand.UsedSlots = 60
 	s.run(2 * time.Minute)
 	before, releases := len(s.instances), s.released
 	for i := range 100 {
-		s.demand.Used = 60 - 30*(i%2)
+		s.demand.UsedSlots = 60 - 30*(i%2)
 		s.run(5 * time.Second)
 	}
 	if got, want := len(s.instances)+s.released, before+releases; got != want {
@@ -179,10 +179,10 @@
 func TestSurplusIsGivenBack(t *testing.T) {
 	s := newSimulation(8)
 	s.demand.Slots = 16
-	s.demand.Used = 90
+	s.demand.UsedSlots = 90
 	s.run(2 * time.Minute)
 	before := s.remainingSlots()
-	s.demand.Used = 20
+	s.demand.UsedSlots = 20
 	s.run(20 * time.Minute)
 	if got, want := s.remainingSlots() < before, true; got != want {
 		t.Errorf("capacity has fallen from %d: got %t, want %t", before, got, want)
@@ -212,13 +212,13 @@
 	states := []messages.PurchaseState{0, 1, 2, 3, 4, 5}
 	for _, from := range states[1:] {
 		for _, to := range states[:from+1] {
-			got := Follows(&messages.Purchase{State: from}, &messages.Purchase{State: to})
+			got := CanReplace(&messages.Purchase{State: from}, &messages.Purchase{State: to})
 			if want := false; got != want {
 				t.Errorf("from %s to %s: got %t, want %t", from, to, got, want)
 			}
 		}
 	}
-	if got, want := Follows(nil, &messages.Purchase{State: 2}), false; got != want {
+	if got, want := CanReplace(nil, &messages.Purchase{State: 2}), false; got != want {
 		t.Errorf("launched without a planned state: got %t, want %t", got, want)
 	}
 }
@@ -262,7 +262,7 @@
 			Slots:    64,
 			OnDemand: 16,
 			Most:     24,
-			Load:     time.Minute,
+			LoadTime: time.Minute,
 		},
 	}
 	for d := range 4 {
@@ -297,11 +297,11 @@
 	}
 	s.proposals = nil
 	s.buyer = &Buyer{Options: testOptions}
-	s.buyer.Step(s.now, Led{Term: s.term})
+	s.buyer.Step(s.now, LeadershipGained{Term: s.term})
 }
 
 func (s *simulation) commit(p *messages.Purchase) {
-	if Follows(s.ledger[p.GetToken()], p) {
+	if CanReplace(s.ledger[p.GetToken()], p) {
 		s.ledger[p.GetToken()] = p
 	}
 }
@@ -327,9 +327,9 @@
 	}
 	listed := Listed{At: s.now}
 	t := Ticked{
-		Offers:   s.offers,
-		Demands:  []Demand{s.demand},
-		Starting: 8,
+		Offers:      s.offers,
+		Demands:     []Demand{s.demand},
+		MaxStarting: 8,
 	}
 	for _, i := range s.instances {
 		i.ended = i.ended || !i.endsAt.IsZero() && s.now.After(i.endsAt)
--- a/src/buyer/capacity.go
+++ b/src/buyer/capacity.go
@@ -31,7 +31,7 @@
 	}
 	reason := "on-demand floor"
 	if RemainingSlots(base) < need {
-		wanted = append(wanted, Plan(need, base, offers, demand.Load)...)
+		wanted = append(wanted, Plan(need, base, offers, demand.LoadTime)...)
 		reason = fmt.Sprintf("need %d slots without the largest data centre, have %d", need, RemainingSlots(s.capacity))
 	}
 	h := b.demands[demand.Service]
@@ -40,7 +40,7 @@
 	}
 	var actions []Action
 	for _, offer := range wanted {
-		if s.instances >= demand.Most || s.starting >= e.Starting {
+		if s.instances >= demand.Most || s.starting >= e.MaxStarting {
 			break
 		}
 		s.instances++
@@ -60,7 +60,7 @@
 		h = &demandState{}
 		b.demands[demand.Service] = h
 	}
-	wanted := max(demand.Slots, int(math.Ceil(float64(demand.Used)/targetUtilization)))
+	wanted := max(demand.Slots, int(math.Ceil(float64(demand.UsedSlots)/targetUtilization)))
 	switch {
 	case float64(wanted) > riseRatio*float64(h.need) || h.need < demand.Slots:
 		h.need = wanted
@@ -219,8 +219,8 @@
 			continue
 		}
 		for _, offer := range e.Offers {
-			if offer.key() == keyOf(p) && offer.EffectivePrice(demand.Load) > price {
-				price = offer.EffectivePrice(demand.Load)
+			if offer.key() == keyOf(p) && offer.EffectivePrice(demand.LoadTime) > price {
+				price = offer.EffectivePrice(demand.LoadTime)
 				mostExpensive = p
 			}
 		}
--- a/src/buyer/event.go
+++ b/src/buyer/event.go
@@ -22,12 +22,12 @@
 type Demand struct {
 	Service units.Service
 	// Slots is the minimum capacity, Used the number of slots in use now.
-	Slots    int
-	Used     int
-	OnDemand int
-	Most     int
-	// Load is the time from the purchase until the instance serves.
-	Load time.Duration
+	Slots     int
+	UsedSlots int
+	OnDemand  int
+	Most      int
+	// LoadTime is the time from the purchase until the instance serves.
+	LoadTime time.Duration
 }
 
 // Instance is an instance as the platform lists it.
@@ -53,13 +53,13 @@
 // Event is an input of the buyer's state machine.
 type Event interface{ event() }
 
-// Led reports that this instance is the leader from now on.
-type Led struct {
+// LeadershipGained reports that this instance is the leader from now on.
+type LeadershipGained struct {
 	Term units.Term
 }
 
-// Lost reports that this instance is no longer the leader.
-type Lost struct{}
+// LeadershipLost reports that this instance is no longer the leader.
+type LeadershipLost struct{}
 
 // Listed is the platform's list of instances as of At.
 type Listed struct {
@@ -80,15 +80,15 @@
 	Offers    []Offer
 	Demands   []Demand
 	Upstreams []Upstream
-	// Starting bounds the number of instances that load their weights at once.
-	Starting int
+	// MaxStarting bounds the number of instances that load their weights at once.
+	MaxStarting int
 }
 
-func (Led) event()      {}
-func (Lost) event()     {}
-func (Listed) event()   {}
-func (Answered) event() {}
-func (Ticked) event()   {}
+func (LeadershipGained) event() {}
+func (LeadershipLost) event()   {}
+func (Listed) event()           {}
+func (Answered) event()         {}
+func (Ticked) event()           {}
 
 // Action is an effect that the caller of Step must carry out.
 type Action interface{ action() }
@@ -115,15 +115,15 @@
 
 // Options are the time limits of a buyer.
 type Options struct {
-	// Settle is how long a new leader collects reports before it plans.
-	Settle time.Duration
-	// Retry is the interval between two requests for one purchase.
-	Retry time.Duration
+	// WarmUp is how long a new leader collects reports before it plans.
+	WarmUp time.Duration
+	// RetryInterval is the interval between two requests for one purchase.
+	RetryInterval time.Duration
 	// Backoff is how long an offer is excluded after a refusal; it doubles up to MostBackoff.
-	Backoff     time.Duration
-	MostBackoff time.Duration
+	Backoff    time.Duration
+	MaxBackoff time.Duration
 	// CoolDown is how long capacity must be surplus before it is released.
 	CoolDown time.Duration
-	// Start is how long a launched instance may take to announce itself.
-	Start time.Duration
+	// AnnounceTimeout is how long a launched instance may take to announce itself.
+	AnnounceTimeout time.Duration
 }
--- a/src/control/ledger.go
+++ b/src/control/ledger.go
@@ -28,7 +28,7 @@
 // Apply takes one purchase's next state where it follows the one known.
 func (l *purchaseLedger) Apply(_ units.Index, command *messages.Command) proto.Message {
 	p := command.GetPurchase()
-	if p == nil || !buyer.Follows(l.purchases[p.GetToken()], p) {
+	if p == nil || !buyer.CanReplace(l.purchases[p.GetToken()], p) {
 		return nil
 	}
 	l.put(p)
--- a/src/control/orders.go
+++ b/src/control/orders.go
@@ -73,12 +73,12 @@
 		client: &http.Client{},
 		orderer: &orderer.Orderer{
 			Options: orderer.Options{
-				Lease:      settings.Timing.Election,
-				Drift:      clockDrift,
-				Timeout:    orderTimeout,
-				Observe:    orderObserve,
-				Resend:     orderResend,
-				MostResend: mostResend,
+				Lease:             settings.Timing.Election,
+				MaxClockDrift:     clockDrift,
+				Timeout:           orderTimeout,
+				AnnounceDelay:     orderObserve,
+				ResendInterval:    orderResend,
+				MaxResendInterval: mostResend,
 			},
 		},
 	}
@@ -88,7 +88,7 @@
 func (d *orderDesk) Lead(now time.Time, term units.Term) []*messages.Command {
 	if !d.leading {
 		d.leading = true
-		d.orderer.Step(now, orderer.Led{Term: term})
+		d.orderer.Step(now, orderer.LeadershipGained{Term: term})
 	}
 	if now.Sub(d.tickedAt) < orderTick {
 		return nil
@@ -105,7 +105,7 @@
 	sends := d.orderer.Step(now, orderer.Ticked{
 		Services:  services,
 		Upstreams: orderable(d.fleet.upstreams(now)),
-		Store: orderer.Store{
+		StoreLimits: orderer.StoreLimits{
 			BytesPerSecond: configuration.Fleet.WeightStore.BytesPerSecond,
 			LoadsAtOnce:    configuration.Fleet.WeightStore.LoadsAtOnce,
 		},
@@ -119,7 +119,7 @@
 // Rest ends the leadership; what waits in the queue is not sent any more.
 func (d *orderDesk) Rest() {
 	d.leading = false
-	d.orderer.Step(time.Time{}, orderer.Lost{})
+	d.orderer.Step(time.Time{}, orderer.LeadershipLost{})
 	for {
 		select {
 		case <-d.queue:
--- a/src/control/purchases.go
+++ b/src/control/purchases.go
@@ -62,12 +62,12 @@
 		},
 		buyer: &buyer.Buyer{
 			Options: buyer.Options{
-				Settle:      purchaseSettle,
-				Retry:       purchaseRetry,
-				Backoff:     refusalBackoff,
-				MostBackoff: mostBackoff,
-				CoolDown:    surplusCoolDown,
-				Start:       startLimit,
+				WarmUp:          purchaseSettle,
+				RetryInterval:   purchaseRetry,
+				Backoff:         refusalBackoff,
+				MaxBackoff:      mostBackoff,
+				CoolDown:        surplusCoolDown,
+				AnnounceTimeout: startLimit,
 			},
 		},
 	}
@@ -77,7 +77,7 @@
 func (d *purchaseDesk) Lead(now time.Time, term units.Term) []*messages.Command {
 	if !d.leading {
 		d.leading = true
-		d.buyer.Step(now, buyer.Led{Term: term})
+		d.buyer.Step(now, buyer.LeadershipGained{Term: term})
 	}
 	configuration := d.orders.configuration()
 	if now.Sub(d.tickedAt) < purchaseTick || configuration == nil || configuration.Fleet.Cloud == "" {
@@ -89,18 +89,18 @@
 		address: configuration.Fleet.Cloud + "/v1/instances",
 	})
 	return d.carryOut(configuration, d.buyer.Step(now, buyer.Ticked{
-		Ledger:    d.ledger.list(),
-		Offers:    offersOf(configuration),
-		Demands:   d.demands(now, configuration),
-		Upstreams: d.upstreams(now),
-		Starting:  startingPerLoad * configuration.Fleet.WeightStore.LoadsAtOnce,
+		Ledger:      d.ledger.list(),
+		Offers:      offersOf(configuration),
+		Demands:     d.demands(now, configuration),
+		Upstreams:   d.upstreams(now),
+		MaxStarting: startingPerLoad * configuration.Fleet.WeightStore.LoadsAtOnce,
 	}))
 }
 
 // Rest ends the leadership.
 func (d *purchaseDesk) Rest() {
 	d.leading = false
-	d.buyer.Step(time.Time{}, buyer.Lost{})
+	d.buyer.Step(time.Time{}, buyer.LeadershipLost{})
 }
 
 func (d *purchaseDesk) carryOut(configuration *parser.Configuration, actions []buyer.Action) []*messages.Command {
@@ -186,12 +186,12 @@
 			load += time.Duration(float64(c.Fleet.Bytes(s.WantedVersion())) / float64(rate) * float64(time.Second))
 		}
 		demands = append(demands, buyer.Demand{
-			Service:  s.Name,
-			Slots:    s.Fleet.Slots,
-			Used:     used[s.Name],
-			OnDemand: s.Fleet.OnDemand,
-			Most:     s.Fleet.Most,
-			Load:     load,
+			Service:   s.Name,
+			Slots:     s.Fleet.Slots,
+			UsedSlots: used[s.Name],
+			OnDemand:  s.Fleet.OnDemand,
+			Most:      s.Fleet.Most,
+			LoadTime:  load,
 		})
 	}
 	return demands
--- a/src/dispatcher/backoff_test.go
+++ b/src/dispatcher/backoff_test.go
@@ -34,7 +34,7 @@
 }
 
 func (r *refusing) Pick(*Call, []units.Upstream) *tracker.Upstream {
-	return &tracker.Upstream{Name: "u", Live: &tracker.Live{}}
+	return &tracker.Upstream{Name: "u", Local: &tracker.LocalState{}}
 }
 
 func (r *refusing) Exchange(context.Context, *Call, units.Attempt, *tracker.Upstream, *Stream) Result {
--- a/src/dispatcher/dispatcher.go
+++ b/src/dispatcher/dispatcher.go
@@ -343,8 +343,8 @@
 }
 
 func (d *Dispatcher) exchange(ctx context.Context, call *Call, attempt units.Attempt, upstream *tracker.Upstream, stream *Stream) Result {
-	upstream.Live.InFlight.Add(1)
-	defer upstream.Live.InFlight.Add(-1)
+	upstream.Local.InFlight.Add(1)
+	defer upstream.Local.InFlight.Add(-1)
 	call.Note(StepAttempt, upstream.Name, "")
 	result := d.Exchanger.Exchange(ctx, call, attempt, upstream, stream)
 	noteResult(call, upstream.Name, result)
--- a/src/dispatcher/dispatcher_test.go
+++ b/src/dispatcher/dispatcher_test.go
@@ -70,8 +70,8 @@
 		}
 		if fresh {
 			return &tracker.Upstream{
-				Name: name,
-				Live: &tracker.Live{},
+				Name:  name,
+				Local: &tracker.LocalState{},
 			}
 		}
 	}
--- a/src/entry/dump.go
+++ b/src/entry/dump.go
@@ -50,7 +50,7 @@
 	dump := &Dump{
 		Name:           c.settings.Name,
 		VersionInForce: units.Version(c.inForce.Load()),
-		Patience:       c.tracker.Health(),
+		Patience:       c.tracker.HealthMultiplier(),
 	}
 	dump.Gossip.Keepers, dump.Gossip.Relays, dump.Gossip.Neighbours = c.informer.Gossiper.Counts()
 	for _, upstream := range c.tracker.All() {
@@ -65,8 +65,8 @@
 			Suspected:    upstream.Suspected,
 			Direct:       upstream.Direct,
 			Incarnation:  upstream.Incarnation,
-			InFlight:     upstream.Live.InFlight.Load(),
-			Silence:      time.Since(upstream.HeardAt),
+			InFlight:     upstream.Local.InFlight.Load(),
+			Silence:      time.Since(upstream.AnnouncedAt),
 		})
 	}
 	return dump
--- a/src/entry/entry.go
+++ b/src/entry/entry.go
@@ -88,10 +88,10 @@
 	e.coordinator.messenger = newMessenger(e.Client, e.coordinator.box, e.Meter.Scope)
 	e.shares = newShares(e.Client, e.View, e.Settings.Name, uint64(e.incarnation), e.Settings.Timing.Fence)
 	e.shares.limiter = &limiter.Limiter{
-		Snapshot: &e.snapshot,
-		Shares:   e.shares,
-		Entries:  func() int { return len(e.View().GetMembers()) },
-		Scope:    e.Meter.Scope,
+		Snapshot:   &e.snapshot,
+		Shares:     e.shares,
+		EntryCount: func() int { return len(e.View().GetMembers()) },
+		Scope:      e.Meter.Scope,
 	}
 	e.traffic = newTraffic(e)
 	e.coordinator.departed = e.traffic.departed
@@ -154,7 +154,7 @@
 		Explainer: &e.book,
 		Dispatcher: &dispatcher.Dispatcher{
 			Limiter:   e.shares.limiter,
-			Budget:    &limiter.Budget{},
+			Budget:    &limiter.RetryBudget{},
 			Recorder:  e.recorder,
 			Router:    e.traffic.router,
 			Exchanger: e.traffic.forwarder,
--- a/src/entry/membership.go
+++ b/src/entry/membership.go
@@ -80,9 +80,9 @@
 func newInformer(settings *parser.Settings) *informer.Informer {
 	return &informer.Informer{
 		Tracker: &tracker.Tracker{
-			Suspicion: upstreamSuspicion,
-			Expiry:    upstreamExpiry,
-			Late:      lateTick,
+			SuspicionTimeout: upstreamSuspicion,
+			Expiry:           upstreamExpiry,
+			PauseThreshold:   lateTick,
 		},
 		Gossiper: &gossiper.Gossiper{
 			Options: gossiper.Options{
@@ -221,7 +221,7 @@
 		c.log.Info().
 			Str("upstream", string(suspected.Upstream.Name)).
 			Str("silence", suspected.Silence).
-			Int("health", suspected.Health).
+			Int("health", suspected.HealthMultiplier).
 			Msg("upstream-suspected")
 	}
 	for _, refuted := range out.Refuted {
--- a/src/entry/shares.go
+++ b/src/entry/shares.go
@@ -50,12 +50,12 @@
 			Self:        self,
 			Incarnation: incarnation,
 			Lease:       shareLease,
-			Hold:        hold,
+			ViewTTL:     hold,
 		},
 		borrower: &borrower.Borrower{
 			Self:        self,
 			Incarnation: incarnation,
-			Hold:        hold,
+			ViewTTL:     hold,
 		},
 	}
 }
@@ -78,7 +78,7 @@
 	wanted := make(map[string]borrower.Demand)
 	s.renewals++
 	idleToo := len(s.view().GetMembers()) <= smallView && s.renewals%idleRenewal == 0
-	for limit, demand := range s.limiter.Renew(time.Now()) {
+	for limit, demand := range s.limiter.RefreshShares(time.Now()) {
 		if !idleToo && demand == (limiter.Demand{}) {
 			continue
 		}
@@ -89,16 +89,16 @@
 	}
 	s.mu.Lock()
 	s.follow(time.Now())
-	actions := s.borrower.Step(time.Now(), borrower.Wanted{Demands: wanted})
+	actions := s.borrower.Step(time.Now(), borrower.DemandChanged{Demands: wanted})
 	s.mu.Unlock()
 	for _, action := range actions {
-		if ask, ok := action.(borrower.Ask); ok {
+		if ask, ok := action.(borrower.SendRequest); ok {
 			go s.ask(ctx, ask)
 		}
 	}
 }
 
-func (s *shares) ask(ctx context.Context, ask borrower.Ask) {
+func (s *shares) ask(ctx context.Context, ask borrower.SendRequest) {
 	sentAt := time.Now()
 	response := &messages.ShareResponse{}
 	if ask.Member.GetEntry() == string(s.lender.Self) {
@@ -112,7 +112,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.borrower.Step(time.Now(), borrower.Answered{
+	s.borrower.Step(time.Now(), borrower.ResponseReceived{
 		From:     units.Instance(ask.Member.GetEntry()),
 		SentAt:   sentAt,
 		Response: response,
@@ -132,8 +132,8 @@
 	defer s.mu.Unlock()
 	now := time.Now()
 	s.follow(now)
-	for _, action := range s.lender.Step(now, lender.Asked{Request: request}) {
-		if answer, ok := action.(lender.Answer); ok {
+	for _, action := range s.lender.Step(now, lender.RequestReceived{Request: request}) {
+		if answer, ok := action.(lender.SendResponse); ok {
 			return answer.Response
 		}
 	}
@@ -143,8 +143,8 @@
 // follow takes the newest view; the caller holds the lock.
 func (s *shares) follow(now time.Time) {
 	if view := s.view(); view != nil {
-		s.lender.Step(now, lender.Viewed{View: view})
-		s.borrower.Step(now, borrower.Viewed{View: view})
+		s.lender.Step(now, lender.ViewChanged{View: view})
+		s.borrower.Step(now, borrower.ViewChanged{View: view})
 	}
 }
 
@@ -153,8 +153,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.follow(time.Now())
-	s.lender.Step(time.Now(), lender.Confirmed{At: at})
-	s.borrower.Step(time.Now(), borrower.Confirmed{At: at})
+	s.lender.Step(time.Now(), lender.ViewConfirmed{At: at})
+	s.borrower.Step(time.Now(), borrower.ViewConfirmed{At: at})
 }
 
 // Shares returns what this entry may use of a limit now.
@@ -164,7 +164,7 @@
 	now := time.Now()
 	s.follow(now)
 	var list []limiter.Share
-	if floor := s.borrower.Floor(now); floor > 0 {
+	if floor := s.borrower.GuaranteedShare(now); floor > 0 {
 		list = append(list, limiter.Share{Fraction: floor})
 	}
 	for _, loan := range s.borrower.Shares(now, limit) {
@@ -181,5 +181,5 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.follow(time.Now())
-	return s.borrower.Floor(time.Now()) > 0
+	return s.borrower.GuaranteedShare(time.Now()) > 0
 }
--- a/src/exchanger/exchanger.go
+++ b/src/exchanger/exchanger.go
@@ -164,9 +164,9 @@
 		return result
 	}
 	prompt := e.call.Unread()
-	e.upstream.Live.Prefill.Add(int64(prompt))
+	e.upstream.Local.PrefillTokens.Add(int64(prompt))
 	response, result := e.head(ctx) //nolint:bodyclose // Closing would read a stream to its end; the connection is closed instead.
-	e.upstream.Live.Prefill.Add(-int64(prompt))
+	e.upstream.Local.PrefillTokens.Add(-int64(prompt))
 	if response == nil {
 		return result
 	}
--- a/src/exchanger/exchanger_test.go
+++ b/src/exchanger/exchanger_test.go
@@ -45,7 +45,7 @@
 			Name:    "u1",
 			Service: "s",
 			Address: listener.Addr().String(),
-			Live:    &tracker.Live{},
+			Local:   &tracker.LocalState{},
 		},
 		listener: listener,
 		answer:   answer,
@@ -434,7 +434,7 @@
 		// Nothing is read until the caller gives the connection up.
 		_, _ = io.Copy(io.Discard, c)
 	})
-	u := &tracker.Upstream{Name: "u1", Address: listener.Addr().String(), Live: &tracker.Live{}}
+	u := &tracker.Upstream{Name: "u1", Address: listener.Addr().String(), Local: &tracker.LocalState{}}
 	x := newExchanger(&guard{})
 	call := newCall()
 	call.Body = make([]byte, 64<<20)
--- a/src/exchanger/pool.go
+++ b/src/exchanger/pool.go
@@ -70,7 +70,7 @@
 	net.Conn
 	reader *bufio.Reader
 	key    hostKey
-	live   *tracker.Live
+	live   *tracker.LocalState
 	// reused says that an earlier call went over it.
 	reused bool
 	idleAt time.Time
@@ -123,7 +123,7 @@
 		Conn:   c,
 		reader: bufio.NewReaderSize(c, readBuffer),
 		key:    key,
-		live:   upstream.Live,
+		live:   upstream.Local,
 		idle:   defaultIdle,
 	}, nil
 }
@@ -182,7 +182,7 @@
 	}
 	c := h.idle[len(h.idle)-1]
 	h.idle = h.idle[:len(h.idle)-1]
-	c.live.Idle.Add(-1)
+	c.live.IdleConnections.Add(-1)
 	return c
 }
 
@@ -221,7 +221,7 @@
 	defer p.mu.Unlock()
 	h := p.hosts[c.key]
 	h.idle = append(h.idle, c)
-	c.live.Idle.Add(1)
+	c.live.IdleConnections.Add(1)
 }
 
 // drop closes a connection.
@@ -260,7 +260,7 @@
 				continue
 			}
 			stale = append(stale, c)
-			c.live.Idle.Add(-1)
+			c.live.IdleConnections.Add(-1)
 		}
 		h.idle = kept
 	}
--- a/src/forwarder/exchange.go
+++ b/src/forwarder/exchange.go
@@ -130,7 +130,7 @@
 	if !waiting {
 		prompt = -prompt
 	}
-	e.upstream.Live.Prefill.Add(prompt)
+	e.upstream.Local.PrefillTokens.Add(prompt)
 }
 
 // connect exchanges over one connection.
--- a/src/forwarder/forwarder_test.go
+++ b/src/forwarder/forwarder_test.go
@@ -54,7 +54,7 @@
 		Address:     address,
 		Incarnation: 1,
 		Step:        time.Millisecond,
-		Live:        &tracker.Live{},
+		Local:       &tracker.LocalState{},
 	}
 }
 
--- a/src/gateway/figures.go
+++ b/src/gateway/figures.go
@@ -283,7 +283,7 @@
 
 // dumpUpstream returns what this entry has at an upstream and believes of it.
 func (g *Gateway) dumpUpstream(c *placer.Candidate) dumpedUpstream {
-	belief := g.placer.Believes(c)
+	belief := g.placer.Assess(c)
 	answered := int64(-1)
 	if !belief.AnsweredAt.IsZero() {
 		answered = timekeeper.Now().Sub(belief.AnsweredAt).Milliseconds()
@@ -298,12 +298,12 @@
 		Address:        c.Address,
 		Silent:         c.Silent,
 		Cold:           c.Cold,
-		InFlight:       c.Live.InFlight.Load(),
-		Unread:         c.Live.Prefill.Load(),
-		Idle:           c.Live.Idle.Load(),
-		OthersInFlight: belief.Others.Calls,
-		OthersUnread:   belief.Others.Prefill,
-		Stated:         belief.Stated,
+		InFlight:       c.Local.InFlight.Load(),
+		Unread:         c.Local.PrefillTokens.Load(),
+		Idle:           c.Local.IdleConnections.Load(),
+		OthersInFlight: belief.PeerLoad.Calls,
+		OthersUnread:   belief.PeerLoad.Prefill,
+		Stated:         belief.ReportedPeerCalls,
 		Ejected:        belief.Ejected,
 		AnsweredMs:     answered,
 		Limit:          limit,
--- a/src/gateway/figures_test.go
+++ b/src/gateway/figures_test.go
@@ -57,7 +57,7 @@
 	t.Cleanup(func() { _ = m.Close() })
 	g := &Gateway{
 		figures: newFigures(m),
-		quota:   &apportioner.Meter{Window: apportioner.Window{Length: 8 * time.Second}},
+		quota:   &apportioner.LocalLimiter{Window: apportioner.Window{Length: 8 * time.Second}},
 		budget:  &retrier.Budget{Window: time.Second, Now: timekeeper.Now},
 	}
 	g.world.Store(&world{
--- a/src/gateway/gateway.go
+++ b/src/gateway/gateway.go
@@ -56,7 +56,7 @@
 	// seeds are the control instances that the settings name now.
 	seeds      atomic.Pointer[[]string]
 	placer     *placer.Placer
-	quota      *apportioner.Meter
+	quota      *apportioner.LocalLimiter
 	budget     *retrier.Budget
 	counter    *tallier.Counter
 	figures    *figures
@@ -78,16 +78,16 @@
 	}
 	g.figures = newFigures(g.Meter)
 	g.placer = &placer.Placer{
-		DataCentre: g.Settings.DataCentre,
-		Now:        timekeeper.Now,
-		Fleet:      g.fleet,
-		Leaving:    g.leaving,
-		Split:      g.split,
-		Each:       g.figures.each,
-		MostCalls:  g.connections,
-		Gate:       &g.gate,
+		DataCentre:  g.Settings.DataCentre,
+		Now:         timekeeper.Now,
+		Fleet:       g.fleet,
+		Leaving:     g.leaving,
+		Split:       g.split,
+		PrefillTime: g.figures.each,
+		MaxInFlight: g.connections,
+		Gate:        &g.gate,
 	}
-	g.quota = &apportioner.Meter{Window: apportioner.WindowOf(g.Settings.Quota)}
+	g.quota = &apportioner.LocalLimiter{Window: apportioner.NewWindow(g.Settings.Quota)}
 	g.budget = &retrier.Budget{
 		Window: g.Settings.Retries.Window,
 		Ratio:  g.Settings.Retries.Ratio,
@@ -227,7 +227,7 @@
 }
 
 // State takes the load that an upstream stated in an answer.
-func (g *Gateway) State(u *tracker.Upstream, load placer.Load) { g.placer.State(u, load) }
+func (g *Gateway) State(u *tracker.Upstream, load placer.ReportedLoad) { g.placer.RecordLoad(u, load) }
 
 func (g *Gateway) logUpstream(m *messages.RegisteredUpstream) {
 	g.Log.Info().
--- a/src/gateway/limited.go
+++ b/src/gateway/limited.go
@@ -14,9 +14,9 @@
 // limited takes what an upstream says of how many calls it takes.
 func (g *Gateway) limited(upstream *tracker.Upstream, limit exchanger.Limit, sentAt time.Time) {
 	now := timekeeper.Now()
-	changed := g.gate.Hear(pacer.Observation{
+	changed := g.gate.RecordObservation(pacer.Observation{
 		Life:       units.LifeOf(upstream.Name, upstream.Incarnation),
-		Stated:     limit.Stated,
+		HasLimit:   limit.Stated,
 		Rate:       limit.Rate,
 		AnsweredAt: now,
 		SentAt:     sentAt,
@@ -38,14 +38,14 @@
 	version uint64
 	known   []pacer.Limit
 	// heard is the last news that the leader was told, sent the last of the poll under way.
-	heard pacer.Number
-	sent  pacer.Number
+	heard pacer.ObservationNumber
+	sent  pacer.ObservationNumber
 }
 
 // tell adds what this entry has heard and what it wants to a poll.
 func (p *pace) tell(now time.Time, gate *pacer.Gate, poll *messages.EntryPoll) {
 	poll.LimitsVersion = p.version
-	for life, calls := range gate.Wants(now) {
+	for life, calls := range gate.TakeDemand(now) {
 		poll.Wants = append(poll.Wants, &messages.UpstreamCalls{
 			Life:  uint64(life),
 			Calls: uint32(calls),
@@ -56,11 +56,11 @@
 		return
 	}
 	var heard []pacer.Observation
-	heard, p.sent = gate.After(p.heard)
+	heard, p.sent = gate.ObservationsAfter(p.heard)
 	for _, o := range heard {
 		poll.Limits = append(poll.Limits, &messages.UpstreamLimit{
 			Life:      uint64(o.Life),
-			Stated:    o.Stated,
+			Stated:    o.HasLimit,
 			Rate:      float64(o.Rate),
 			AgeNs:     int64(now.Sub(o.AnsweredAt)),
 			SentAgeNs: int64(now.Sub(o.SentAt)),
@@ -82,9 +82,9 @@
 			})
 		}
 	}
-	gate.Led(now, entries)
-	gate.Follow(sentAt, p.heard, p.known, r.GetSettled())
+	gate.RecordLeaderContact(now, entries)
+	gate.ApplyLimits(sentAt, p.heard, p.known, r.GetSettled())
 	for _, permit := range r.GetPermits() {
-		gate.Permit(sentAt, units.Life(permit.GetLife()), int(permit.GetCalls()))
+		gate.AddPermits(sentAt, units.Life(permit.GetLife()), int(permit.GetCalls()))
 	}
 }
--- a/src/gateway/limited_test.go
+++ b/src/gateway/limited_test.go
@@ -16,7 +16,7 @@
 	now := time.Unix(1000, 0)
 	gate := &pacer.Gate{}
 	p := &pace{}
-	gate.Hear(pacer.Observation{Life: life, Stated: true, Rate: 2, AnsweredAt: now, SentAt: now.Add(-time.Second)})
+	gate.RecordObservation(pacer.Observation{Life: life, HasLimit: true, Rate: 2, AnsweredAt: now, SentAt: now.Add(-time.Second)})
 	now = now.Add(time.Second)
 	poll := func(leadership uint64) int {
 		m := &messages.EntryPoll{Leadership: leadership}
--- a/src/gateway/losses_test.go
+++ b/src/gateway/losses_test.go
@@ -46,7 +46,7 @@
 				Name:    "u",
 				Service: "s",
 				Address: listener.Addr().String(),
-				Live:    &tracker.Live{},
+				Local:   &tracker.LocalState{},
 			}
 			if c.ended {
 				_ = listener.Close()
@@ -94,7 +94,7 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = listener.Close() }()
-	upstream := &tracker.Upstream{Name: "u", Service: "s", Address: listener.Addr().String(), Live: &tracker.Live{}}
+	upstream := &tracker.Upstream{Name: "u", Service: "s", Address: listener.Addr().String(), Local: &tracker.LocalState{}}
 	g := limited(t, time.Minute)
 	g.Log = zerolog.Nop()
 	opened := counted(0)
--- a/src/gateway/poller.go
+++ b/src/gateway/poller.go
@@ -63,8 +63,8 @@
 	version  units.Version
 	world    world
 	// number counts the polls, and told holds what the last ones said is under way.
-	number placer.Report
-	told   map[placer.Report]map[placer.Hash]placer.UnderWay
+	number placer.ReportNumber
+	told   map[placer.ReportNumber]map[placer.Hash]placer.InFlightLoad
 	lost   bool
 	lostAt time.Time
 	// leadership is the one that the news up to heard were told to, sent the last news of the
@@ -218,12 +218,12 @@
 			Count:   c.Calls,
 		})
 	}
-	for account, demand := range g.quota.Demand(now) {
+	for account, demand := range g.quota.ReportDemand(now) {
 		poll.Demand = append(poll.Demand, &messages.AccountDemand{
 			Account:         string(account),
 			TokensPerSecond: demand.Rate,
 			Spent:           demand.Spent,
-			Unheard:         demand.Unheard,
+			Unheard:         demand.Unacknowledged,
 			Level:           demand.Level,
 			LevelAgeNs:      int64(demand.LevelAge),
 		})
@@ -283,13 +283,13 @@
 }
 
 // tell returns what is under way and keeps it as told by the next poll.
-func (p *poller) tell() map[placer.Hash]placer.UnderWay {
+func (p *poller) tell() map[placer.Hash]placer.InFlightLoad {
 	if p.number == 0 {
-		p.number = placer.Report(p.gateway.incarnation)
-		p.told = make(map[placer.Report]map[placer.Hash]placer.UnderWay)
+		p.number = placer.ReportNumber(p.gateway.incarnation)
+		p.told = make(map[placer.ReportNumber]map[placer.Hash]placer.InFlightLoad)
 	}
 	p.number++
-	p.told[p.number] = p.gateway.placer.UnderWay()
+	p.told[p.number] = p.gateway.placer.InFlightLoads()
 	delete(p.told, p.number-toldPolls)
 	return p.told[p.number]
 }
@@ -318,7 +318,7 @@
 	if p.stale && !p.more || p.world.fleet == nil {
 		p.stale = false
 		p.world.fleet, p.world.leaving = p.upstreams.fleet(now, p.table, p.gateway.placer)
-		p.gateway.placer.Keep(p.world.fleet, p.world.leaving)
+		p.gateway.placer.Retain(p.world.fleet, p.world.leaving)
 	}
 	next := p.world
 	p.gateway.world.Store(&next)
@@ -352,9 +352,9 @@
 	p.world.entries = countOf(p.world.entries, r)
 	p.gateway.budget.SetEntries(p.world.entries)
 	p.pace.follow(now, sentAt, &p.gateway.gate, r, p.world.entries)
-	p.gateway.placer.SetOthers(&placer.Others{
+	p.gateway.placer.SetPeerLoads(&placer.PeerLoads{
 		At:    now,
-		Loads: placer.Less(governor.DecodeLoads(r.GetUnderWay()), p.told[placer.Report(r.GetCounted())]),
+		Loads: placer.Subtract(governor.DecodeLoads(r.GetUnderWay()), p.told[placer.ReportNumber(r.GetCounted())]),
 	})
 	if p.declared == nil {
 		return
@@ -362,7 +362,7 @@
 	for _, share := range r.GetShares() {
 		account := p.declared.Account(units.Account(share.GetAccount()))
 		if account != nil && account.Rate > 0 {
-			p.gateway.quota.SetPart(now, account, share.GetPart(), share.GetLevel())
+			p.gateway.quota.SetShare(now, account, share.GetPart(), share.GetLevel())
 		}
 	}
 }
@@ -419,7 +419,7 @@
 	p.version = version
 	p.declared = matcher.NewTable(declaration)
 	p.world.table = p.declared
-	p.gateway.quota.Resize(timekeeper.Now(), p.declared)
+	p.gateway.quota.UpdateLimits(timekeeper.Now(), p.declared)
 	p.gateway.Log.Info().
 		Uint64("version", uint64(version)).
 		Int("routes", len(declaration.Routes)).
--- a/src/gateway/quarantine_test.go
+++ b/src/gateway/quarantine_test.go
@@ -35,7 +35,7 @@
 type anyUpstream struct{}
 
 func (anyUpstream) Pick(*dispatcher.Call, []units.Upstream) *tracker.Upstream {
-	return &tracker.Upstream{Name: "u", Live: &tracker.Live{}}
+	return &tracker.Upstream{Name: "u", Local: &tracker.LocalState{}}
 }
 
 // quarantineMessage is what the leader says of one request.
--- a/src/gateway/rollout.go
+++ b/src/gateway/rollout.go
@@ -72,8 +72,8 @@
 		return placer.Split{}, false
 	}
 	split := placer.Split{
-		Target: r.target,
-		Only:   r.state == messages.RolloutState_ROLLOUT_STATE_COMPLETED,
+		Target:     r.target,
+		TargetOnly: r.state == messages.RolloutState_ROLLOUT_STATE_COMPLETED,
 	}
 	if r.state == messages.RolloutState_ROLLOUT_STATE_RUNNING && timekeeper.Now().Before(r.until) {
 		split.Share = r.share
--- a/src/gateway/rollout_test.go
+++ b/src/gateway/rollout_test.go
@@ -64,7 +64,7 @@
 			if !found {
 				t.Fatal("split: got none, want one")
 			}
-			if split.Share != c.share || split.Only != c.only {
+			if split.Share != c.share || split.TargetOnly != c.only {
 				t.Errorf("split: got %+v, want a share of %v and only %t", split, c.share, c.only)
 			}
 		})
--- a/src/gateway/serve.go
+++ b/src/gateway/serve.go
@@ -184,7 +184,7 @@
 				fmt.Sprintf("the account's limit of %.0f a second is reached; come back later or raise it", account.Rate), wait)
 		}
 	}
-	g.budget.Call(call.Service)
+	g.budget.RecordCall(call.Service)
 	g.figures.admitted(timekeeper.Now(), call)
 	return func() { g.figures.left(timekeeper.Now(), call.Service) }, nil
 }
--- a/src/gateway/versions.go
+++ b/src/gateway/versions.go
@@ -31,7 +31,7 @@
 }
 
 type sampleKey struct {
-	place releaser.Place
+	place releaser.UpstreamHash
 	route releaser.Route
 }
 
@@ -73,9 +73,9 @@
 		if c != nil && c.number == r.number {
 			for key, sample := range c.samples {
 				told = append(told, governor.EncodeFigures(service, r.number, releaser.Figures{
-					Place:  key.place,
-					Route:  key.route,
-					Sample: *sample,
+					UpstreamHash: key.place,
+					Route:        key.route,
+					Sample:       *sample,
 				}))
 			}
 		}
@@ -101,7 +101,7 @@
 	}
 	key := sampleKey{route: releaser.Route(t.route)}
 	if upstream.Release == r.target {
-		key.place = releaser.Place(placer.HashOf(upstream.Name))
+		key.place = releaser.UpstreamHash(placer.HashOf(upstream.Name))
 	}
 	versions := &j.gateway.versions
 	began := timekeeper.Now()
@@ -115,10 +115,10 @@
 			return
 		}
 		if t.sink.events == 0 {
-			s.Answer(failed, took, 0)
+			s.RecordAnswer(failed, took, 0)
 			return
 		}
-		s.Answer(failed, t.sink.first, t.sink.pace())
+		s.RecordAnswer(failed, t.sink.first, t.sink.pace())
 	})
 	return result
 }
--- a/src/gateway/world.go
+++ b/src/gateway/world.go
@@ -34,7 +34,7 @@
 // upstreams turns the table of upstreams into the candidates of each service and
 // keeps what is under way at those that stay.
 type upstreams struct {
-	live map[liveKey]*tracker.Live
+	live map[liveKey]*tracker.LocalState
 }
 
 type liveKey struct {
@@ -46,7 +46,7 @@
 func (u *upstreams) fleet(now time.Time, table *enroller.Table, p *placer.Placer) (fleet, leaving placer.Fleet) {
 	fleet = make(placer.Fleet)
 	leaving = make(placer.Fleet)
-	kept := make(map[liveKey]*tracker.Live)
+	kept := make(map[liveKey]*tracker.LocalState)
 	for _, e := range table.Entries() {
 		key := liveKey{
 			name: e.ID,
@@ -54,13 +54,13 @@
 		}
 		live := u.live[key]
 		if live == nil {
-			live = &tracker.Live{Since: now}
+			live = &tracker.LocalState{FirstSeenAt: now}
 		}
 		kept[key] = live
 		if e.State == enroller.Gone {
 			continue
 		}
-		candidate := p.Candidate(&tracker.Upstream{
+		candidate := p.NewCandidate(&tracker.Upstream{
 			Name:        e.ID,
 			Service:     e.Service,
 			Address:     e.Address,
@@ -70,14 +70,14 @@
 			Sequence:    e.Sequence,
 			Slots:       e.Slots,
 			Release:     e.Release,
-			HeardAt:     e.HeardAt,
-			Live:        live,
+			AnnouncedAt: e.HeardAt,
+			Local:       live,
 		}, e.ColdFor > 0, e.Silent)
 		if e.State == enroller.Ready {
 			fleet[e.Service] = append(fleet[e.Service], candidate)
 			continue
 		}
-		candidate.Until = e.HeardAt.Add(cmp.Or(e.LeavesIn, leavingFor))
+		candidate.TerminatesAt = e.HeardAt.Add(cmp.Or(e.LeavesIn, leavingFor))
 		leaving[e.Service] = append(leaving[e.Service], candidate)
 	}
 	u.live = kept
--- a/src/governor/coordinator.go
+++ b/src/governor/coordinator.go
@@ -64,9 +64,9 @@
 	table     *enroller.Table
 	fresh     map[units.Upstream]bool
 	ticks     int
-	divider   *apportioner.Divider
+	divider   *apportioner.Allocator
 	estimator timekeeper.Estimator
-	underWay  placer.Sum
+	underWay  placer.LoadSum
 	digest    *digest
 	// declared is the configuration in force, packed its form for entries.
 	declared  *matcher.Declaration
@@ -118,7 +118,7 @@
 		fresh: make(map[units.Upstream]bool),
 		// All control instances may have started together.
 		followedAt: timekeeper.Now().Add(startGrace * g.Settings.HeartbeatInterval),
-		divider:    &apportioner.Divider{},
+		divider:    &apportioner.Allocator{},
 		proposals:  make(map[uint64]chan<- declareReply),
 		pending:    make(map[units.Index]pendingProposal),
 	}
@@ -292,9 +292,9 @@
 	c.leadUntil.Store(end.UnixNano())
 	if c.leadSince.IsZero() {
 		c.leadSince = now
-		c.divider = &apportioner.Divider{
+		c.divider = &apportioner.Allocator{
 			Lease:  c.settings.Revocation,
-			Window: apportioner.WindowOf(c.settings.Quota),
+			Window: apportioner.NewWindow(c.settings.Quota),
 			Since:  now,
 		}
 		// The last digest has the entries of an earlier leadership.
--- a/src/governor/coordinator_test.go
+++ b/src/governor/coordinator_test.go
@@ -91,7 +91,7 @@
 	c.declared = &matcher.Declaration{
 		Accounts: []matcher.Account{{Name: "hot", Rate: 1000, Burst: 1000}},
 	}
-	c.divider = &apportioner.Divider{}
+	c.divider = &apportioner.Allocator{}
 	response := c.poll(&messages.EntryPoll{
 		Entry:   "e1",
 		Serving: true,
--- a/src/governor/digest.go
+++ b/src/governor/digest.go
@@ -34,9 +34,9 @@
 	c.digest = &digest{
 		at:       now,
 		trueTime: c.trueTime(now),
-		entries:  uint32(c.divider.Entries(now)),
+		entries:  uint32(c.divider.CountEntries(now)),
 		controls: c.controls(),
-		underWay: EncodeLoads(placer.Busiest(c.underWay.Freeze(c.divider.Uses), mostLoads)),
+		underWay: EncodeLoads(placer.Busiest(c.underWay.TakeTotal(c.divider.HasEntry), mostLoads)),
 	}
 	return c.digest
 }
--- a/src/governor/dump.go
+++ b/src/governor/dump.go
@@ -60,7 +60,7 @@
 		Last:     uint64(c.node.LastIndex()),
 		Snapshot: uint64(c.node.SnapshotIndex()),
 		Version:  c.state.declaration.GetVersion(),
-		Entries:  c.divider.Entries(now),
+		Entries:  c.divider.CountEntries(now),
 	}
 	for _, member := range c.node.Membership().GetMembers() {
 		d.Members = append(d.Members, member.GetId())
--- a/src/governor/figures.go
+++ b/src/governor/figures.go
@@ -11,16 +11,16 @@
 	return &messages.VersionFigures{
 		Service:      string(service),
 		Number:       number,
-		Upstream:     uint64(f.Place),
+		Upstream:     uint64(f.UpstreamHash),
 		Route:        string(f.Route),
 		Answers:      int64(f.Sample.Answers),
 		Failures:     int64(f.Sample.Failures),
-		FirstSum:     f.Sample.First.Sum,
-		FirstSquares: f.Sample.First.Squares,
-		Firsts:       int64(f.Sample.First.Count),
-		Paced:        int64(f.Sample.Pace.Count),
-		PaceSum:      f.Sample.Pace.Sum,
-		PaceSquares:  f.Sample.Pace.Squares,
+		FirstSum:     f.Sample.FirstByte.Sum,
+		FirstSquares: f.Sample.FirstByte.Squares,
+		Firsts:       int64(f.Sample.FirstByte.Count),
+		Paced:        int64(f.Sample.EventInterval.Count),
+		PaceSum:      f.Sample.EventInterval.Sum,
+		PaceSquares:  f.Sample.EventInterval.Squares,
 		Running:      int64(f.Sample.Running),
 	}
 }
@@ -28,17 +28,17 @@
 // DecodeFigures returns what a message says that an entry has seen.
 func DecodeFigures(m *messages.VersionFigures) releaser.Figures {
 	return releaser.Figures{
-		Place: releaser.Place(m.GetUpstream()),
-		Route: releaser.Route(m.GetRoute()),
+		UpstreamHash: releaser.UpstreamHash(m.GetUpstream()),
+		Route:        releaser.Route(m.GetRoute()),
 		Sample: releaser.Sample{
 			Answers:  float64(m.GetAnswers()),
 			Failures: float64(m.GetFailures()),
-			First: releaser.Moments{
+			FirstByte: releaser.Moments{
 				Count:   float64(m.GetFirsts()),
 				Sum:     m.GetFirstSum(),
 				Squares: m.GetFirstSquares(),
 			},
-			Pace: releaser.Moments{
+			EventInterval: releaser.Moments{
 				Count:   float64(m.GetPaced()),
 				Sum:     m.GetPaceSum(),
 				Squares: m.GetPaceSquares(),
--- a/src/governor/orders.go
+++ b/src/governor/orders.go
@@ -23,7 +23,7 @@
 
 // orders gives orders for upstreams while this instance leads; the coordinator alone uses it.
 type orders struct {
-	survey    scaler.Survey
+	survey    scaler.LoadMeter
 	scalers   map[units.Service]*scaler.Scaler
 	plannedAt time.Time
 	toldAt    time.Time
@@ -43,13 +43,13 @@
 	totals := make(map[units.Service]scaler.Totals, len(loads))
 	for _, l := range loads {
 		totals[units.Service(l.GetService())] = scaler.Totals{
-			Tokens:      l.GetTokens(),
-			Calls:       l.GetCalls(),
-			CallSeconds: l.GetCallSeconds(),
-			Each:        l.GetSecondsPerToken(),
+			Tokens:          l.GetTokens(),
+			Calls:           l.GetCalls(),
+			CallSeconds:     l.GetCallSeconds(),
+			SecondsPerToken: l.GetSecondsPerToken(),
 		}
 	}
-	d.survey.Hear(now, entry, incarnation, totals)
+	d.survey.Record(now, entry, incarnation, totals)
 }
 
 // work makes the plan anew and gives the orders that are due.
@@ -71,7 +71,7 @@
 			d.scalers[service.Name] = s
 		}
 		load := loads[service.Name]
-		load.Limited = c.pacing.short(now, service.Name)
+		load.LimitedUpstreams = c.pacing.short(now, service.Name)
 		stock := stockOf(c.table, service.Name, c.rollouts.barred(service.Name))
 		d.tell(now, duties, service.Name, s.Load(), stock)
 		for _, order := range s.Step(now, service, load, stock) {
@@ -80,11 +80,11 @@
 				Str("data-centre", string(order.DataCentre)).
 				Bool("reclaimable", order.Reclaimable).
 				Int("count", order.Count).
-				Int("have", stock[order.Kind]).
-				Float64("asked", load.Asked).
-				Float64("seconds-each", load.Each).
-				Float64("running", load.Running).
-				Int("limited", load.Limited).
+				Int("have", stock[order.Pool]).
+				Float64("asked", load.Demand).
+				Float64("seconds-each", load.SecondsPerUnit).
+				Float64("running", load.Concurrency).
+				Int("limited", load.LimitedUpstreams).
 				Uint64("fence", uint64(c.node.Term())).
 				Msg("upstreams-ordered")
 			d.calls++
@@ -97,7 +97,7 @@
 }
 
 // tell logs what the plan goes by, now and then.
-func (d *orders) tell(now time.Time, duties *duties, service units.Service, load scaler.Load, stock scaler.Stock) {
+func (d *orders) tell(now time.Time, duties *duties, service units.Service, load scaler.Load, stock scaler.PoolSizes) {
 	if now.Sub(d.toldAt) < tellInterval {
 		return
 	}
@@ -108,20 +108,20 @@
 	}
 	duties.coordinator.log.Info().
 		Str("service", string(service)).
-		Float64("asked", load.Asked).
-		Float64("seconds-each", load.Each).
-		Float64("running", load.Running).
+		Float64("asked", load.Demand).
+		Float64("seconds-each", load.SecondsPerUnit).
+		Float64("running", load.Concurrency).
 		Int("upstreams", total).
 		Msg("service-load")
 }
 
 // stockOf counts the upstreams of a service that take calls, but for a version that does
 // not carry the service: they run beside those that do.
-func stockOf(table *enroller.Table, service units.Service, barred units.Release) scaler.Stock {
-	stock := make(scaler.Stock)
+func stockOf(table *enroller.Table, service units.Service, barred units.Release) scaler.PoolSizes {
+	stock := make(scaler.PoolSizes)
 	for _, e := range table.Entries() {
 		if e.Service == service && e.State == enroller.Ready && !e.Silent && (barred == "" || e.Release != barred) {
-			stock[scaler.Kind{
+			stock[scaler.Pool{
 				DataCentre:  e.DataCentre,
 				Reclaimable: e.Reclaimable,
 			}]++
@@ -166,9 +166,9 @@
 	case errors.As(e.err, &fenced):
 		d.fenced[e.order.Service] = true
 	case errors.As(e.err, &unavailable):
-		s.Refused(timekeeper.Now(), e.order.Kind)
+		s.OnOrderRefused(timekeeper.Now(), e.order.Pool)
 	default:
-		s.Failed(e.order.Kind)
+		s.OnOrderFailed(e.order.Pool)
 	}
 	c.log.Warn().
 		Err(e.err).
--- a/src/governor/pacing.go
+++ b/src/governor/pacing.go
@@ -15,12 +15,12 @@
 // pacing hands out what upstreams with limits take; the coordinator alone uses it.
 type pacing struct {
 	coordinator *coordinator
-	divider     *pacer.Divider
+	divider     *pacer.Allocator
 	keptAt      time.Time
 }
 
 // begin starts a leadership that knows nothing of what entries have heard.
-func (p *pacing) begin() { p.divider = &pacer.Divider{} }
+func (p *pacing) begin() { p.divider = &pacer.Allocator{} }
 
 // hear takes what an entry has heard from upstreams.
 func (p *pacing) hear(now time.Time, poll *messages.EntryPoll) {
@@ -29,9 +29,9 @@
 	}
 	for _, m := range poll.GetLimits() {
 		before := p.divider.Version()
-		p.divider.Hear(now, pacer.Observation{
+		p.divider.RecordObservation(now, pacer.Observation{
 			Life:       units.Life(m.GetLife()),
-			Stated:     m.GetStated(),
+			HasLimit:   m.GetStated(),
 			Rate:       units.CallRate(m.GetRate()),
 			AnsweredAt: now.Add(-time.Duration(m.GetAgeNs())),
 			SentAt:     now.Add(-time.Duration(m.GetSentAgeNs())),
@@ -65,7 +65,7 @@
 	}
 }
 
-func encodeLimits(now time.Time, divider *pacer.Divider) *messages.UpstreamLimits {
+func encodeLimits(now time.Time, divider *pacer.Allocator) *messages.UpstreamLimits {
 	limits, version := divider.Limits()
 	m := &messages.UpstreamLimits{Version: version}
 	for _, limit := range limits {
@@ -91,7 +91,7 @@
 			there[units.LifeOf(e.ID, e.Born)] = true
 		}
 	}
-	p.divider.Keep(now, func(life units.Life) bool { return there[life] })
+	p.divider.RetainLimits(now, func(life units.Life) bool { return there[life] })
 }
 
 // name returns the upstream that has a life, "" where it is not known.
@@ -125,7 +125,7 @@
 	}
 	count := 0
 	for _, e := range p.coordinator.table.Entries() {
-		if e.Service == service && e.State == enroller.Ready && p.divider.Short(now, units.LifeOf(e.ID, e.Born)) {
+		if e.Service == service && e.State == enroller.Ready && p.divider.HasShortage(now, units.LifeOf(e.ID, e.Born)) {
 			count++
 		}
 	}
--- a/src/governor/poll_test.go
+++ b/src/governor/poll_test.go
@@ -48,9 +48,9 @@
 
 // poll returns the n-th poll of an entry.
 func (f crowd) poll(c *coordinator, entry, n int) *messages.EntryPoll {
-	loads := make(map[placer.Hash]placer.UnderWay)
+	loads := make(map[placer.Hash]placer.InFlightLoad)
 	for i := range 4 {
-		loads[placer.HashOf(units.Upstream(fmt.Sprintf("i-%08d", (entry*7+n+i*31)%f.upstreams)))] = placer.UnderWay{
+		loads[placer.HashOf(units.Upstream(fmt.Sprintf("i-%08d", (entry*7+n+i*31)%f.upstreams)))] = placer.InFlightLoad{
 			Calls:   1,
 			Prefill: 3000,
 		}
@@ -140,7 +140,7 @@
 			if got := (<-reply).GetLeads(); got != c.want {
 				t.Errorf("answered as the leader: got %t, want %t", got, c.want)
 			}
-			if got := leader.divider.Uses("e"); got != c.want {
+			if got := leader.divider.HasEntry("e"); got != c.want {
 				t.Errorf("heard: got %t, want %t", got, c.want)
 			}
 		})
@@ -182,9 +182,9 @@
 	}
 	_, c := newLeader(t)
 	f.declare(c)
-	loads := make(map[placer.Hash]placer.UnderWay)
+	loads := make(map[placer.Hash]placer.InFlightLoad)
 	for i := range f.upstreams {
-		loads[placer.HashOf(units.Upstream(fmt.Sprintf("i-%08d", i)))] = placer.UnderWay{
+		loads[placer.HashOf(units.Upstream(fmt.Sprintf("i-%08d", i)))] = placer.InFlightLoad{
 			Calls:   int64(i),
 			Prefill: 3000,
 		}
--- a/src/governor/registry.go
+++ b/src/governor/registry.go
@@ -125,7 +125,7 @@
 		return response
 	}
 	entry := units.Instance(poll.GetEntry())
-	response.Counted = uint64(c.underWay.Counted(entry))
+	response.Counted = uint64(c.underWay.LastCounted(entry))
 	c.estimator.Take(now, entry, time.Unix(0, poll.GetWallNs()))
 	c.hearEntry(now, entry, poll)
 	c.pacing.tell(now, poll, response)
@@ -140,7 +140,7 @@
 		if account.Rate <= 0 {
 			continue
 		}
-		if part, level, known := c.divider.Part(now, entry, &account); known {
+		if part, level, known := c.divider.Share(now, entry, &account); known {
 			response.Shares = append(response.Shares, &messages.AccountShare{
 				Account: string(account.Name),
 				Part:    part,
@@ -161,7 +161,7 @@
 	if !leads && cursor == 0 {
 		return
 	}
-	if err := c.pages.seal(now, c.table, c.divider.Entries(now)); err != nil {
+	if err := c.pages.seal(now, c.table, c.divider.CountEntries(now)); err != nil {
 		c.log.Error().Err(err).Msg("table-not-told")
 		return
 	}
@@ -181,7 +181,7 @@
 }
 
 // EncodeLoads returns what is under way as a message.
-func EncodeLoads(loads map[placer.Hash]placer.UnderWay) *messages.UpstreamLoads {
+func EncodeLoads(loads map[placer.Hash]placer.InFlightLoad) *messages.UpstreamLoads {
 	m := &messages.UpstreamLoads{}
 	for hash, load := range loads {
 		m.Upstreams = append(m.Upstreams, uint64(hash))
@@ -193,13 +193,13 @@
 
 // DecodeLoads returns what a message says is under way, nothing for one whose
 // lists differ in length.
-func DecodeLoads(m *messages.UpstreamLoads) map[placer.Hash]placer.UnderWay {
-	loads := make(map[placer.Hash]placer.UnderWay)
+func DecodeLoads(m *messages.UpstreamLoads) map[placer.Hash]placer.InFlightLoad {
+	loads := make(map[placer.Hash]placer.InFlightLoad)
 	if len(m.GetCalls()) != len(m.GetUpstreams()) || len(m.GetPrefill()) != len(m.GetUpstreams()) {
 		return loads
 	}
 	for i, hash := range m.GetUpstreams() {
-		loads[placer.Hash(hash)] = placer.UnderWay{
+		loads[placer.Hash(hash)] = placer.InFlightLoad{
 			Calls:   m.GetCalls()[i],
 			Prefill: m.GetPrefill()[i],
 		}
@@ -228,20 +228,20 @@
 	demand := make(map[units.Account]apportioner.Demand, len(poll.GetDemand()))
 	for _, d := range poll.GetDemand() {
 		demand[units.Account(d.GetAccount())] = apportioner.Demand{
-			Rate:     d.GetTokensPerSecond(),
-			Spent:    d.GetSpent(),
-			Unheard:  d.GetUnheard(),
-			Level:    d.GetLevel(),
-			LevelAge: time.Duration(d.GetLevelAgeNs()),
+			Rate:           d.GetTokensPerSecond(),
+			Spent:          d.GetSpent(),
+			Unacknowledged: d.GetUnheard(),
+			Level:          d.GetLevel(),
+			LevelAge:       time.Duration(d.GetLevelAgeNs()),
 		}
 	}
 	if poll.GetServing() {
-		c.divider.Hear(now, entry, units.Incarnation(poll.GetIncarnation()), demand)
+		c.divider.RecordDemand(now, entry, units.Incarnation(poll.GetIncarnation()), demand)
 	} else {
-		c.divider.Forget(entry)
+		c.divider.RemoveEntry(entry)
 	}
 	c.rollouts.hear(entry, units.Incarnation(poll.GetIncarnation()), poll.GetVersions())
 	c.pacing.hear(now, poll)
 	c.duties.orders.hear(now, entry, units.Incarnation(poll.GetIncarnation()), poll.GetLoads())
-	c.underWay.Hear(entry, placer.Report(poll.GetNumber()), DecodeLoads(poll.GetUnderWay()))
+	c.underWay.Record(entry, placer.ReportNumber(poll.GetNumber()), DecodeLoads(poll.GetUnderWay()))
 }
--- a/src/governor/rollout.go
+++ b/src/governor/rollout.go
@@ -31,7 +31,7 @@
 // watched is a running roll-out at the leader.
 type watched struct {
 	number uint64
-	watch  *releaser.Watch
+	watch  *releaser.Monitor
 	share  float64
 	// endedAt is when its end was proposed last.
 	endedAt time.Time
@@ -141,7 +141,7 @@
 		}
 	}
 	for service, figures := range byService {
-		r.watched[service].watch.Hear(releaser.Teller{
+		r.watched[service].watch.Record(releaser.EntryIncarnation{
 			Entry:       entry,
 			Incarnation: incarnation,
 		}, figures)
@@ -187,10 +187,10 @@
 	if w == nil || w.number != rollout.GetNumber() {
 		w = &watched{
 			number: rollout.GetNumber(),
-			watch: &releaser.Watch{
-				Ordered: time.Unix(0, rollout.GetOrderedNs()),
-				Limit:   time.Duration(rollout.GetDurationMs()) * time.Millisecond,
-				Since:   trueNow,
+			watch: &releaser.Monitor{
+				OrderedAt:      time.Unix(0, rollout.GetOrderedNs()),
+				Limit:          time.Duration(rollout.GetDurationMs()) * time.Millisecond,
+				MonitoredSince: trueNow,
 				Exposure: releaser.Exposure{
 					Ratio: c.settings.Rollouts.ExposureShare,
 					Slack: c.settings.Rollouts.ExposureSlack,
@@ -256,10 +256,10 @@
 }
 
 // stock counts a service's upstreams by version, and what runs at those of the others.
-func (r *rollouts) stock(service units.Service, target units.Release) releaser.Stock {
+func (r *rollouts) stock(service units.Service, target units.Release) releaser.FleetStatus {
 	c := r.coordinator
 	underWay := c.underWay.Total()
-	stock := releaser.Stock{}
+	stock := releaser.FleetStatus{}
 	for _, e := range c.table.Entries() {
 		if e.Service != service {
 			continue
--- a/src/informer/informer.go
+++ b/src/informer/informer.go
@@ -91,7 +91,7 @@
 func (i *Informer) hear(now time.Time, out *Outcome, from source, rumours []*messages.Rumour) []string {
 	var wanted []string
 	for _, rumour := range rumours {
-		wanted = append(wanted, i.track(now, out, from, tracker.Told{Rumour: rumour})...)
+		wanted = append(wanted, i.track(now, out, from, tracker.RumourReceived{Rumour: rumour})...)
 	}
 	return wanted
 }
@@ -129,7 +129,7 @@
 			out.Refuted = append(out.Refuted, a)
 		case tracker.Refused:
 			out.Refused = a.Err
-		case tracker.Lacking:
+		case tracker.MissingAnnouncement:
 			lacking = append(lacking, string(a.Upstream))
 		case tracker.Probe:
 			out.Sends = append(out.Sends, i.probe(now, a.Upstream)...)
--- a/src/informer/world_test.go
+++ b/src/informer/world_test.go
@@ -60,9 +60,9 @@
 	for i := range entries {
 		one := &Informer{
 			Tracker: &tracker.Tracker{
-				Suspicion: 1500 * time.Millisecond,
-				Expiry:    3 * time.Second,
-				Late:      500 * time.Millisecond,
+				SuspicionTimeout: 1500 * time.Millisecond,
+				Expiry:           3 * time.Second,
+				PauseThreshold:   500 * time.Millisecond,
 			},
 			Gossiper: &gossiper.Gossiper{
 				Options: testGossip(i),
--- a/src/lender/event.go
+++ b/src/lender/event.go
@@ -9,32 +9,32 @@
 // Event is an input to the lender.
 type Event interface{ event() }
 
-// Viewed carries the entry view that this process has received.
-type Viewed struct {
+// ViewChanged carries the entry view that this process has received.
+type ViewChanged struct {
 	View *messages.EntryView
 }
 
-// Confirmed reports that control's leader held the view to be the newest at a time
+// ViewConfirmed reports that control's leader held the view to be the newest at a time
 // not before At.
-type Confirmed struct {
+type ViewConfirmed struct {
 	At time.Time
 }
 
-// Asked carries an entry's request.
-type Asked struct {
+// RequestReceived carries an entry's request.
+type RequestReceived struct {
 	Request *messages.ShareRequest
 }
 
-func (Viewed) event()    {}
-func (Confirmed) event() {}
-func (Asked) event()     {}
+func (ViewChanged) event()     {}
+func (ViewConfirmed) event()   {}
+func (RequestReceived) event() {}
 
 // Action is something that the caller of Step must carry out.
 type Action interface{ action() }
 
-// Answer sends a response to the entry that made the request.
-type Answer struct {
+// SendResponse sends a response to the entry that made the request.
+type SendResponse struct {
 	Response *messages.ShareResponse
 }
 
-func (Answer) action() {}
+func (SendResponse) action() {}
--- a/src/lender/lender.go
+++ b/src/lender/lender.go
@@ -8,17 +8,17 @@
 )
 
 const (
-	// Floors is the fraction of each limit that is never lent: it is divided
+	// GuaranteedFraction is the fraction of each limit that is never lent: it is divided
 	// equally among the entries of the view.
-	Floors = 0.5
-	// Parts is how many lenders divide the rest of a limit between them, so that
+	GuaranteedFraction = 0.5
+	// Partitions is how many lenders divide the rest of a limit between them, so that
 	// the loss of one lender affects only its partition.
-	Parts = 3
-	// Pool is the fraction of a limit that the lender of one partition lends.
-	Pool = (1 - Floors) / Parts
-	// Drift is by what fraction a lender extends a period over a borrower's count
+	Partitions = 3
+	// PartitionFraction is the fraction of a limit that the lender of one partition lends.
+	PartitionFraction = (1 - GuaranteedFraction) / Partitions
+	// MaxClockDrift is by what fraction a lender extends a period over a borrower's count
 	// of it, as a bound on the difference of their clocks' speeds.
-	Drift = 0.1
+	MaxClockDrift = 0.1
 	// epsilon absorbs the rounding errors of adding fractions.
 	epsilon = 1e-9
 )
@@ -32,9 +32,9 @@
 	Incarnation uint64
 	// Lease is how long a loan lasts.
 	Lease time.Duration
-	// Hold is how long after a confirmation the view may still be used; entries
+	// ViewTTL is how long after a confirmation the view may still be used; entries
 	// that a new view leaves out stop within it.
-	Hold time.Duration
+	ViewTTL time.Duration
 
 	view           *messages.EntryView
 	viewReceivedAt time.Time
@@ -65,14 +65,14 @@
 // Step takes one event and returns the actions to carry out, in order.
 func (l *Lender) Step(now time.Time, event Event) []Action {
 	switch e := event.(type) {
-	case Viewed:
+	case ViewChanged:
 		l.setView(now, e.View)
-	case Confirmed:
+	case ViewConfirmed:
 		if e.At.After(l.confirmedAt) {
 			l.confirmedAt = e.At
 		}
-	case Asked:
-		return []Action{Answer{Response: l.handleRequest(now, e.Request)}}
+	case RequestReceived:
+		return []Action{SendResponse{Response: l.handleRequest(now, e.Request)}}
 	}
 	return nil
 }
@@ -100,16 +100,16 @@
 		return 0
 	}
 	// No lender precedes the first view's.
-	if l.view.GetNumber() > 1 && now.Sub(l.viewReceivedAt) < Wait(l.Hold) {
+	if l.view.GetNumber() > 1 && now.Sub(l.viewReceivedAt) < ViewChangeWait(l.ViewTTL) {
 		return 0
 	}
-	return max(0, min(l.Lease, l.confirmedAt.Add(l.Hold).Sub(now)))
+	return max(0, min(l.Lease, l.confirmedAt.Add(l.ViewTTL).Sub(now)))
 }
 
-// Wait returns how long the shares of a new view must wait for those of earlier
+// ViewChangeWait returns how long the shares of a new view must wait for those of earlier
 // views to expire.
-func Wait(hold time.Duration) time.Duration {
-	return time.Duration(float64(hold) * (1 + Drift))
+func ViewChangeWait(hold time.Duration) time.Duration {
+	return time.Duration(float64(hold) * (1 + MaxClockDrift))
 }
 
 func (l *Lender) member() bool {
@@ -182,15 +182,15 @@
 			others += outstanding
 		}
 	}
-	target := state.wanted + max(0, Pool-wanted)/float64(len(l.view.GetMembers()))
-	if wanted > Pool {
-		target = Pool * state.wanted / wanted
+	target := state.wanted + max(0, PartitionFraction-wanted)/float64(len(l.view.GetMembers()))
+	if wanted > PartitionFraction {
+		target = PartitionFraction * state.wanted / wanted
 	}
 	l.lastLoanNumber++
 	granted := loan{
 		number:   l.lastLoanNumber,
-		fraction: max(0, min(target, Pool-others-epsilon)),
-		until:    now.Add(time.Duration(float64(loanDuration) * (1 + Drift))),
+		fraction: max(0, min(target, PartitionFraction-others-epsilon)),
+		until:    now.Add(time.Duration(float64(loanDuration) * (1 + MaxClockDrift))),
 	}
 	state.loans = append(state.loans, granted)
 	return &messages.ShareLoan{
@@ -218,7 +218,7 @@
 	if len(kept) == 0 {
 		return 0
 	}
-	return max(outstanding, min(s.inUse, Pool))
+	return max(outstanding, min(s.inUse, PartitionFraction))
 }
 
 // Lent returns the total that the lender counts as lent of a partition.
--- a/src/lender/lender_test.go
+++ b/src/lender/lender_test.go
@@ -25,19 +25,19 @@
 				Self:        "e1",
 				Incarnation: c.incarnation,
 				Lease:       time.Second,
-				Hold:        time.Second,
+				ViewTTL:     time.Second,
 			}
-			l.Step(now, Viewed{View: &messages.EntryView{
+			l.Step(now, ViewChanged{View: &messages.EntryView{
 				Number:  1,
 				Members: []*messages.EntryMember{{Entry: "e1", Incarnation: 1}},
 			}})
-			l.Step(now, Confirmed{At: now})
-			actions := l.Step(now, Asked{Request: &messages.ShareRequest{
+			l.Step(now, ViewConfirmed{At: now})
+			actions := l.Step(now, RequestReceived{Request: &messages.ShareRequest{
 				Entry:      "e1",
 				ViewNumber: 1,
 				Demands:    []*messages.ShareDemand{{Limit: "account/a", Wanted: 1}},
 			}})
-			answer := actions[0].(Answer)
+			answer := actions[0].(SendResponse)
 			if got := len(answer.Response.GetLoans()); got != c.want {
 				t.Errorf("loans: got %d, want %d", got, c.want)
 			}
--- a/src/limiter/budget.go
+++ b/src/limiter/budget.go
@@ -14,14 +14,14 @@
 	maxSavedRetries = 100
 )
 
-// Budget bounds each service's retries to a fraction of its answered calls.
-type Budget struct {
+// RetryBudget bounds each service's retries to a fraction of its answered calls.
+type RetryBudget struct {
 	mu    sync.Mutex
 	spent map[units.Service]float64
 }
 
 // Earn records a call that was answered.
-func (b *Budget) Earn(service units.Service) {
+func (b *RetryBudget) Earn(service units.Service) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.spent[service] > 0 {
@@ -30,7 +30,7 @@
 }
 
 // Spend reports whether one more attempt may be made, and counts it.
-func (b *Budget) Spend(service units.Service) bool {
+func (b *RetryBudget) Spend(service units.Service) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.spent[service]+1 > maxSavedRetries {
@@ -45,7 +45,7 @@
 
 // Resume counts a stream that is resumed at another upstream. It is always allowed:
 // the caller already has half an answer, and the stream is not new work.
-func (b *Budget) Resume(service units.Service) bool {
+func (b *RetryBudget) Resume(service units.Service) bool {
 	_ = b.Spend(service)
 	return true
 }
--- a/src/limiter/budget_test.go
+++ b/src/limiter/budget_test.go
@@ -11,7 +11,7 @@
 // fifth of the successes; otherwise a fault would multiply the load that caused it.
 func TestRetriesStayWithinTheirBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := &Budget{}
+		b := &RetryBudget{}
 		earned, spent := 0, 0
 		for range stepsPerRun {
 			if rapid.IntRange(0, 3).Draw(t, "answered") == 0 {
--- a/src/limiter/limiter.go
+++ b/src/limiter/limiter.go
@@ -39,9 +39,9 @@
 	Snapshot *atomic.Pointer[indexer.Snapshot]
 	// Shares is nil for an entry that has every limit to itself.
 	Shares Shares
-	// Entries returns how many entries share the upstreams' slots.
-	Entries func() int
-	Scope   tally.Scope
+	// EntryCount returns how many entries share the upstreams' slots.
+	EntryCount func() int
+	Scope      tally.Scope
 
 	mu              sync.Mutex
 	buckets         map[string]*bucket
@@ -279,10 +279,10 @@
 }
 
 func (l *Limiter) entries() int {
-	if l.Entries == nil {
+	if l.EntryCount == nil {
 		return 1
 	}
-	return l.Entries()
+	return l.EntryCount()
 }
 
 func (l *Limiter) shares(limit string) []Share {
@@ -306,8 +306,8 @@
 	InUse   float64
 }
 
-// Renew applies the current shares and returns the demand for each limit.
-func (l *Limiter) Renew(now time.Time) map[string]Demand {
+// RefreshShares applies the current shares and returns the demand for each limit.
+func (l *Limiter) RefreshShares(now time.Time) map[string]Demand {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.Snapshot.Load() == nil {
--- a/src/orderer/event.go
+++ b/src/orderer/event.go
@@ -39,13 +39,13 @@
 // Event is an input of the orderer's state machine.
 type Event interface{ event() }
 
-// Led reports that this instance is the leader from now on.
-type Led struct {
+// LeadershipGained reports that this instance is the leader from now on.
+type LeadershipGained struct {
 	Term units.Term
 }
 
-// Lost reports that this instance is no longer the leader.
-type Lost struct{}
+// LeadershipLost reports that this instance is no longer the leader.
+type LeadershipLost struct{}
 
 // Answered is an upstream's answer to an order; the outcome is unspecified if there was no
 // answer.
@@ -57,21 +57,21 @@
 
 // Ticked is a timer event; it carries the wanted and the announced state.
 type Ticked struct {
-	Services  []Service
-	Upstreams []Upstream
-	Store     Store
+	Services    []Service
+	Upstreams   []Upstream
+	StoreLimits StoreLimits
 }
 
-// Store holds the limits of the weight store.
-type Store struct {
+// StoreLimits holds the limits of the weight store.
+type StoreLimits struct {
 	BytesPerSecond int64
 	LoadsAtOnce    int
 }
 
-func (Led) event()      {}
-func (Lost) event()     {}
-func (Answered) event() {}
-func (Ticked) event()   {}
+func (LeadershipGained) event() {}
+func (LeadershipLost) event()   {}
+func (Answered) event()         {}
+func (Ticked) event()           {}
 
 // Send asks for an order to be sent; it may be lost.
 type Send struct {
@@ -84,14 +84,14 @@
 type Options struct {
 	// Lease is how long an earlier leader may have remained active after this one's election.
 	Lease time.Duration
-	// Drift is the maximum difference between two clocks over a lease.
-	Drift time.Duration
+	// MaxClockDrift is the maximum difference between two clocks over a lease.
+	MaxClockDrift time.Duration
 	// Timeout bounds how long an order is in flight.
 	Timeout time.Duration
-	// Observe is how long it takes until a change at an upstream is announced here.
-	Observe time.Duration
-	// Resend is the time after which an order without effect is sent again; it doubles with
+	// AnnounceDelay is how long it takes until a change at an upstream is announced here.
+	AnnounceDelay time.Duration
+	// ResendInterval is the time after which an order without effect is sent again; it doubles with
 	// each attempt, up to MostResend.
-	Resend     time.Duration
-	MostResend time.Duration
+	ResendInterval    time.Duration
+	MaxResendInterval time.Duration
 }
--- a/src/orderer/orderer.go
+++ b/src/orderer/orderer.go
@@ -40,9 +40,9 @@
 // Step takes one event and returns the orders to send.
 func (o *Orderer) Step(now time.Time, event Event) []Send {
 	switch e := event.(type) {
-	case Led:
+	case LeadershipGained:
 		o.startTerm(now, e.Term)
-	case Lost:
+	case LeadershipLost:
 		o.leading = false
 	case Answered:
 		o.handleAnswer(e)
@@ -65,7 +65,7 @@
 // effects of the last one must also have been announced, or the floor and the weight store's
 // limit would be computed from stale state.
 func (o *Orderer) QuietUntil() time.Time {
-	return o.leadingSince.Add(o.Options.Lease + o.Options.Drift + o.Options.Timeout + o.Options.Observe)
+	return o.leadingSince.Add(o.Options.Lease + o.Options.MaxClockDrift + o.Options.Timeout + o.Options.AnnounceDelay)
 }
 
 func (o *Orderer) startTerm(now time.Time, term units.Term) {
@@ -129,7 +129,7 @@
 		// its upstream may still go out of service.
 		w := wanted[u.Service]
 		unwanted := w == nil || orderID(u, w) != p.order.GetId()
-		if unwanted && now.Sub(p.sentAt) >= o.Options.Timeout+o.Options.Observe {
+		if unwanted && now.Sub(p.sentAt) >= o.Options.Timeout+o.Options.AnnounceDelay {
 			delete(o.pending, name)
 		}
 	}
@@ -144,7 +144,7 @@
 
 // loads returns how many loads may begin now, and the weight store's rate.
 func (o *Orderer) loads(now time.Time, e Ticked, present map[units.Upstream]*Upstream) *budget {
-	freeLoads := e.Store.LoadsAtOnce
+	freeLoads := e.StoreLimits.LoadsAtOnce
 	for _, u := range present {
 		p := o.pending[u.Name]
 		if u.Loading != "" || p != nil && p.loads {
@@ -153,7 +153,7 @@
 	}
 	// How much an earlier leader's loads still take from the store is unknown; it is at most
 	// one more load.
-	if now.Before(o.QuietUntil()) && freeLoads < e.Store.LoadsAtOnce {
+	if now.Before(o.QuietUntil()) && freeLoads < e.StoreLimits.LoadsAtOnce {
 		o.nextLoad = now.Add(maxTransferTime(e))
 	}
 	if now.Before(o.nextLoad) {
@@ -161,7 +161,7 @@
 	}
 	return &budget{
 		freeLoads:      freeLoads,
-		bytesPerSecond: e.Store.BytesPerSecond,
+		bytesPerSecond: e.StoreLimits.BytesPerSecond,
 	}
 }
 
@@ -174,7 +174,7 @@
 	}
 	var sends []Send
 	for _, u := range upstreams {
-		if !u.ChecksFencing || o.isFenced(now, u) || now.Sub(o.fenceSentAt[u.Name]) < o.Options.Resend {
+		if !u.ChecksFencing || o.isFenced(now, u) || now.Sub(o.fenceSentAt[u.Name]) < o.Options.ResendInterval {
 			continue
 		}
 		o.fenceSentAt[u.Name] = now
@@ -209,7 +209,7 @@
 			continue
 		}
 		p.sentAt = now
-		p.wait = min(2*p.wait, o.Options.MostResend)
+		p.wait = min(2*p.wait, o.Options.MaxResendInterval)
 		sends = append(sends, Send{
 			Address: u.Address,
 			Order:   p.order,
@@ -287,7 +287,7 @@
 func maxTransferTime(e Ticked) time.Duration {
 	longest := time.Duration(0)
 	for _, service := range e.Services {
-		longest = max(longest, transferTime(service.Bytes, e.Store.BytesPerSecond))
+		longest = max(longest, transferTime(service.Bytes, e.StoreLimits.BytesPerSecond))
 	}
 	return longest
 }
@@ -305,7 +305,7 @@
 		order:  order,
 		loads:  loads,
 		sentAt: now,
-		wait:   o.Options.Resend,
+		wait:   o.Options.ResendInterval,
 	}
 	return Send{
 		Address: u.Address,
--- a/src/orderer/orderer_test.go
+++ b/src/orderer/orderer_test.go
@@ -24,12 +24,12 @@
 )
 
 var testOptions = Options{
-	Lease:      500 * time.Millisecond,
-	Drift:      100 * time.Millisecond,
-	Timeout:    time.Second,
-	Observe:    2 * time.Second,
-	Resend:     2 * time.Second,
-	MostResend: 8 * time.Second,
+	Lease:             500 * time.Millisecond,
+	MaxClockDrift:     100 * time.Millisecond,
+	Timeout:           time.Second,
+	AnnounceDelay:     2 * time.Second,
+	ResendInterval:    2 * time.Second,
+	MaxResendInterval: 8 * time.Second,
 }
 
 // TestMain fixes the seed of the property tests unless the command line names one.
@@ -46,8 +46,8 @@
 func TestNothingIsSentBeforeTheOldLeaseHasExpired(t *testing.T) {
 	s := newSimulation(4, false, 1)
 	s.wanted = "2"
-	s.orderer.Step(s.now, Led{Term: 2})
-	until := s.now.Add(testOptions.Lease + testOptions.Drift + testOptions.Timeout)
+	s.orderer.Step(s.now, LeadershipGained{Term: 2})
+	until := s.now.Add(testOptions.Lease + testOptions.MaxClockDrift + testOptions.Timeout)
 	for s.now.Before(until.Add(-tick)) {
 		s.step()
 	}
@@ -194,7 +194,7 @@
 			version: "1",
 		})
 	}
-	s.orderer.Step(s.now, Led{Term: s.term})
+	s.orderer.Step(s.now, LeadershipGained{Term: s.term})
 	s.quietAt = s.now
 	return s
 }
@@ -204,8 +204,8 @@
 func (s *simulation) elect() {
 	s.term++
 	s.orderer = &Orderer{Options: testOptions}
-	s.orderer.Step(s.now, Led{Term: s.term})
-	s.quietAt = s.now.Add(testOptions.Lease + testOptions.Drift + testOptions.Timeout)
+	s.orderer.Step(s.now, LeadershipGained{Term: s.term})
+	s.quietAt = s.now.Add(testOptions.Lease + testOptions.MaxClockDrift + testOptions.Timeout)
 }
 
 func (s *simulation) run(span time.Duration) {
@@ -238,7 +238,7 @@
 // tick returns announcements of a random moment within the last second.
 func (s *simulation) tick() Ticked {
 	t := Ticked{
-		Store: Store{
+		StoreLimits: StoreLimits{
 			BytesPerSecond: storeRate,
 			LoadsAtOnce:    2,
 		},
@@ -390,9 +390,9 @@
 	for range 300 {
 		s.now = s.now.Add(tick)
 		for _, send := range s.orderer.Step(s.now, Ticked{
-			Services:  s.services(),
-			Upstreams: []Upstream{s.engines[0].announce()},
-			Store:     Store{LoadsAtOnce: 1},
+			Services:    s.services(),
+			Upstreams:   []Upstream{s.engines[0].announce()},
+			StoreLimits: StoreLimits{LoadsAtOnce: 1},
 		}) {
 			if first == nil {
 				first = send.Order
--- a/src/pacer/allocator.go
+++ b/src/pacer/allocator.go
@@ -27,9 +27,9 @@
 	withdrawalTTL = time.Minute
 )
 
-// Divider grants the calls that limited upstreams take to entries; it is a state machine without
+// Allocator grants the calls that limited upstreams take to entries; it is a state machine without
 // a clock.
-type Divider struct {
+type Allocator struct {
 	upstreams map[units.Life]*limitedUpstream
 	// withdrawn holds, for each limit that was withdrawn, when the call was sent whose response
 	// withdrew it.
@@ -68,11 +68,11 @@
 	StatedAt time.Time
 }
 
-// Hear records what an entry has observed of an upstream; observations may arrive in any order.
-func (d *Divider) Hear(now time.Time, o Observation) {
+// RecordObservation records what an entry has observed of an upstream; observations may arrive in any order.
+func (d *Allocator) RecordObservation(now time.Time, o Observation) {
 	known := d.upstreams[o.Life]
 	switch {
-	case !o.Stated:
+	case !o.HasLimit:
 		if known != nil && o.withdrawsLimit(known.statedAt) {
 			d.withdraw(o)
 		}
@@ -99,7 +99,7 @@
 	}
 }
 
-func (d *Divider) withdraw(o Observation) {
+func (d *Allocator) withdraw(o Observation) {
 	delete(d.upstreams, o.Life)
 	d.version++
 	if d.withdrawn == nil {
@@ -108,8 +108,8 @@
 	d.withdrawn[o.Life] = o.SentAt
 }
 
-// Keep drops the limits of upstreams that no longer exist.
-func (d *Divider) Keep(now time.Time, exists func(units.Life) bool) {
+// RetainLimits drops the limits of upstreams that no longer exist.
+func (d *Allocator) RetainLimits(now time.Time, exists func(units.Life) bool) {
 	maps.DeleteFunc(d.withdrawn, func(_ units.Life, at time.Time) bool { return now.Sub(at) >= withdrawalTTL })
 	for life := range d.upstreams {
 		if !exists(life) {
@@ -124,7 +124,7 @@
 //
 // Entries that have work take turns; otherwise the entry that asks first would be the same one
 // each time. Calls that no entry claims go to the next one that asks.
-func (d *Divider) Grant(now time.Time, entry units.Instance, life units.Life, calls int) int {
+func (d *Allocator) Grant(now time.Time, entry units.Instance, life units.Life, calls int) int {
 	u := d.upstreams[life]
 	if u == nil || calls <= 0 {
 		return 0
@@ -195,7 +195,7 @@
 }
 
 // Limits returns all limits in order of their upstreams, and a version that changes with them.
-func (d *Divider) Limits() ([]Limit, uint64) {
+func (d *Allocator) Limits() ([]Limit, uint64) {
 	limits := make([]Limit, 0, len(d.upstreams))
 	for life, u := range d.upstreams {
 		limits = append(limits, Limit{
@@ -209,10 +209,10 @@
 }
 
 // Version returns the version of the limits, which changes with them.
-func (d *Divider) Version() uint64 { return d.version }
+func (d *Allocator) Version() uint64 { return d.version }
 
-// Short reports whether an upstream recently took fewer calls than entries had for it.
-func (d *Divider) Short(now time.Time, life units.Life) bool {
+// HasShortage reports whether an upstream recently took fewer calls than entries had for it.
+func (d *Allocator) HasShortage(now time.Time, life units.Life) bool {
 	u := d.upstreams[life]
 	return u != nil && !u.deniedAt.IsZero() && now.Sub(u.deniedAt) < shortageTTL
 }
--- a/src/pacer/gate.go
+++ b/src/pacer/gate.go
@@ -23,8 +23,8 @@
 	leaderlessFraction = 0.5
 )
 
-// Number numbers an entry's observations of upstreams, starting at 1.
-type Number uint64
+// ObservationNumber numbers an entry's observations of upstreams, starting at 1.
+type ObservationNumber uint64
 
 // Gate holds one entry to the limits that upstreams state; it is safe for concurrent use.
 type Gate struct {
@@ -34,7 +34,7 @@
 
 	mu         sync.Mutex
 	upstreams  map[units.Life]*upstreamGate
-	lastNumber Number
+	lastNumber ObservationNumber
 	// entryCount is the number of entries, leaderContactAt when the leader last responded.
 	entryCount      int
 	leaderContactAt time.Time
@@ -45,7 +45,7 @@
 	Observation
 	// sequence numbers this entry's last own observation of the upstream, 0 where it knows the
 	// limit only from the leader.
-	sequence Number
+	sequence ObservationNumber
 	permits  []permit
 	// wanted counts the calls since the last poll that were sent to the upstream, or would have
 	// been.
@@ -61,16 +61,16 @@
 	until time.Time
 }
 
-// Hear records what a response states and reports whether it changes the limit.
-func (g *Gate) Hear(o Observation) bool {
-	if !o.Stated && g.limitedCount.Load() == 0 {
+// RecordObservation records what a response states and reports whether it changes the limit.
+func (g *Gate) RecordObservation(o Observation) bool {
+	if !o.HasLimit && g.limitedCount.Load() == 0 {
 		return false
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	known := g.upstreams[o.Life]
 	switch {
-	case !o.Stated && (known == nil || !known.Stated || !o.withdrawsLimit(known.AnsweredAt)):
+	case !o.HasLimit && (known == nil || !known.HasLimit || !o.withdrawsLimit(known.AnsweredAt)):
 		return false
 	case known == nil:
 		if g.upstreams == nil {
@@ -78,10 +78,10 @@
 		}
 		known = &upstreamGate{}
 		g.upstreams[o.Life] = known
-	case o.Stated && o.AnsweredAt.Before(known.AnsweredAt):
+	case o.HasLimit && o.AnsweredAt.Before(known.AnsweredAt):
 		return false
 	}
-	changed := known.Stated != o.Stated || known.Rate != o.Rate
+	changed := known.HasLimit != o.HasLimit || known.Rate != o.Rate
 	known.trimPermits(o.Rate)
 	known.Observation = o
 	g.lastNumber++
@@ -90,11 +90,11 @@
 	return changed
 }
 
-// Follow applies the limits in a leader's response. sentAt is when the answered poll was sent,
+// ApplyLimits applies the limits in a leader's response. sentAt is when the answered poll was sent,
 // and acknowledged the number of the last observation reported to the leader. A leader that is
 // not settled, that is, has not received reports from all entries yet, may add limits but
 // withdraws none.
-func (g *Gate) Follow(sentAt time.Time, acknowledged Number, limits []Limit, settled bool) {
+func (g *Gate) ApplyLimits(sentAt time.Time, acknowledged ObservationNumber, limits []Limit, settled bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if len(limits)+len(g.upstreams) == 0 {
@@ -114,12 +114,12 @@
 		if known.sequence > acknowledged {
 			continue
 		}
-		if !known.Stated || known.AnsweredAt.Before(limit.StatedAt) {
+		if !known.HasLimit || known.AnsweredAt.Before(limit.StatedAt) {
 			known.AnsweredAt = limit.StatedAt
 		}
 		known.trimPermits(limit.Rate)
 		known.Life = limit.Life
-		known.Stated = true
+		known.HasLimit = true
 		known.Rate = limit.Rate
 	}
 	for life, known := range g.upstreams {
@@ -132,7 +132,7 @@
 
 // trimPermits reduces the permits granted under a higher limit in proportion to a lower one.
 func (known *upstreamGate) trimPermits(rate units.CallRate) {
-	if !known.Stated || rate >= known.Rate {
+	if !known.HasLimit || rate >= known.Rate {
 		return
 	}
 	remaining := float64(rate / known.Rate)
@@ -145,24 +145,24 @@
 func (g *Gate) updateLimitedCount() {
 	limitedCount := int64(0)
 	for _, known := range g.upstreams {
-		if known.Stated {
+		if known.HasLimit {
 			limitedCount++
 		}
 	}
 	g.limitedCount.Store(limitedCount)
 }
 
-// Led records that the leader has responded, and the number of entries.
-func (g *Gate) Led(now time.Time, entryCount int) {
+// RecordLeaderContact records that the leader has responded, and the number of entries.
+func (g *Gate) RecordLeaderContact(now time.Time, entryCount int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.leaderContactAt = now
 	g.entryCount = entryCount
 }
 
-// Permit adds permits for calls to an upstream; they expire permitTTL after the poll that
+// AddPermits adds permits for calls to an upstream; they expire permitTTL after the poll that
 // requested them was sent.
-func (g *Gate) Permit(sentAt time.Time, life units.Life, calls int) {
+func (g *Gate) AddPermits(sentAt time.Time, life units.Life, calls int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if known := g.upstreams[life]; known != nil && calls > 0 {
@@ -182,15 +182,15 @@
 	defer g.mu.Unlock()
 	closed := make(map[units.Life]bool)
 	for life, known := range g.upstreams {
-		if known.Stated && !g.isOpen(now, known) {
+		if known.HasLimit && !g.isOpen(now, known) {
 			closed[life] = true
 		}
 	}
 	return closed
 }
 
-// Want records that a call would have gone to an upstream that may get none.
-func (g *Gate) Want(life units.Life) {
+// RecordDemand records that a call would have gone to an upstream that may get none.
+func (g *Gate) RecordDemand(life units.Life) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if known := g.upstreams[life]; known != nil {
@@ -198,15 +198,15 @@
 	}
 }
 
-// Take uses one permit for a call and reports whether the call may go to the upstream.
-func (g *Gate) Take(now time.Time, life units.Life) bool {
+// Admit uses one permit for a call and reports whether the call may go to the upstream.
+func (g *Gate) Admit(now time.Time, life units.Life) bool {
 	if g.limitedCount.Load() == 0 {
 		return true
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	known := g.upstreams[life]
-	if known == nil || !known.Stated {
+	if known == nil || !known.HasLimit {
 		return true
 	}
 	known.wanted = min(known.wanted+1, maxWanted)
@@ -251,9 +251,9 @@
 	return known.leaderlessCalls
 }
 
-// Wants returns the number of calls for which this entry needs permits, by upstream, and resets
+// TakeDemand returns the number of calls for which this entry needs permits, by upstream, and resets
 // the counts.
-func (g *Gate) Wants(now time.Time) map[units.Life]int {
+func (g *Gate) TakeDemand(now time.Time) map[units.Life]int {
 	if g.limitedCount.Load() == 0 {
 		return nil
 	}
@@ -267,7 +267,7 @@
 				held += p.calls
 			}
 		}
-		if known.Stated && known.wanted > held {
+		if known.HasLimit && known.wanted > held {
 			wants[life] = known.wanted - held
 		}
 		known.wanted = 0
@@ -275,15 +275,15 @@
 	return wants
 }
 
-// After returns this entry's own observations after the given number, in order, and the number of
+// ObservationsAfter returns this entry's own observations after the given number, in order, and the number of
 // the last one.
-func (g *Gate) After(number Number) ([]Observation, Number) {
+func (g *Gate) ObservationsAfter(number ObservationNumber) ([]Observation, ObservationNumber) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.lastNumber == number {
 		return nil, number
 	}
-	fresh := make(map[Number]Observation)
+	fresh := make(map[ObservationNumber]Observation)
 	for _, known := range g.upstreams {
 		if known.sequence > number {
 			fresh[known.sequence] = known.Observation
@@ -302,7 +302,7 @@
 	defer g.mu.Unlock()
 	limits := make(map[units.Life]units.CallRate)
 	for life, known := range g.upstreams {
-		if known.Stated {
+		if known.HasLimit {
 			limits[life] = known.Rate
 		}
 	}
--- a/src/pacer/observation.go
+++ b/src/pacer/observation.go
@@ -21,9 +21,9 @@
 // Observation is what an upstream's response states about its call rate.
 type Observation struct {
 	Life units.Life
-	// Stated is false where the upstream takes calls without limit.
-	Stated bool
-	Rate   units.CallRate
+	// HasLimit is false where the upstream takes calls without limit.
+	HasLimit bool
+	Rate     units.CallRate
 	// AnsweredAt is when the response arrived, SentAt when its call was sent.
 	AnsweredAt time.Time
 	SentAt     time.Time
@@ -33,7 +33,7 @@
 // response no longer holds. The response to a call sent before the upstream was overloaded may
 // arrive after one that states its limit.
 func (o Observation) withdrawsLimit(statedAt time.Time) bool {
-	return !o.Stated && o.SentAt.After(statedAt.Add(withdrawMargin))
+	return !o.HasLimit && o.SentAt.After(statedAt.Add(withdrawMargin))
 }
 
 // effectiveRate returns the calls per second that may go to an upstream with a limit.
--- a/src/pacer/pacer_test.go
+++ b/src/pacer/pacer_test.go
@@ -20,7 +20,7 @@
 type testFleet struct {
 	random  *rand.Rand
 	now     time.Time
-	divider *Divider
+	divider *Allocator
 	entries []*testEntry
 	rate    units.CallRate
 	// sentAt holds when calls were sent to the upstream.
@@ -33,7 +33,7 @@
 	gate     *Gate
 	nextPoll time.Time
 	interval time.Duration
-	reported Number
+	reported ObservationNumber
 	// callRate is how many calls per second the entry's callers send.
 	callRate float64
 }
@@ -44,7 +44,7 @@
 	f := &testFleet{
 		random:  random,
 		now:     began,
-		divider: &Divider{},
+		divider: &Allocator{},
 		rate:    rate,
 	}
 	for i := range entries {
@@ -61,16 +61,16 @@
 // call sends a call from an entry if its gate allows it; the response states the limit.
 func (f *testFleet) call(e *testEntry) {
 	if f.rate >= 0 && e.gate.Closed(f.now)[life] {
-		e.gate.Want(life)
+		e.gate.RecordDemand(life)
 		return
 	}
-	if !e.gate.Take(f.now, life) {
+	if !e.gate.Admit(f.now, life) {
 		return
 	}
 	f.sentAt = append(f.sentAt, f.now)
-	e.gate.Hear(Observation{
+	e.gate.RecordObservation(Observation{
 		Life:       life,
-		Stated:     f.rate >= 0,
+		HasLimit:   f.rate >= 0,
 		Rate:       f.rate,
 		AnsweredAt: f.now.Add(2 * time.Millisecond),
 		SentAt:     f.now,
@@ -79,17 +79,17 @@
 
 func (f *testFleet) poll(e *testEntry) {
 	e.nextPoll = f.now.Add(e.interval)
-	reported, last := e.gate.After(e.reported)
+	reported, last := e.gate.ObservationsAfter(e.reported)
 	for _, o := range reported {
-		f.divider.Hear(f.now, o)
+		f.divider.RecordObservation(f.now, o)
 	}
-	wants := e.gate.Wants(f.now)
+	wants := e.gate.TakeDemand(f.now)
 	e.reported = last
 	limits, _ := f.divider.Limits()
-	e.gate.Led(f.now, len(f.entries))
-	e.gate.Follow(f.now, last, limits, true)
+	e.gate.RecordLeaderContact(f.now, len(f.entries))
+	e.gate.ApplyLimits(f.now, last, limits, true)
 	for l, calls := range wants {
-		e.gate.Permit(f.now, l, f.divider.Grant(f.now, e.name, l, calls))
+		e.gate.AddPermits(f.now, l, f.divider.Grant(f.now, e.name, l, calls))
 	}
 }
 
@@ -189,7 +189,7 @@
 func stated(rate units.CallRate, answered int) Observation {
 	return Observation{
 		Life:       life,
-		Stated:     true,
+		HasLimit:   true,
 		Rate:       rate,
 		AnsweredAt: at(answered),
 		SentAt:     at(answered - 100),
@@ -227,9 +227,9 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			d := &Divider{}
+			d := &Allocator{}
 			for _, o := range c.observations {
-				d.Hear(at(4000), o)
+				d.RecordObservation(at(4000), o)
 			}
 			got := none
 			if limits, _ := d.Limits(); len(limits) > 0 {
@@ -248,7 +248,7 @@
 	limit := []Limit{{Life: life, Rate: 2, StatedAt: at(1000)}}
 	cases := map[string]struct {
 		observations []Observation
-		acknowledged Number
+		acknowledged ObservationNumber
 		limits       []Limit
 		settled      bool
 		want         bool
@@ -269,10 +269,10 @@
 		t.Run(name, func(t *testing.T) {
 			g := &Gate{}
 			for _, o := range c.observations {
-				g.Hear(o)
+				g.RecordObservation(o)
 			}
-			g.Led(at(5000), 3)
-			g.Follow(at(5000), c.acknowledged, c.limits, c.settled)
+			g.RecordLeaderContact(at(5000), 3)
+			g.ApplyLimits(at(5000), c.acknowledged, c.limits, c.settled)
 			if got := g.Closed(at(5000))[life]; got != c.want {
 				t.Errorf("closed: got %t, want %t", got, c.want)
 			}
@@ -298,12 +298,12 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			g := &Gate{}
-			g.Hear(stated(2, 0))
+			g.RecordObservation(stated(2, 0))
 			now := at(100)
-			g.Led(now, 3)
-			g.Permit(now, life, c.permits)
+			g.RecordLeaderContact(now, 3)
+			g.AddPermits(now, life, c.permits)
 			for range c.taken {
-				if !g.Take(now, life) {
+				if !g.Admit(now, life) {
 					t.Fatal("call with a valid permit: got refused, want allowed")
 				}
 			}
@@ -311,7 +311,7 @@
 			if got := !g.Closed(now)[life]; got != c.want {
 				t.Errorf("open: got %t, want %t", got, c.want)
 			}
-			if got := g.Take(now, life); got != c.want {
+			if got := g.Admit(now, life); got != c.want {
 				t.Errorf("taken: got %t, want %t", got, c.want)
 			}
 		})
@@ -323,20 +323,24 @@
 // leader.
 func TestLowerLimitRevokesPermits(t *testing.T) {
 	lower := map[string]func(g *Gate, now time.Time){
-		"by an answer":  func(g *Gate, now time.Time) { g.Hear(Observation{Life: life, Stated: true, Rate: 1, AnsweredAt: now}) },
-		"by the leader": func(g *Gate, now time.Time) { g.Follow(now, 9, []Limit{{Life: life, Rate: 1, StatedAt: now}}, true) },
+		"by an answer": func(g *Gate, now time.Time) {
+			g.RecordObservation(Observation{Life: life, HasLimit: true, Rate: 1, AnsweredAt: now})
+		},
+		"by the leader": func(g *Gate, now time.Time) {
+			g.ApplyLimits(now, 9, []Limit{{Life: life, Rate: 1, StatedAt: now}}, true)
+		},
 	}
 	for name, report := range lower {
 		t.Run(name, func(t *testing.T) {
 			g := &Gate{}
 			now := at(100)
-			g.Hear(stated(10, 0))
-			g.Led(now, 3)
-			g.Permit(now, life, 8)
-			g.Permit(now, life, 12)
+			g.RecordObservation(stated(10, 0))
+			g.RecordLeaderContact(now, 3)
+			g.AddPermits(now, life, 8)
+			g.AddPermits(now, life, 12)
 			report(g, now.Add(time.Millisecond))
 			taken := 0
-			for g.Take(now.Add(2*time.Millisecond), life) {
+			for g.Admit(now.Add(2*time.Millisecond), life) {
 				taken++
 			}
 			if want := 1; taken != want {
@@ -349,10 +353,10 @@
 // Guards against limits of upstreams that no longer exist and that nothing would withdraw, since
 // the upstream's next incarnation does not know of them.
 func TestLimitsEndWithTheirUpstream(t *testing.T) {
-	d := &Divider{}
-	d.Hear(at(0), stated(2, 0))
+	d := &Allocator{}
+	d.RecordObservation(at(0), stated(2, 0))
 	_, before := d.Limits()
-	d.Keep(at(100), func(units.Life) bool { return false })
+	d.RetainLimits(at(100), func(units.Life) bool { return false })
 	limits, after := d.Limits()
 	if len(limits) > 0 || after == before {
 		t.Errorf("limits: got %v at version %d after version %d, want none at another version", limits, after, before)
@@ -365,15 +369,15 @@
 // Guards against a fleet that orders no instances although its upstreams take fewer calls than
 // there are, and one that orders instances because of limits that its load does not approach.
 func TestShortUpstreams(t *testing.T) {
-	d := &Divider{}
-	d.Hear(at(0), stated(100, 0))
-	if d.Grant(at(1000), "e", life, 3) != 3 || d.Short(at(1000), life) {
+	d := &Allocator{}
+	d.RecordObservation(at(0), stated(100, 0))
+	if d.Grant(at(1000), "e", life, 3) != 3 || d.HasShortage(at(1000), life) {
 		t.Error("demand far below the limit: got a shortage or too few permits, want all permits and no shortage")
 	}
-	if d.Grant(at(1000), "e", life, 60); !d.Short(at(1000), life) {
+	if d.Grant(at(1000), "e", life, 60); !d.HasShortage(at(1000), life) {
 		t.Error("demand beyond the limit: got no shortage, want one")
 	}
-	if d.Short(at(1000).Add(shortageTTL), life) {
+	if d.HasShortage(at(1000).Add(shortageTTL), life) {
 		t.Error("shortageTTL after the last denied call: got a shortage, want none")
 	}
 }
--- a/src/placer/connected_test.go
+++ b/src/placer/connected_test.go
@@ -95,19 +95,19 @@
 func (p *runningSimulation) entry(i int) *simulatedEntry {
 	e := &simulatedEntry{idleSince: make(map[units.Upstream][]time.Time)}
 	e.Placer = &Placer{
-		DataCentre: units.DataCentre(fmt.Sprintf("dc-%d", i%6)),
-		Now:        func() time.Time { return p.now },
-		Fleet:      func() Fleet { return e.fleet },
-		MostCalls:  func(*tracker.Upstream) int { return 5 },
+		DataCentre:  units.DataCentre(fmt.Sprintf("dc-%d", i%6)),
+		Now:         func() time.Time { return p.now },
+		Fleet:       func() Fleet { return e.fleet },
+		MaxInFlight: func(*tracker.Upstream) int { return 5 },
 	}
 	e.fleet = make(Fleet)
 	for u := range p.upstreams {
-		e.fleet["s"] = append(e.fleet["s"], e.Candidate(&tracker.Upstream{
+		e.fleet["s"] = append(e.fleet["s"], e.NewCandidate(&tracker.Upstream{
 			Name:       units.Upstream(fmt.Sprintf("u%03d", u)),
 			Service:    "s",
 			DataCentre: units.DataCentre(fmt.Sprintf("dc-%d", u%6)),
 			Slots:      12,
-			Live:       &tracker.Live{},
+			Local:      &tracker.LocalState{},
 		}, false, false))
 	}
 	return e
@@ -123,8 +123,8 @@
 		}
 		e := p.fleet[c.entry]
 		p.callsAt[c.upstream.Name]--
-		c.upstream.Live.InFlight.Add(-1)
-		c.upstream.Live.Idle.Add(1)
+		c.upstream.Local.InFlight.Add(-1)
+		c.upstream.Local.IdleConnections.Add(1)
 		e.idleSince[c.upstream.Name] = append(e.idleSince[c.upstream.Name], p.now)
 	}
 	p.calls = kept
@@ -133,20 +133,20 @@
 // poll gives each entry the load of the other entries, and closes connections that have
 // been idle for longer than idleTimeout.
 func (p *runningSimulation) poll() {
-	total := make(map[Hash]UnderWay)
+	total := make(map[Hash]InFlightLoad)
 	for name, count := range p.callsAt {
-		total[HashOf(name)] = UnderWay{Calls: int64(count)}
+		total[HashOf(name)] = InFlightLoad{Calls: int64(count)}
 	}
 	for _, e := range p.fleet {
-		e.SetOthers(&Others{
+		e.SetPeerLoads(&PeerLoads{
 			At:    p.now,
-			Loads: Less(total, e.UnderWay()),
+			Loads: Subtract(total, e.InFlightLoads()),
 		})
 		for _, c := range e.fleet["s"] {
 			idle := e.idleSince[c.Name]
 			for len(idle) > 0 && p.now.Sub(idle[0]) > p.idleTimeout {
 				idle = idle[1:]
-				c.Live.Idle.Add(-1)
+				c.Local.IdleConnections.Add(-1)
 			}
 			e.idleSince[c.Name] = idle
 		}
@@ -156,7 +156,7 @@
 func (p *runningSimulation) place(i int) {
 	e := p.fleet[i]
 	u := e.Pick(&dispatcher.Call{Service: "s"}, nil)
-	u.Live.InFlight.Add(1)
+	u.Local.InFlight.Add(1)
 	p.callsAt[u.Name]++
 	p.placed++
 	p.calls = append(p.calls, inFlightCall{
@@ -170,7 +170,7 @@
 		return
 	}
 	e.idleSince[u.Name] = idle[:len(idle)-1]
-	u.Live.Idle.Add(-1)
+	u.Local.IdleConnections.Add(-1)
 }
 
 // sample records the current imbalance between upstreams.
--- a/src/placer/donor.go
+++ b/src/placer/donor.go
@@ -33,7 +33,7 @@
 			if c.Release != chosen.Release {
 				continue
 			}
-			gone := !c.Until.IsZero() && !now.Before(c.Until)
+			gone := !c.TerminatesAt.IsZero() && !now.Before(c.TerminatesAt)
 			if c.Name == chosen.Name || gone || c.Silent && !c.hasAnsweredRecently(now) || p.isEjected(now, c.Upstream) {
 				continue
 			}
--- a/src/placer/donor_test.go
+++ b/src/placer/donor_test.go
@@ -38,7 +38,7 @@
 	call := callWithPrefix(7)
 	leave := func(f *fixture, until time.Time) {
 		owner := ownersOf(7, f.fleet["s"])[0]
-		owner.Until = until
+		owner.TerminatesAt = until
 		f.Leaving = func() Fleet { return Fleet{"s": {owner}} }
 		var left []*Candidate
 		for _, c := range f.fleet["s"] {
--- a/src/placer/engine_test.go
+++ b/src/placer/engine_test.go
@@ -286,21 +286,21 @@
 	for i := range p.entries {
 		e := &replayEntry{}
 		e.Placer = &Placer{
-			DataCentre: units.DataCentre(fmt.Sprintf("dc-%d", i%6)),
-			Now:        func() time.Time { return start.Add(r.now) },
-			Fleet:      func() Fleet { return e.fleet },
-			MostCalls:  func(*tracker.Upstream) int { return r.modelOrDefault().slots },
-			Random:     r.random,
-			Each:       func(units.Service) time.Duration { return r.modelOrDefault().perToken },
+			DataCentre:  units.DataCentre(fmt.Sprintf("dc-%d", i%6)),
+			Now:         func() time.Time { return start.Add(r.now) },
+			Fleet:       func() Fleet { return e.fleet },
+			MaxInFlight: func(*tracker.Upstream) int { return r.modelOrDefault().slots },
+			Random:      r.random,
+			PrefillTime: func(units.Service) time.Duration { return r.modelOrDefault().perToken },
 		}
 		e.fleet = make(Fleet)
 		for u := range r.engines {
-			e.fleet["s"] = append(e.fleet["s"], e.Candidate(&tracker.Upstream{
+			e.fleet["s"] = append(e.fleet["s"], e.NewCandidate(&tracker.Upstream{
 				Name:       r.engines[u].name,
 				Service:    "s",
 				DataCentre: units.DataCentre(fmt.Sprintf("dc-%d", u%6)),
 				Slots:      r.modelOrDefault().slots,
-				Live:       &tracker.Live{},
+				Local:      &tracker.LocalState{},
 			}, false, false))
 			if r.uniform {
 				e.fleet["s"][u].position = 0.5
@@ -373,10 +373,10 @@
 	if warm {
 		j.weight = weight
 	}
-	u.Live.InFlight.Add(1)
-	u.Live.Prefill.Add(j.countedPrefill)
-	if u.Live.Idle.Load() > 0 {
-		u.Live.Idle.Add(-1)
+	u.Local.InFlight.Add(1)
+	u.Local.PrefillTokens.Add(j.countedPrefill)
+	if u.Local.IdleConnections.Load() > 0 {
+		u.Local.IdleConnections.Add(-1)
 	}
 	r.at(r.now+3*time.Millisecond, func() {
 		unread := int(ownTokens) + target.touch(call.Parts[0].ID, k.systemTokens)
@@ -418,8 +418,8 @@
 }
 
 func (r *running) first(j *job) {
-	j.upstream.Live.Prefill.Add(-j.countedPrefill)
-	j.entry.State(j.upstream, Load{
+	j.upstream.Local.PrefillTokens.Add(-j.countedPrefill)
+	j.entry.RecordLoad(j.upstream, ReportedLoad{
 		Running: len(j.engine.running),
 		Waiting: len(j.engine.waiting),
 		Slots:   j.engine.slots,
@@ -427,8 +427,8 @@
 }
 
 func (r *running) done(j *job) {
-	j.upstream.Live.InFlight.Add(-1)
-	j.upstream.Live.Idle.Add(1)
+	j.upstream.Local.InFlight.Add(-1)
+	j.upstream.Local.IdleConnections.Add(1)
 	if j.weight == 0 {
 		return
 	}
@@ -457,10 +457,10 @@
 
 func (r *running) poll() {
 	r.at(r.now+pollInterval, r.poll)
-	total := make(map[Hash]UnderWay)
-	own := make([]map[Hash]UnderWay, len(r.fleet))
+	total := make(map[Hash]InFlightLoad)
+	own := make([]map[Hash]InFlightLoad, len(r.fleet))
 	for i, e := range r.fleet {
-		own[i] = e.UnderWay()
+		own[i] = e.InFlightLoads()
 		for hash, load := range own[i] {
 			sum := total[hash]
 			sum.Calls += load.Calls
@@ -471,9 +471,9 @@
 	// The load that an entry receives is as old as the other entries' last polls.
 	r.at(r.now+pollInterval/2, func() {
 		for i, e := range r.fleet {
-			e.SetOthers(&Others{
+			e.SetPeerLoads(&PeerLoads{
 				At:    start.Add(r.now),
-				Loads: Less(total, own[i]),
+				Loads: Subtract(total, own[i]),
 			})
 		}
 	})
--- a/src/placer/gate_test.go
+++ b/src/placer/gate_test.go
@@ -23,9 +23,9 @@
 	return closed
 }
 
-func (p *fakeGate) Want(life units.Life) { p.wanted[life]++ }
+func (p *fakeGate) RecordDemand(life units.Life) { p.wanted[life]++ }
 
-func (p *fakeGate) Take(_ time.Time, life units.Life) bool {
+func (p *fakeGate) Admit(_ time.Time, life units.Life) bool {
 	left, limited := p.left[life]
 	if !limited {
 		return true
--- a/src/placer/load.go
+++ b/src/placer/load.go
@@ -19,8 +19,8 @@
 	answeredAt time.Time
 }
 
-// Load is the load that an upstream reports in an answer.
-type Load struct {
+// ReportedLoad is the load that an upstream reports in an answer.
+type ReportedLoad struct {
 	Running int
 	Waiting int
 	Slots   int
@@ -35,9 +35,9 @@
 // estimatedLoad returns the calls and the prompt tokens queued at an upstream: this entry's
 // own, which it knows exactly, and those of other entries. The other entries' calls are
 // the larger of their polled number and the number by the upstream's answers.
-func (c *Candidate) estimatedLoad(now time.Time, peers *Others) (calls, prefill int64) {
-	calls = c.Live.InFlight.Load()
-	prefill = c.Live.Prefill.Load()
+func (c *Candidate) estimatedLoad(now time.Time, peers *PeerLoads) (calls, prefill int64) {
+	calls = c.Local.InFlight.Load()
+	prefill = c.Local.PrefillTokens.Load()
 	if peers == nil || now.Sub(peers.At) > peerLoadExpiry {
 		return calls + int64(c.peerCalls(now)), prefill
 	}
@@ -57,9 +57,9 @@
 	return float64(c.stats.peerCalls) * (1 - float64(age)/float64(loadExpiry))
 }
 
-// State records the load that an upstream reports in an answer, less this entry's own
+// RecordLoad records the load that an upstream reports in an answer, less this entry's own
 // calls there, which it knows more exactly and without delay.
-func (p *Placer) State(u *tracker.Upstream, load Load) {
+func (p *Placer) RecordLoad(u *tracker.Upstream, load ReportedLoad) {
 	p.mu.Lock()
 	s := p.statsByKey[keyOf(u)]
 	p.mu.Unlock()
@@ -68,7 +68,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.peerCalls = max(0, load.Running+load.Waiting-int(u.Live.InFlight.Load()))
+	s.peerCalls = max(0, load.Running+load.Waiting-int(u.Local.InFlight.Load()))
 	s.reportedAt = p.Now()
 	s.answeredAt = s.reportedAt
 }
@@ -111,28 +111,28 @@
 	}
 }
 
-// Belief is this entry's estimate of an upstream's state.
-type Belief struct {
-	// Others is the load of the other entries there, by their last polls.
-	Others UnderWay
-	// Stated is the number of other entries' calls by the upstream's last answer, decayed
+// Assessment is this entry's estimate of an upstream's state.
+type Assessment struct {
+	// PeerLoad is the load of the other entries there, by their last polls.
+	PeerLoad InFlightLoad
+	// ReportedPeerCalls is the number of other entries' calls by the upstream's last answer, decayed
 	// with its age.
-	Stated int
+	ReportedPeerCalls int
 	// AnsweredAt is when it last answered this entry, zero for never.
 	AnsweredAt time.Time
 	// Ejected is set while the upstream gets no calls because calls failed there.
 	Ejected bool
 }
 
-// Believes returns this entry's estimate of an upstream's state.
-func (p *Placer) Believes(c *Candidate) Belief {
+// Assess returns this entry's estimate of an upstream's state.
+func (p *Placer) Assess(c *Candidate) Assessment {
 	now := p.Now()
-	b := Belief{
-		Stated:  int(c.peerCalls(now)),
-		Ejected: p.isEjected(now, c.Upstream),
+	b := Assessment{
+		ReportedPeerCalls: int(c.peerCalls(now)),
+		Ejected:           p.isEjected(now, c.Upstream),
 	}
 	if peers := p.peerLoads.Load(); peers != nil && now.Sub(peers.At) <= peerLoadExpiry {
-		b.Others = peers.Loads[c.hash]
+		b.PeerLoad = peers.Loads[c.hash]
 	}
 	c.stats.mu.Lock()
 	defer c.stats.mu.Unlock()
--- a/src/placer/peer_loads.go
+++ b/src/placer/peer_loads.go
@@ -17,26 +17,26 @@
 // HashOf returns the hash of an upstream's name.
 func HashOf(name units.Upstream) Hash { return Hash(xxhash.Sum64String(string(name))) }
 
-// UnderWay is the load in flight at an upstream.
-type UnderWay struct {
+// InFlightLoad is the load in flight at an upstream.
+type InFlightLoad struct {
 	Calls int64
 	// Prefill is the number of prompt tokens queued for prefill.
 	Prefill int64
 }
 
-// Others is the load of the other entries at one time.
-type Others struct {
+// PeerLoads is the load of the other entries at one time.
+type PeerLoads struct {
 	At    time.Time
-	Loads map[Hash]UnderWay
+	Loads map[Hash]InFlightLoad
 }
 
-// Less subtracts loads, such as an entry's own, from a total.
-func Less(loads, own map[Hash]UnderWay) map[Hash]UnderWay {
-	rest := make(map[Hash]UnderWay, len(loads))
+// Subtract subtracts loads, such as an entry's own, from a total.
+func Subtract(loads, own map[Hash]InFlightLoad) map[Hash]InFlightLoad {
+	rest := make(map[Hash]InFlightLoad, len(loads))
 	for hash, load := range loads {
 		load.Calls -= own[hash].Calls
 		load.Prefill -= own[hash].Prefill
-		if load != (UnderWay{}) {
+		if load != (InFlightLoad{}) {
 			rest[hash] = load
 		}
 	}
@@ -48,14 +48,14 @@
 // Thousands of upstreams are busy, and hundreds of entries ask for their loads several
 // times a second. Entries need to know which upstreams to avoid; the others are compared
 // by the load that they report in their own answers.
-func Busiest(loads map[Hash]UnderWay, limit int) map[Hash]UnderWay {
+func Busiest(loads map[Hash]InFlightLoad, limit int) map[Hash]InFlightLoad {
 	if len(loads) <= limit {
 		return loads
 	}
 	hashes := slices.SortedFunc(maps.Keys(loads), func(a, b Hash) int {
 		return cmp.Or(cmp.Compare(loads[b].weight(), loads[a].weight()), cmp.Compare(a, b))
 	})
-	busiest := make(map[Hash]UnderWay, limit)
+	busiest := make(map[Hash]InFlightLoad, limit)
 	for _, hash := range hashes[:limit] {
 		busiest[hash] = loads[hash]
 	}
@@ -63,39 +63,39 @@
 }
 
 // weight ranks loads without the upstreams' numbers of slots, which are not known here.
-func (u UnderWay) weight() float64 {
+func (u InFlightLoad) weight() float64 {
 	return float64(u.Calls)/defaultSlots + float64(u.Prefill)/fullPrefillTokens
 }
 
-// Report is the sequence number of an entry's load report.
-type Report uint64
+// ReportNumber is the sequence number of an entry's load report.
+type ReportNumber uint64
 
-// Sum adds up the loads that entries report; it is a state machine without a clock.
+// LoadSum adds up the loads that entries report; it is a state machine without a clock.
 //
 // All entries receive the same total and subtract their own load themselves, so that one
 // message serves all entries.
-type Sum struct {
+type LoadSum struct {
 	entries map[units.Instance]*contribution
-	total   map[Hash]UnderWay
+	total   map[Hash]InFlightLoad
 	// generation counts the totals taken.
 	generation uint64
 }
 
 // contribution is one entry's load within the total.
 type contribution struct {
-	loads  map[Hash]UnderWay
-	report Report
+	loads  map[Hash]InFlightLoad
+	report ReportNumber
 	// generation is the number of totals taken before the last report, and previousReport
 	// the report that the last of these totals included.
 	generation     uint64
-	previousReport Report
+	previousReport ReportNumber
 }
 
-// Hear replaces an entry's load by that of its latest report.
-func (s *Sum) Hear(entry units.Instance, report Report, loads map[Hash]UnderWay) {
+// Record replaces an entry's load by that of its latest report.
+func (s *LoadSum) Record(entry units.Instance, report ReportNumber, loads map[Hash]InFlightLoad) {
 	if s.entries == nil {
 		s.entries = make(map[units.Instance]*contribution)
-		s.total = make(map[Hash]UnderWay)
+		s.total = make(map[Hash]InFlightLoad)
 	}
 	e := s.entries[entry]
 	if e == nil {
@@ -112,12 +112,12 @@
 	e.loads = loads
 }
 
-func (s *Sum) add(loads map[Hash]UnderWay, sign int64) {
+func (s *LoadSum) add(loads map[Hash]InFlightLoad, sign int64) {
 	for hash, load := range loads {
 		sum := s.total[hash]
 		sum.Calls += sign * load.Calls
 		sum.Prefill += sign * load.Prefill
-		if sum == (UnderWay{}) {
+		if sum == (InFlightLoad{}) {
 			delete(s.total, hash)
 			continue
 		}
@@ -125,8 +125,8 @@
 	}
 }
 
-// Freeze takes a total of the entries that are still members, and drops the others.
-func (s *Sum) Freeze(isMember func(units.Instance) bool) map[Hash]UnderWay {
+// TakeTotal takes a total of the entries that are still members, and drops the others.
+func (s *LoadSum) TakeTotal(isMember func(units.Instance) bool) map[Hash]InFlightLoad {
 	for entry, e := range s.entries {
 		if !isMember(entry) {
 			s.add(e.loads, -1)
@@ -139,10 +139,10 @@
 
 // Total returns the current total of all entries that have reported. The caller must not
 // keep it.
-func (s *Sum) Total() map[Hash]UnderWay { return s.total }
+func (s *LoadSum) Total() map[Hash]InFlightLoad { return s.total }
 
-// Counted returns which report of an entry the last total taken includes, 0 for none.
-func (s *Sum) Counted(entry units.Instance) Report {
+// LastCounted returns which report of an entry the last total taken includes, 0 for none.
+func (s *LoadSum) LastCounted(entry units.Instance) ReportNumber {
 	e := s.entries[entry]
 	switch {
 	case e == nil:
--- a/src/placer/placer.go
+++ b/src/placer/placer.go
@@ -76,11 +76,11 @@
 	Cold bool
 	// Silent is set while control receives no heartbeats from the upstream.
 	Silent bool
-	// Until is the expected time at which a leaving upstream terminates.
-	Until time.Time
-	stats *stats
-	hash  Hash
-	life  units.Life
+	// TerminatesAt is the expected time at which a leaving upstream terminates.
+	TerminatesAt time.Time
+	stats        *stats
+	hash         Hash
+	life         units.Life
 	// position is the upstream's place, from 0 to 1, in an order that all entries compute
 	// alike.
 	position float64
@@ -99,17 +99,17 @@
 	// Split returns how a service's calls are divided during a rollout, and false where no
 	// rollout is running; it may be nil.
 	Split func(service units.Service) (Split, bool)
-	// Each returns the prefill time of one token at a service's upstreams, 0 where it is
+	// PrefillTime returns the prefill time of one token at a service's upstreams, 0 where it is
 	// unknown; it may be nil.
-	Each func(service units.Service) time.Duration
-	// MostCalls returns how many concurrent calls this entry may have at an upstream.
-	MostCalls func(upstream *tracker.Upstream) int
+	PrefillTime func(service units.Service) time.Duration
+	// MaxInFlight returns how many concurrent calls this entry may have at an upstream.
+	MaxInFlight func(upstream *tracker.Upstream) int
 	// Gate keeps calls within the rates that upstreams accept; it may be nil.
 	Gate Gate
 	// Random is the source of randomness; nil selects the process's own source.
 	Random Random
 
-	peerLoads atomic.Pointer[Others]
+	peerLoads atomic.Pointer[PeerLoads]
 
 	mu           sync.Mutex
 	statsByKey   map[ejector.Key]*stats
@@ -121,10 +121,10 @@
 type Gate interface {
 	// Closed returns the upstreams that may not receive a call now.
 	Closed(now time.Time) map[units.Life]bool
-	// Want records that a call was withheld from an upstream at its limit.
-	Want(life units.Life)
-	// Take admits one call to an upstream, or returns false where it is at its limit.
-	Take(now time.Time, life units.Life) bool
+	// RecordDemand records that a call was withheld from an upstream at its limit.
+	RecordDemand(life units.Life)
+	// Admit admits one call to an upstream, or returns false where it is at its limit.
+	Admit(now time.Time, life units.Life) bool
 }
 
 // Random is the placer's source of randomness; it must be safe for concurrent use.
@@ -157,9 +157,9 @@
 	}
 }
 
-// Candidate returns an upstream as a candidate, with the statistics that this entry holds
+// NewCandidate returns an upstream as a candidate, with the statistics that this entry holds
 // of it.
-func (p *Placer) Candidate(u *tracker.Upstream, cold, silent bool) *Candidate {
+func (p *Placer) NewCandidate(u *tracker.Upstream, cold, silent bool) *Candidate {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.statsByKey == nil {
@@ -182,8 +182,8 @@
 	}
 }
 
-// Keep drops the statistics of all upstreams that are in none of the fleets.
-func (p *Placer) Keep(fleets ...Fleet) {
+// Retain drops the statistics of all upstreams that are in none of the fleets.
+func (p *Placer) Retain(fleets ...Fleet) {
 	kept := make(map[ejector.Key]bool)
 	for _, fleet := range fleets {
 		for _, candidates := range fleet {
@@ -211,7 +211,7 @@
 			return nil
 		}
 		// Another call may have used up the limit since the candidates were selected.
-		if p.Gate == nil || p.Gate.Take(now, c.life) {
+		if p.Gate == nil || p.Gate.Admit(now, c.life) {
 			return c.Upstream
 		}
 	}
@@ -260,8 +260,8 @@
 }
 
 func (p *Placer) prefillTime(service units.Service) time.Duration {
-	if p.Each != nil {
-		if prefillTime := p.Each(service); prefillTime > 0 {
+	if p.PrefillTime != nil {
+		if prefillTime := p.PrefillTime(service); prefillTime > 0 {
 			return prefillTime
 		}
 	}
@@ -335,7 +335,7 @@
 	if c.Cold {
 		score += coldPenalty
 	}
-	if c.Live.Idle.Load() <= 0 {
+	if c.Local.IdleConnections.Load() <= 0 {
 		score += connectPenalty
 	}
 	return score
@@ -347,7 +347,7 @@
 	var found []*Candidate
 	for i := range candidates {
 		c := candidates[(start+i)%len(candidates)]
-		if c.Live.Idle.Load() <= 0 {
+		if c.Local.IdleConnections.Load() <= 0 {
 			continue
 		}
 		if found = append(found, c); len(found) == maxConnected {
@@ -387,19 +387,19 @@
 	return x ^ x>>31
 }
 
-// SetOthers replaces the load of the other entries.
-func (p *Placer) SetOthers(peerLoads *Others) { p.peerLoads.Store(peerLoads) }
+// SetPeerLoads replaces the load of the other entries.
+func (p *Placer) SetPeerLoads(peerLoads *PeerLoads) { p.peerLoads.Store(peerLoads) }
 
-// UnderWay returns the load that this entry has in flight at the current upstreams.
-func (p *Placer) UnderWay() map[Hash]UnderWay {
-	loads := make(map[Hash]UnderWay)
+// InFlightLoads returns the load that this entry has in flight at the current upstreams.
+func (p *Placer) InFlightLoads() map[Hash]InFlightLoad {
+	loads := make(map[Hash]InFlightLoad)
 	for _, candidates := range p.Fleet() {
 		for _, c := range candidates {
-			load := UnderWay{
-				Calls:   c.Live.InFlight.Load(),
-				Prefill: c.Live.Prefill.Load(),
+			load := InFlightLoad{
+				Calls:   c.Local.InFlight.Load(),
+				Prefill: c.Local.PrefillTokens.Load(),
 			}
-			if load != (UnderWay{}) {
+			if load != (InFlightLoad{}) {
 				loads[c.hash] = load
 			}
 		}
@@ -418,10 +418,10 @@
 	}
 	for _, c := range all {
 		if closed[c.life] {
-			p.Gate.Want(c.life)
+			p.Gate.RecordDemand(c.life)
 			continue
 		}
-		if slices.Contains(tried, c.Name) || int(c.Live.InFlight.Load()) >= p.MostCalls(c.Upstream) {
+		if slices.Contains(tried, c.Name) || int(c.Local.InFlight.Load()) >= p.MaxInFlight(c.Upstream) {
 			continue
 		}
 		if p.isEjected(now, c.Upstream) || c.Silent && !c.hasAnsweredRecently(now) {
--- a/src/placer/placer_test.go
+++ b/src/placer/placer_test.go
@@ -22,19 +22,19 @@
 func newFixture(upstreams int) *fixture {
 	f := &fixture{now: start}
 	f.Placer = &Placer{
-		DataCentre: "dc-0",
-		Now:        func() time.Time { return f.now },
-		Fleet:      func() Fleet { return f.fleet },
-		MostCalls:  func(*tracker.Upstream) int { return 20 },
+		DataCentre:  "dc-0",
+		Now:         func() time.Time { return f.now },
+		Fleet:       func() Fleet { return f.fleet },
+		MaxInFlight: func(*tracker.Upstream) int { return 20 },
 	}
 	f.fleet = make(Fleet)
 	for i := range upstreams {
-		f.fleet["s"] = append(f.fleet["s"], f.Candidate(&tracker.Upstream{
+		f.fleet["s"] = append(f.fleet["s"], f.NewCandidate(&tracker.Upstream{
 			Name:       units.Upstream(fmt.Sprintf("u%d", i)),
 			Service:    "s",
 			DataCentre: units.DataCentre(fmt.Sprintf("dc-%d", i%2)),
 			Slots:      8,
-			Live:       &tracker.Live{},
+			Local:      &tracker.LocalState{},
 		}, false, false))
 	}
 	return f
@@ -62,7 +62,7 @@
 	picks := make(map[units.Upstream]int)
 	for range 30 {
 		u := a.Pick(callWithPrefix(7), nil)
-		u.Live.InFlight.Add(1)
+		u.Local.InFlight.Add(1)
 		picks[u.Name]++
 	}
 	for name, calls := range picks {
@@ -78,12 +78,14 @@
 		never  units.Upstream
 	}{
 		"busiest": {
-			change: func(f *fixture) { f.fleet["s"][0].Live.InFlight.Store(6) },
+			change: func(f *fixture) { f.fleet["s"][0].Local.InFlight.Store(6) },
 			never:  "u0",
 		},
 		"busy with other entries' calls": {
-			change: func(f *fixture) { f.State(f.fleet["s"][0].Upstream, Load{Running: 6, Waiting: 2, Slots: 8}) },
-			never:  "u0",
+			change: func(f *fixture) {
+				f.RecordLoad(f.fleet["s"][0].Upstream, ReportedLoad{Running: 6, Waiting: 2, Slots: 8})
+			},
+			never: "u0",
 		},
 		"unreachable": {
 			change: func(f *fixture) {
@@ -104,7 +106,7 @@
 			never:  "u0",
 		},
 		"at its limit of calls": {
-			change: func(f *fixture) { f.fleet["s"][0].Live.InFlight.Store(20) },
+			change: func(f *fixture) { f.fleet["s"][0].Local.InFlight.Store(20) },
 			never:  "u0",
 		},
 	}
@@ -157,9 +159,9 @@
 func TestPickAvoidsPrefillOfOtherEntries(t *testing.T) {
 	f := newFixture(3)
 	busy := f.fleet["s"][0].Name
-	f.SetOthers(&Others{
+	f.SetPeerLoads(&PeerLoads{
 		At:    f.now,
-		Loads: map[Hash]UnderWay{HashOf(busy): {Calls: 1, Prefill: 50_000}},
+		Loads: map[Hash]InFlightLoad{HashOf(busy): {Calls: 1, Prefill: 50_000}},
 	})
 	for range 50 {
 		if got := f.Pick(&dispatcher.Call{Service: "s"}, nil).Name; got == busy {
@@ -201,9 +203,9 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(4)
-			f.Each = func(units.Service) time.Duration { return c.each }
+			f.PrefillTime = func(units.Service) time.Duration { return c.each }
 			for _, candidate := range f.fleet["s"] {
-				candidate.Live.Prefill.Store(c.backlog)
+				candidate.Local.PrefillTokens.Store(c.backlog)
 			}
 			call := callWithPrefix(7)
 			call.Urgency = c.urgency
--- a/src/placer/split.go
+++ b/src/placer/split.go
@@ -13,8 +13,8 @@
 	Target units.Release
 	// Share is the fraction, from 0 to 1, of calls whose first attempt goes there.
 	Share float64
-	// Only is set when the other versions take no more calls.
-	Only bool
+	// TargetOnly is set when the other versions take no more calls.
+	TargetOnly bool
 }
 
 // versionCandidates returns the upstreams of the version that an attempt is assigned to.
@@ -40,7 +40,7 @@
 		}
 	}
 	switch {
-	case split.Only:
+	case split.TargetOnly:
 		return target
 	case split.Share >= 1 && len(target) > 0:
 		return target
--- a/src/placer/split_test.go
+++ b/src/placer/split_test.go
@@ -14,20 +14,20 @@
 // newRolloutPlacer returns a placer with ten upstreams of each of two versions.
 func newRolloutPlacer(split Split) *Placer {
 	p := &Placer{
-		Now:       time.Now,
-		MostCalls: func(*tracker.Upstream) int { return 1000 },
-		Random:    rand.New(rand.NewPCG(1, 2)),
-		Split:     func(units.Service) (Split, bool) { return split, true },
+		Now:         time.Now,
+		MaxInFlight: func(*tracker.Upstream) int { return 1000 },
+		Random:      rand.New(rand.NewPCG(1, 2)),
+		Split:       func(units.Service) (Split, bool) { return split, true },
 	}
 	var candidates []*Candidate
 	for i := range 10 {
 		for _, release := range []units.Release{"v1", "v2"} {
-			candidates = append(candidates, p.Candidate(&tracker.Upstream{
+			candidates = append(candidates, p.NewCandidate(&tracker.Upstream{
 				Name:    units.Upstream(fmt.Sprintf("%s-%d", release, i)),
 				Service: "s",
 				Release: release,
 				Slots:   8,
-				Live:    &tracker.Live{},
+				Local:   &tracker.LocalState{},
 			}, false, false))
 		}
 	}
@@ -50,9 +50,9 @@
 		"a retry":                     {split: Split{Target: "v2", Share: 0.15}, tried: []units.Upstream{"v1-0"}},
 		"all calls":                   {split: Split{Target: "v2", Share: 1}, minShare: 1, maxShare: 1, maxUpstreams: 10},
 		"all retries":                 {split: Split{Target: "v2", Share: 1}, tried: []units.Upstream{"v1-0"}, minShare: 1, maxShare: 1, maxUpstreams: 10},
-		"completed":                   {split: Split{Target: "v2", Only: true}, minShare: 1, maxShare: 1, maxUpstreams: 10},
+		"completed":                   {split: Split{Target: "v2", TargetOnly: true}, minShare: 1, maxShare: 1, maxUpstreams: 10},
 		"target without upstreams":    {split: Split{Target: "v3", Share: 1}, minShare: 0.4, maxShare: 0.6, maxUpstreams: 10},
-		"completed without upstreams": {split: Split{Target: "v3", Only: true}},
+		"completed without upstreams": {split: Split{Target: "v3", TargetOnly: true}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/src/releaser/aggregate.go
+++ b/src/releaser/aggregate.go
@@ -13,40 +13,40 @@
 	target    Sample
 	other     Sample
 	routes    map[Route]*routeAggregate
-	upstreams map[Place]bool
+	upstreams map[UpstreamHash]bool
 }
 
 type routeAggregate struct {
 	target    Sample
 	other     Sample
-	upstreams map[Place]*Sample
+	upstreams map[UpstreamHash]*Sample
 }
 
 func newAggregate() *aggregate {
 	return &aggregate{
 		routes:    make(map[Route]*routeAggregate),
-		upstreams: make(map[Place]bool),
+		upstreams: make(map[UpstreamHash]bool),
 	}
 }
 
 func (s *aggregate) add(f *Figures, sign float64) {
 	r := s.routes[f.Route]
 	if r == nil {
-		r = &routeAggregate{upstreams: make(map[Place]*Sample)}
+		r = &routeAggregate{upstreams: make(map[UpstreamHash]*Sample)}
 		s.routes[f.Route] = r
 	}
-	if f.Place == 0 {
+	if f.UpstreamHash == 0 {
 		s.other.accumulate(&f.Sample, sign)
 		r.other.accumulate(&f.Sample, sign)
 		return
 	}
 	s.target.accumulate(&f.Sample, sign)
 	r.target.accumulate(&f.Sample, sign)
-	if r.upstreams[f.Place] == nil {
-		r.upstreams[f.Place] = &Sample{}
+	if r.upstreams[f.UpstreamHash] == nil {
+		r.upstreams[f.UpstreamHash] = &Sample{}
 	}
-	r.upstreams[f.Place].accumulate(&f.Sample, sign)
-	s.upstreams[f.Place] = true
+	r.upstreams[f.UpstreamHash].accumulate(&f.Sample, sign)
+	s.upstreams[f.UpstreamHash] = true
 }
 
 // since returns the measurements after an earlier aggregate was taken.
@@ -63,9 +63,9 @@
 			}, operand.sign)
 			for upstream, sample := range r.upstreams {
 				d.add(&Figures{
-					Place:  upstream,
-					Route:  route,
-					Sample: *sample,
+					UpstreamHash: upstream,
+					Route:        route,
+					Sample:       *sample,
 				}, operand.sign)
 			}
 		}
@@ -84,7 +84,7 @@
 }
 
 // without returns the aggregate without some upstreams of the target.
-func (s *aggregate) without(upstreams []Place) *aggregate {
+func (s *aggregate) without(upstreams []UpstreamHash) *aggregate {
 	w := newAggregate()
 	for route, r := range s.routes {
 		rest := &routeAggregate{
@@ -117,8 +117,8 @@
 
 // byBadness returns the target's upstreams, ordered by failure rate and latency with the worst
 // first.
-func (s *aggregate) byBadness() []Place {
-	badness := make(map[Place]float64, len(s.upstreams))
+func (s *aggregate) byBadness() []UpstreamHash {
+	badness := make(map[UpstreamHash]float64, len(s.upstreams))
 	for upstream := range s.upstreams {
 		all := Sample{}
 		for _, r := range s.routes {
@@ -128,7 +128,7 @@
 		}
 		badness[upstream] = all.badness()
 	}
-	return slices.SortedFunc(maps.Keys(badness), func(a, b Place) int {
+	return slices.SortedFunc(maps.Keys(badness), func(a, b UpstreamHash) int {
 		return cmp.Or(cmp.Compare(badness[b], badness[a]), cmp.Compare(a, b))
 	})
 }
@@ -140,11 +140,11 @@
 // badness ranks upstreams of one version among each other.
 func (s *Sample) badness() float64 {
 	badness := failureWeight * s.Failures / max(1, s.Answers)
-	if s.First.Count > 0 {
-		badness += s.First.mean()
+	if s.FirstByte.Count > 0 {
+		badness += s.FirstByte.mean()
 	}
-	if s.Pace.Count > 0 {
-		badness += s.Pace.mean()
+	if s.EventInterval.Count > 0 {
+		badness += s.EventInterval.mean()
 	}
 	return badness
 }
--- a/src/releaser/judge.go
+++ b/src/releaser/judge.go
@@ -38,14 +38,14 @@
 			target.Failures, target.Answers, other.Failures, other.Answers)
 	}
 	firstRatio := slowRatio
-	if target.Pace.Count > 0 {
+	if target.EventInterval.Count > 0 {
 		firstRatio = slowFirstByteRatio
 	}
-	if isSlower(target.First, other.First, firstRatio) {
-		return fmt.Sprintf("the first byte takes %.1f times as long", meanRatio(target.First, other.First))
+	if isSlower(target.FirstByte, other.FirstByte, firstRatio) {
+		return fmt.Sprintf("the first byte takes %.1f times as long", meanRatio(target.FirstByte, other.FirstByte))
 	}
-	if isSlower(target.Pace, other.Pace, slowRatio) {
-		return fmt.Sprintf("events take %.1f times as long", meanRatio(target.Pace, other.Pace))
+	if isSlower(target.EventInterval, other.EventInterval, slowRatio) {
+		return fmt.Sprintf("events take %.1f times as long", meanRatio(target.EventInterval, other.EventInterval))
 	}
 	return ""
 }
--- a/src/releaser/sample.go
+++ b/src/releaser/sample.go
@@ -37,33 +37,33 @@
 type Sample struct {
 	Answers  float64
 	Failures float64
-	// First holds the logarithms of the seconds to the first byte, Pace those of the mean
+	// FirstByte holds the logarithms of the seconds to the first byte, Pace those of the mean
 	// seconds from one event to the next.
-	First Moments
-	Pace  Moments
+	FirstByte     Moments
+	EventInterval Moments
 	// Running is the number of calls in flight.
 	Running float64
 }
 
-// Answer records one answer; a pace of 0 stands for an answer without events.
-func (s *Sample) Answer(failed bool, first, pace time.Duration) {
+// RecordAnswer records one answer; a pace of 0 stands for an answer without events.
+func (s *Sample) RecordAnswer(failed bool, first, pace time.Duration) {
 	s.Answers++
 	if failed {
 		s.Failures++
 		return
 	}
 	if first > 0 {
-		s.First.Add(math.Log(first.Seconds()))
+		s.FirstByte.Add(math.Log(first.Seconds()))
 	}
 	if pace > 0 {
-		s.Pace.Add(math.Log(pace.Seconds()))
+		s.EventInterval.Add(math.Log(pace.Seconds()))
 	}
 }
 
 func (s *Sample) accumulate(o *Sample, sign float64) {
 	s.Answers += sign * o.Answers
 	s.Failures += sign * o.Failures
-	s.First.accumulate(o.First, sign)
-	s.Pace.accumulate(o.Pace, sign)
+	s.FirstByte.accumulate(o.FirstByte, sign)
+	s.EventInterval.accumulate(o.EventInterval, sign)
 	s.Running += sign * o.Running
 }
--- a/src/releaser/simulation_test.go
+++ b/src/releaser/simulation_test.go
@@ -63,7 +63,7 @@
 // pendingAnswer is an answer in flight.
 type pendingAnswer struct {
 	at     time.Duration
-	hash   Place
+	hash   UpstreamHash
 	route  Route
 	failed bool
 	bad    bool
@@ -80,7 +80,7 @@
 	scenario
 	random     *rand.Rand
 	faults     map[int]version
-	byUpstream map[Place]map[Route]*Sample
+	byUpstream map[UpstreamHash]map[Route]*Sample
 	pending    []pendingAnswer
 	bad        int
 	// fiftiethBadAt is when the 50th bad answer arrived, negative before.
@@ -94,7 +94,7 @@
 		scenario:      *r,
 		random:        random,
 		faults:        make(map[int]version),
-		byUpstream:    make(map[Place]map[Route]*Sample),
+		byUpstream:    make(map[UpstreamHash]map[Route]*Sample),
 		fiftiethBadAt: -1,
 	}
 	for i := range 2 * r.fleet {
@@ -103,18 +103,18 @@
 		}
 	}
 	startTime := time.Unix(1000, 0)
-	w := &Watch{
-		Ordered:  startTime,
-		Limit:    r.limit,
-		Since:    startTime,
-		Exposure: r.bound,
-		Strategy: r.strategy,
+	w := &Monitor{
+		OrderedAt:      startTime,
+		Limit:          r.limit,
+		MonitoredSince: startTime,
+		Exposure:       r.bound,
+		Strategy:       r.strategy,
 	}
 	shares := []float64{0, 0}
 	for at := time.Duration(0); at < r.limit; at += tick {
 		p.receive(at)
 		p.sendCalls(at, shares[0])
-		w.Hear(Teller{Entry: "e"}, p.figures())
+		w.Record(EntryIncarnation{Entry: "e"}, p.figures())
 		d := w.Step(startTime.Add(at), p.status(at))
 		shares = append(shares[1:], d.Share)
 		if d.End != Running && p.outcome.end == 0 {
@@ -135,7 +135,7 @@
 		}
 		sample := p.byUpstream[a.hash][a.route]
 		sample.Running--
-		sample.Answer(a.failed, a.first, a.pace)
+		sample.RecordAnswer(a.failed, a.first, a.pace)
 		if !a.bad {
 			continue
 		}
@@ -162,7 +162,7 @@
 			p.outcome.rollbackDelay = at - p.fiftiethBadAt
 		}
 		upstream := p.fleet + p.random.IntN(canaries)
-		p.send(at, Place(upstream), upstream, route, p.behaviour(at, route, loaded))
+		p.send(at, UpstreamHash(upstream), upstream, route, p.behaviour(at, route, loaded))
 	}
 }
 
@@ -177,7 +177,7 @@
 }
 
 // send starts one call at an upstream.
-func (p *simulation) send(at time.Duration, hash Place, upstream int, route Route, v version) {
+func (p *simulation) send(at time.Duration, hash UpstreamHash, upstream int, route Route, v version) {
 	bad := v.bad()
 	if t, found := p.faults[upstream]; found {
 		v.failureRate, v.slowdown = max(v.failureRate, t.failureRate), v.slowdown*t.slowdown
@@ -208,14 +208,14 @@
 	var figures []Figures
 	for hash, samples := range p.byUpstream {
 		for route, sample := range samples {
-			figures = append(figures, Figures{Place: hash, Route: route, Sample: *sample})
+			figures = append(figures, Figures{UpstreamHash: hash, Route: route, Sample: *sample})
 		}
 	}
 	return figures
 }
 
-func (p *simulation) status(at time.Duration) Stock {
-	status := Stock{Other: p.fleet}
+func (p *simulation) status(at time.Duration) FleetStatus {
+	status := FleetStatus{Other: p.fleet}
 	for _, sample := range p.byUpstream[0] {
 		status.Running += int(sample.Running)
 	}
@@ -346,21 +346,21 @@
 	}
 	for name, faulty := range cases {
 		t.Run(name, func(t *testing.T) {
-			w := &Watch{
-				Ordered:  time.Unix(1000, 0),
-				Limit:    12 * time.Second,
-				Since:    time.Unix(1000, 0),
-				Exposure: testExposure,
+			w := &Monitor{
+				OrderedAt:      time.Unix(1000, 0),
+				Limit:          12 * time.Second,
+				MonitoredSince: time.Unix(1000, 0),
+				Exposure:       testExposure,
 			}
 			p := &simulation{
 				scenario:   scenario{fleet: 60},
 				random:     rand.New(rand.NewPCG(3, 4)),
-				byUpstream: make(map[Place]map[Route]*Sample),
+				byUpstream: make(map[UpstreamHash]map[Route]*Sample),
 			}
 			for n := range 3000 {
 				route := testRoutes[n%len(testRoutes)]
 				p.send(0, 0, n%60, route, version{slowdown: 1})
-				hash := Place(60 + n%8)
+				hash := UpstreamHash(60 + n%8)
 				v := version{slowdown: 1}
 				if hash == 60 {
 					v = faulty
@@ -368,8 +368,8 @@
 				p.send(0, hash, int(hash), route, v)
 			}
 			p.receive(time.Hour)
-			w.Hear(Teller{Entry: "e"}, p.figures())
-			d := w.Step(time.Unix(1004, 0), Stock{Target: 60, Other: 60})
+			w.Record(EntryIncarnation{Entry: "e"}, p.figures())
+			d := w.Step(time.Unix(1004, 0), FleetStatus{Target: 60, Other: 60})
 			if d.End != Running {
 				t.Errorf("end: got %v (%s), want it running", d.End, d.Reason)
 			}
--- a/src/releaser/watch.go
+++ b/src/releaser/watch.go
@@ -52,12 +52,12 @@
 // Route is the name of a route as entries report it.
 type Route string
 
-// Place identifies an upstream of the target by its hash; 0 stands for all upstreams of other
+// UpstreamHash identifies an upstream of the target by its hash; 0 stands for all upstreams of other
 // versions together.
-type Place uint64
+type UpstreamHash uint64
 
-// Teller is one incarnation of one entry.
-type Teller struct {
+// EntryIncarnation is one incarnation of one entry.
+type EntryIncarnation struct {
 	Entry       units.Instance
 	Incarnation units.Incarnation
 }
@@ -65,14 +65,14 @@
 // Figures are what one incarnation of an entry has measured at an upstream on a route since the
 // roll-out began.
 type Figures struct {
-	Place  Place
-	Route  Route
-	Sample Sample
+	UpstreamHash UpstreamHash
+	Route        Route
+	Sample       Sample
 }
 
-// Stock is how many upstreams of a service take calls, and how many calls are in flight at
+// FleetStatus is how many upstreams of a service take calls, and how many calls are in flight at
 // those of other versions than the target.
-type Stock struct {
+type FleetStatus struct {
 	Target  int
 	Other   int
 	Running int
@@ -90,20 +90,20 @@
 	Other  Sample
 }
 
-// Watch monitors one running roll-out at the leader; it is a state machine without a clock, and
+// Monitor monitors one running roll-out at the leader; it is a state machine without a clock, and
 // its exported fields are set before use.
-type Watch struct {
-	// Ordered is when the roll-out was ordered, Limit its maximum duration.
-	Ordered time.Time
-	Limit   time.Duration
-	// Since is when this leader began to monitor.
-	Since time.Time
+type Monitor struct {
+	// OrderedAt is when the roll-out was ordered, Limit its maximum duration.
+	OrderedAt time.Time
+	Limit     time.Duration
+	// MonitoredSince is when this leader began to monitor.
+	MonitoredSince time.Time
 	// Exposure bounds the calls that a bad version may get.
 	Exposure Exposure
 	// Strategy sets the share until all calls go to the target; nil stands for EvidenceBased.
 	Strategy Strategy
 
-	reports     map[Teller][]Figures
+	reports     map[EntryIncarnation][]Figures
 	checkpoints []checkpoint
 	// fullShareAt is when the target got all calls.
 	fullShareAt time.Time
@@ -111,17 +111,17 @@
 	reason      string
 }
 
-// Hear records all that an entry has measured since the roll-out began; it replaces the entry's
+// Record records all that an entry has measured since the roll-out began; it replaces the entry's
 // earlier report.
-func (w *Watch) Hear(reporter Teller, figures []Figures) {
+func (w *Monitor) Record(reporter EntryIncarnation, figures []Figures) {
 	if w.reports == nil {
-		w.reports = make(map[Teller][]Figures)
+		w.reports = make(map[EntryIncarnation][]Figures)
 	}
 	w.reports[reporter] = figures
 }
 
 // Step returns the decision for now, by the clock of Ordered.
-func (w *Watch) Step(now time.Time, status Stock) Decision {
+func (w *Monitor) Step(now time.Time, status FleetStatus) Decision {
 	aggregate := w.aggregate()
 	d := Decision{
 		End:    Running,
@@ -140,11 +140,11 @@
 		return d
 	}
 	switch {
-	case now.Sub(w.Since) < warmUp && now.Sub(w.Ordered) > warmUp:
+	case now.Sub(w.MonitoredSince) < warmUp && now.Sub(w.OrderedAt) > warmUp:
 		// The entries' measurements under the previous leader have not been reported yet.
 	case !w.fullShareAt.IsZero():
 		d.Share = 1
-	case now.Sub(w.Ordered) >= w.Limit-w.drainTime() && float64(status.Target) >= minTargetFraction*float64(status.Other):
+	case now.Sub(w.OrderedAt) >= w.Limit-w.drainTime() && float64(status.Target) >= minTargetFraction*float64(status.Other):
 		w.fullShareAt = now
 		d.Share = 1
 	case status.Target > 0:
@@ -153,10 +153,10 @@
 	return d
 }
 
-func (w *Watch) progress(now time.Time, s *aggregate) Progress {
+func (w *Monitor) progress(now time.Time, s *aggregate) Progress {
 	targetCalls := s.target.Answers + s.target.Running
 	return Progress{
-		Elapsed:        now.Sub(w.Ordered),
+		Elapsed:        now.Sub(w.OrderedAt),
 		FullShareAfter: w.Limit - w.drainTime(),
 		Limit:          w.Limit,
 		TargetCalls:    targetCalls,
@@ -164,7 +164,7 @@
 	}
 }
 
-func (w *Watch) strategy() Strategy {
+func (w *Monitor) strategy() Strategy {
 	if w.Strategy == nil {
 		return EvidenceBased{}
 	}
@@ -172,16 +172,16 @@
 }
 
 // drainTime returns how long before the time limit all calls go to the target.
-func (w *Watch) drainTime() time.Duration {
+func (w *Monitor) drainTime() time.Duration {
 	return min(drainTime, time.Duration(maxDrainFraction*float64(w.Limit)))
 }
 
 // judge returns the state in which the roll-out ends now and why, 0 while it runs.
-func (w *Watch) judge(now time.Time, status Stock, aggregate *aggregate) (State, string) {
+func (w *Monitor) judge(now time.Time, status FleetStatus, aggregate *aggregate) (State, string) {
 	if reason := w.verdict(now, aggregate); reason != "" {
 		return RolledBack, reason
 	}
-	late := now.Sub(w.Ordered) >= w.Limit-deadlineMargin
+	late := now.Sub(w.OrderedAt) >= w.Limit-deadlineMargin
 	drained := !w.fullShareAt.IsZero() && now.Sub(w.fullShareAt) >= minDrainTime
 	switch {
 	case drained && (late || status.Running == 0):
@@ -194,7 +194,7 @@
 	return 0, ""
 }
 
-func (w *Watch) aggregate() *aggregate {
+func (w *Monitor) aggregate() *aggregate {
 	s := newAggregate()
 	for _, figures := range w.reports {
 		for i := range figures {
@@ -212,7 +212,7 @@
 
 // verdict judges the measurements since the roll-out began, and the recent ones by themselves:
 // a version that turns bad has a good past.
-func (w *Watch) verdict(now time.Time, all *aggregate) string {
+func (w *Monitor) verdict(now time.Time, all *aggregate) string {
 	if reason := all.verdict(); reason != "" {
 		return reason
 	}
--- a/src/retrier/budget.go
+++ b/src/retrier/budget.go
@@ -51,8 +51,8 @@
 	b.entries = entries
 }
 
-// Call records a call's first attempt.
-func (b *Budget) Call(service units.Service) {
+// RecordCall records a call's first attempt.
+func (b *Budget) RecordCall(service units.Service) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	c, bucket := b.counts(service)
--- a/src/retrier/budget_test.go
+++ b/src/retrier/budget_test.go
@@ -29,7 +29,7 @@
 		for range rapid.IntRange(50, 600).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 150).Draw(t, "passes")) * time.Millisecond)
 			b := budgets[rapid.IntRange(0, entries-1).Draw(t, "entry")]
-			b.Call("s")
+			b.RecordCall("s")
 			events = append(events, event{at: now})
 			for range rapid.IntRange(0, 3).Draw(t, "refusals") {
 				spend := b.Spend
--- a/src/router/observer.go
+++ b/src/router/observer.go
@@ -45,7 +45,7 @@
 	defer r.mu.Unlock()
 	for _, action := range r.ejector.Step(r.now(), event) {
 		if eject, ok := action.(ejector.Eject); ok {
-			upstream.Live.EjectedUntil.Store(eject.Until.UnixNano())
+			upstream.Local.EjectedUntil.Store(eject.Until.UnixNano())
 		}
 	}
 }
@@ -64,15 +64,15 @@
 	}
 	now := r.now()
 	for _, block := range events.GetAdded() {
-		r.Index.Put(now, upstream.Live.Number, block)
+		r.Index.Put(now, upstream.Local.ID, block)
 	}
 	hot := 0.0
 	for _, block := range events.GetRemoved() {
-		if unused, known := r.Index.Remove(now, upstream.Live.Number, block); known {
+		if unused, known := r.Index.Remove(now, upstream.Local.ID, block); known {
 			hot += heat(unused)
 		}
 	}
 	if hot > 0 {
-		r.pressureOf(upstream.Live.Number).add(now, hot/fullPressure, 1)
+		r.pressureOf(upstream.Local.ID).add(now, hot/fullPressure, 1)
 	}
 }
--- a/src/router/router.go
+++ b/src/router/router.go
@@ -92,7 +92,7 @@
 	least := int64(math.MaxInt64)
 	for i := range s.candidates {
 		c := &s.candidates[i]
-		if load := c.upstream.Live.InFlight.Load(); load < least && c.fit(call, tried, now, how) {
+		if load := c.upstream.Local.InFlight.Load(); load < least && c.fit(call, tried, now, how) {
 			best = c.upstream
 			least = load
 		}
@@ -133,7 +133,7 @@
 	chosen := r.oneOfTwo(scores[:len(s.candidates)], best+nearBest)
 	upstream := s.candidates[chosen].upstream
 	if r.Index != nil {
-		r.Index.Add(now, upstream.Live.Number, call.Blocks)
+		r.Index.Add(now, upstream.Local.ID, call.Blocks)
 	}
 	return upstream
 }
@@ -223,10 +223,10 @@
 	if !serves(upstream, call.Model) || slices.Contains(tried, upstream.Name) {
 		return false
 	}
-	if how <= healthy && upstream.Live.EjectedUntil.Load() > now.UnixNano() {
+	if how <= healthy && upstream.Local.EjectedUntil.Load() > now.UnixNano() {
 		return false
 	}
-	return how > alive || now.Sub(upstream.HeardAt) < silentAfter
+	return how > alive || now.Sub(upstream.AnnouncedAt) < silentAfter
 }
 
 // serves reports whether an upstream has the model that a call names, as its
--- a/src/router/router_test.go
+++ b/src/router/router_test.go
@@ -59,10 +59,10 @@
 			Slots:          16,
 			Step:           2 * time.Millisecond,
 			PrefillPerStep: 128,
-			HeardAt:        testStart,
-			Live: &tracker.Live{
-				Number: uint32(i + 1),
-				Since:  testStart.Add(-time.Hour),
+			AnnouncedAt:    testStart,
+			Local: &tracker.LocalState{
+				ID:          uint32(i + 1),
+				FirstSeenAt: testStart.Add(-time.Hour),
 			},
 		})
 	}
@@ -107,7 +107,7 @@
 			t.Fatalf("engine of the same prefix: got %s, want %s", got, want)
 		}
 	}
-	first.Live.InFlight.Store(200)
+	first.Local.InFlight.Store(200)
 	if got := f.router.Pick(call, nil).Name; got == first.Name {
 		t.Errorf("engine under 200 calls: got %s again, want another", got)
 	}
@@ -124,7 +124,7 @@
 	used := make(map[units.Price]int)
 	for i := range 24 {
 		chosen := f.router.Pick(modelCall(parser.PrefixCost, uint64(i)), nil)
-		chosen.Live.InFlight.Add(1)
+		chosen.Local.InFlight.Add(1)
 		used[chosen.Price]++
 	}
 	if got, want := used[3], 0; got != want {
@@ -132,7 +132,7 @@
 	}
 	for i := range 120 {
 		chosen := f.router.Pick(modelCall(parser.PrefixCost, uint64(100+i)), nil)
-		chosen.Live.InFlight.Add(1)
+		chosen.Local.InFlight.Add(1)
 		used[chosen.Price]++
 	}
 	if got := used[3]; got == 0 {
@@ -154,7 +154,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(2)
-			f.engines[0].Live.InFlight.Store(4)
+			f.engines[0].Local.InFlight.Store(4)
 			busy := f.engines[0]
 			call := modelCall(parser.PrefixCost, 3)
 			call.Prompt = 8192
@@ -165,8 +165,8 @@
 				removed = append(removed, other.Blocks...)
 			}
 			f.now = f.now.Add(c.unused)
-			busy.HeardAt = f.now
-			f.engines[1].HeardAt = f.now
+			busy.AnnouncedAt = f.now
+			f.engines[1].AnnouncedAt = f.now
 			f.router.Cached(busy, &messages.CacheEvents{Removed: removed})
 			chosen := f.router.Pick(call, nil)
 			if got := chosen == busy; got != c.want {
@@ -190,7 +190,7 @@
 			}
 			f.router.Cached(engine, &messages.CacheEvents{Added: hot})
 			f.router.Cached(engine, &messages.CacheEvents{Removed: hot})
-			engine.Live.InFlight.Store(2)
+			engine.Local.InFlight.Store(2)
 		}
 		call := modelCall(parser.PrefixCost, 3)
 		call.Prompt = 8192
@@ -232,15 +232,15 @@
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(4)
 			fresh := f.engines[0]
-			fresh.Live.Since = testStart.Add(-c.age)
-			fresh.Live.InFlight.Store(1)
+			fresh.Local.FirstSeenAt = testStart.Add(-c.age)
+			fresh.Local.InFlight.Store(1)
 			for _, engine := range f.engines[1:] {
-				engine.Live.InFlight.Store(15)
+				engine.Local.InFlight.Store(15)
 			}
 			for i := range 12 {
-				f.router.Pick(modelCall(parser.PrefixCost, uint64(i)), nil).Live.InFlight.Add(1)
+				f.router.Pick(modelCall(parser.PrefixCost, uint64(i)), nil).Local.InFlight.Add(1)
 			}
-			if got := fresh.Live.InFlight.Load() - 1; got < c.least || got > c.most {
+			if got := fresh.Local.InFlight.Load() - 1; got < c.least || got > c.most {
 				t.Errorf("calls of 12: got %d, want %d to %d", got, c.least, c.most)
 			}
 		})
@@ -342,8 +342,8 @@
 
 // sound reports whether an engine is neither ejected nor silent.
 func (f *fleet) sound(engine *tracker.Upstream) bool {
-	ejected := time.Unix(0, engine.Live.EjectedUntil.Load()).After(f.now)
-	return !ejected && f.now.Sub(engine.HeardAt) < silentAfter
+	ejected := time.Unix(0, engine.Local.EjectedUntil.Load()).After(f.now)
+	return !ejected && f.now.Sub(engine.AnnouncedAt) < silentAfter
 }
 
 // disturb changes one engine and lets time pass.
@@ -358,11 +358,11 @@
 	case 2:
 		f.router.Observe(engine, dispatcher.Result{Kind: dispatcher.Answered})
 	case 3:
-		engine.HeardAt = f.now
+		engine.AnnouncedAt = f.now
 	case 4:
 		engine.Model = rapid.SampledFrom([]units.Model{"", "ember", "other"}).Draw(t, "model")
 	case 5:
-		engine.Live.InFlight.Store(int64(rapid.IntRange(0, 40).Draw(t, "in-flight")))
+		engine.Local.InFlight.Store(int64(rapid.IntRange(0, 40).Draw(t, "in-flight")))
 	}
 }
 
--- a/src/router/score.go
+++ b/src/router/score.go
@@ -50,7 +50,7 @@
 
 // cached returns the prompt tokens that a candidate is likely to have cached.
 func (d *decision) cached(c *candidate) float64 {
-	number := c.upstream.Live.Number
+	number := c.upstream.Local.ID
 	for i := range d.matches[:d.found] {
 		if d.matches[i].Is(number) {
 			return min(float64(d.call.Prompt), d.matches[i].Tokens(blockTokens))
@@ -62,7 +62,7 @@
 // score returns the expected cost of a candidate in seconds.
 func (d *decision) score(c *candidate) float64 {
 	upstream := c.upstream
-	under := float64(upstream.Live.InFlight.Load()) + float64(upstream.Load.Others)
+	under := float64(upstream.Local.InFlight.Load()) + float64(upstream.Load.PeerCalls)
 	work := (float64(d.call.Prompt) - d.cached(c)) * c.perToken
 	first := d.waiting(c) + work + c.step
 	if over := under + 1 - c.slots; over > 0 {
@@ -81,7 +81,7 @@
 func (d *decision) waiting(c *candidate) float64 {
 	load := &c.upstream.Load
 	reported := float64(load.QueuedTokens)*c.perToken - d.now.Sub(load.MeasuredAt).Seconds()
-	own := float64(c.upstream.Live.Prefill.Load()) * c.perToken
+	own := float64(c.upstream.Local.PrefillTokens.Load()) * c.perToken
 	return max(reported, own, 0)
 }
 
@@ -126,7 +126,7 @@
 
 // warming returns the cost of giving a new engine more than its part.
 func (d *decision) warming(c *candidate, under float64) float64 {
-	age := d.now.Sub(c.upstream.Live.Since)
+	age := d.now.Sub(c.upstream.Local.FirstSeenAt)
 	if age >= warmUp {
 		return 0
 	}
--- a/src/router/subset.go
+++ b/src/router/subset.go
@@ -141,7 +141,7 @@
 	c := candidate{
 		upstream: upstream,
 		notices:  r.noticesOf(upstream.DataCentre),
-		pressure: r.pressureOf(upstream.Live.Number),
+		pressure: r.pressureOf(upstream.Local.ID),
 		weight:   xxhash.Sum64String(string(upstream.Name)),
 		step:     step.Seconds(),
 		perToken: step.Seconds() / float64(perStep),
--- a/src/scaler/limited_test.go
+++ b/src/scaler/limited_test.go
@@ -14,7 +14,7 @@
 	before := s.requiredByLoad(p.service)
 	limited := func(upstreams int) Load {
 		load := evenLoad(upstreams)
-		load.Limited = 2
+		load.LimitedUpstreams = 2
 		return load
 	}
 	now, _ = p.run(s, now, 20*time.Second, limited)
--- a/src/scaler/loadmeter.go
+++ b/src/scaler/loadmeter.go
@@ -19,17 +19,17 @@
 	// flight.
 	Calls       float64
 	CallSeconds float64
-	// Each is how many seconds a token takes to read; 0 if unknown.
-	Each float64
+	// SecondsPerToken is how many seconds a token takes to read; 0 if unknown.
+	SecondsPerToken float64
 }
 
-// Survey derives the load over all entries from their counters; it is a state machine without a
+// LoadMeter derives the load over all entries from their counters; it is a state machine without a
 // clock.
 //
 // It takes every poll into account, not only the last one before each plan: by single polls the
 // demand is zero at one plan and many times the mean at another, and a plan follows such peaks
 // at once and falls slowly.
-type Survey struct {
+type LoadMeter struct {
 	entries map[units.Instance]*entryRecord
 }
 
@@ -47,8 +47,8 @@
 	totals map[units.Service]Totals
 }
 
-// Hear records an entry's counters of the services since its start.
-func (s *Survey) Hear(now time.Time, entry units.Instance, incarnation units.Incarnation, totals map[units.Service]Totals) {
+// Record records an entry's counters of the services since its start.
+func (s *LoadMeter) Record(now time.Time, entry units.Instance, incarnation units.Incarnation, totals map[units.Service]Totals) {
 	if s.entries == nil {
 		s.entries = make(map[units.Instance]*entryRecord)
 	}
@@ -69,7 +69,7 @@
 }
 
 // Measure returns the load of each service since the last measurement.
-func (s *Survey) Measure(now time.Time) map[units.Service]Load {
+func (s *LoadMeter) Measure(now time.Time) map[units.Service]Load {
 	sums := make(map[units.Service]Load)
 	costs := make(map[units.Service][]float64)
 	for name, e := range s.entries {
@@ -80,11 +80,11 @@
 		e.measure()
 		for service, rate := range e.rates {
 			sum := sums[service]
-			sum.Asked += rate.Asked
-			sum.Running += rate.Running
+			sum.Demand += rate.Demand
+			sum.Concurrency += rate.Concurrency
 			sums[service] = sum
-			if rate.Each > 0 {
-				costs[service] = append(costs[service], rate.Each)
+			if rate.SecondsPerUnit > 0 {
+				costs[service] = append(costs[service], rate.SecondsPerUnit)
 			}
 		}
 	}
@@ -92,7 +92,7 @@
 		sum := sums[service]
 		// The median, since an entry that has seen few calls may be far off.
 		slices.Sort(values)
-		sum.Each = values[len(values)/2]
+		sum.SecondsPerUnit = values[len(values)/2]
 		sums[service] = sum
 	}
 	return sums
@@ -114,9 +114,9 @@
 			demand = now.Calls - before.Calls
 		}
 		e.rates[service] = Load{
-			Asked:   demand / elapsed,
-			Each:    now.Each,
-			Running: (now.CallSeconds - before.CallSeconds) / elapsed,
+			Demand:         demand / elapsed,
+			SecondsPerUnit: now.SecondsPerToken,
+			Concurrency:    (now.CallSeconds - before.CallSeconds) / elapsed,
 		}
 	}
 	e.base = e.latest
--- a/src/scaler/loadmeter_test.go
+++ b/src/scaler/loadmeter_test.go
@@ -21,11 +21,11 @@
 	rapid.Check(t, func(t *rapid.T) {
 		totals := make([]Totals, rapid.IntRange(1, 20).Draw(t, "entries"))
 		calls := rapid.SliceOfN(rapid.IntRange(0, len(totals)-1), 1, 60).Draw(t, "callers' entries")
-		var s Survey
+		var s LoadMeter
 		now := startTime
 		record := func() {
 			for i := range totals {
-				s.Hear(now, units.Instance(fmt.Sprint(i)), 1, map[units.Service]Totals{"s": totals[i]})
+				s.Record(now, units.Instance(fmt.Sprint(i)), 1, map[units.Service]Totals{"s": totals[i]})
 			}
 		}
 		record()
@@ -41,7 +41,7 @@
 				}
 				record()
 			}
-			if got := s.Measure(now)["s"].Asked * stepInterval.Seconds(); math.Abs(got-sent) > 1 {
+			if got := s.Measure(now)["s"].Demand * stepInterval.Seconds(); math.Abs(got-sent) > 1 {
 				t.Fatalf("tokens since the last plan: got %.0f, want %.0f", got, sent)
 			}
 		}
@@ -52,22 +52,22 @@
 // poll arrives, over the time since the previous one.
 func TestLoadMeterSurvivesLostPolls(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var s Survey
+		var s LoadMeter
 		total, reportedTotal, counted := 0.0, 0.0, 0.0
 		now, reportedAt, measuredTo := startTime, startTime, startTime
-		s.Hear(now, "e", 1, map[units.Service]Totals{"s": {Tokens: 0}})
+		s.Record(now, "e", 1, map[units.Service]Totals{"s": {Tokens: 0}})
 		for n := range rapid.IntRange(1, 60).Draw(t, "polls") {
 			now = now.Add(pollInterval)
 			total += float64(rapid.IntRange(0, 20_000).Draw(t, "tokens"))
 			if rapid.Bool().Draw(t, "arrives") {
-				s.Hear(now, "e", 1, map[units.Service]Totals{"s": {Tokens: total}})
+				s.Record(now, "e", 1, map[units.Service]Totals{"s": {Tokens: total}})
 				reportedTotal, reportedAt = total, now
 			}
 			if n%5 != 4 {
 				continue
 			}
 			load := s.Measure(now)["s"]
-			counted += load.Asked * reportedAt.Sub(measuredTo).Seconds()
+			counted += load.Demand * reportedAt.Sub(measuredTo).Seconds()
 			measuredTo = reportedAt
 			if now.Sub(reportedAt) <= totalsExpiry && math.Abs(counted-reportedTotal) > 1 {
 				t.Fatalf("tokens counted: got %.0f, want %.0f", counted, reportedTotal)
@@ -77,16 +77,16 @@
 }
 
 func TestLoadMeterExpiresEntries(t *testing.T) {
-	record := func(s *Survey, at time.Duration, incarnation units.Incarnation, tokens float64) {
-		s.Hear(startTime.Add(at), "e", incarnation, map[units.Service]Totals{"s": {Tokens: tokens}})
+	record := func(s *LoadMeter, at time.Duration, incarnation units.Incarnation, tokens float64) {
+		s.Record(startTime.Add(at), "e", incarnation, map[units.Service]Totals{"s": {Tokens: tokens}})
 	}
 	cases := map[string]struct {
-		play func(s *Survey)
+		play func(s *LoadMeter)
 		at   time.Duration
 		want float64
 	}{
 		"nothing while it reports": {
-			play: func(s *Survey) {
+			play: func(s *LoadMeter) {
 				record(s, 0, 1, 100)
 				record(s, time.Second, 1, 300)
 			},
@@ -94,7 +94,7 @@
 			want: 200,
 		},
 		"nothing while one poll is late": {
-			play: func(s *Survey) {
+			play: func(s *LoadMeter) {
 				record(s, 0, 1, 100)
 				record(s, time.Second, 1, 300)
 				s.Measure(startTime.Add(time.Second))
@@ -103,7 +103,7 @@
 			want: 200,
 		},
 		"an entry that is gone": {
-			play: func(s *Survey) {
+			play: func(s *LoadMeter) {
 				record(s, 0, 1, 100)
 				record(s, time.Second, 1, 300)
 			},
@@ -111,7 +111,7 @@
 			want: 0,
 		},
 		"counters from before a restart": {
-			play: func(s *Survey) {
+			play: func(s *LoadMeter) {
 				record(s, 0, 1, 1_000_000)
 				record(s, time.Second, 2, 100)
 				record(s, 2*time.Second, 2, 150)
@@ -122,9 +122,9 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			var s Survey
+			var s LoadMeter
 			c.play(&s)
-			if got := s.Measure(startTime.Add(c.at))["s"].Asked; got != c.want {
+			if got := s.Measure(startTime.Add(c.at))["s"].Demand; got != c.want {
 				t.Errorf("demand: got %v, want %v", got, c.want)
 			}
 		})
--- a/src/scaler/order.go
+++ b/src/scaler/order.go
@@ -8,7 +8,7 @@
 
 // Order asks for a total number of upstreams in one pool.
 type Order struct {
-	Kind
+	Pool
 	Count int
 }
 
@@ -21,8 +21,8 @@
 }
 
 // nextOrder returns the order to place for a pool now, and whether one is due.
-func (s *Scaler) nextOrder(now time.Time, service *matcher.Service, want Order, current Stock, required requirement) (Order, bool) {
-	pool := want.Kind
+func (s *Scaler) nextOrder(now time.Time, service *matcher.Service, want Order, current PoolSizes, required requirement) (Order, bool) {
+	pool := want.Pool
 	last, known := s.ordered[pool]
 	ready := current[pool]
 	if !known {
@@ -60,7 +60,7 @@
 // Without the wait, the initial upstreams would go before their replacements have come, and
 // every call of those seconds would be late. Released one at a time, a large fleet would cost
 // the on-demand price for a minute after reclaimable upstreams were unavailable for seconds.
-func (s *Scaler) scaleDown(now time.Time, last placedOrder, want int, current Stock, required requirement) int {
+func (s *Scaler) scaleDown(now time.Time, last placedOrder, want int, current PoolSizes, required requirement) int {
 	ready := 0
 	for pool, count := range current {
 		if ordered, known := s.ordered[pool]; known {
@@ -81,13 +81,13 @@
 	return max(want, last.count-min(surplus, 1+last.count/scaleDownDivisor))
 }
 
-// Refused records that a pool has no upstreams available now.
-func (s *Scaler) Refused(now time.Time, pool Kind) {
+// OnOrderRefused records that a pool has no upstreams available now.
+func (s *Scaler) OnOrderRefused(now time.Time, pool Pool) {
 	if pool.Reclaimable {
 		s.refusedAt[pool] = now
 	}
 	delete(s.ordered, pool)
 }
 
-// Failed records that the outcome of an order is unknown; it is placed again.
-func (s *Scaler) Failed(pool Kind) { delete(s.ordered, pool) }
+// OnOrderFailed records that the outcome of an order is unknown; it is placed again.
+func (s *Scaler) OnOrderFailed(pool Pool) { delete(s.ordered, pool) }
--- a/src/scaler/plan.go
+++ b/src/scaler/plan.go
@@ -10,15 +10,15 @@
 )
 
 // plan distributes the required upstreams over pools.
-func (s *Scaler) plan(now time.Time, service *matcher.Service, required requirement, current Stock) Stock {
-	plan := make(Stock)
+func (s *Scaler) plan(now time.Time, service *matcher.Service, required requirement, current PoolSizes) PoolSizes {
+	plan := make(PoolSizes)
 	centres := dataCentresByPrice(service)
 	soldOut := s.soldOutDataCentres(centres, current)
 	perDataCentre := required.perDataCentre(len(centres)-soldOut, soldOut)
 	readyOrStarting := make(map[units.DataCentre]int)
 	total := 0
 	for _, centre := range centres {
-		pool := Kind{
+		pool := Pool{
 			DataCentre:  centre,
 			Reclaimable: true,
 		}
@@ -37,8 +37,8 @@
 // is sold out gets no more than it already has: capacity kept free for it would be missing for
 // its on-demand replacements, and a fleet whose data centres are full would order nothing while
 // half of it is reclaimed.
-func (s *Scaler) maxReclaimable(now time.Time, service *matcher.Service, pool Kind, current Stock) int {
-	onDemand := Kind{DataCentre: pool.DataCentre}
+func (s *Scaler) maxReclaimable(now time.Time, service *matcher.Service, pool Pool, current PoolSizes) int {
+	onDemand := Pool{DataCentre: pool.DataCentre}
 	maxReclaimable := max(0, service.Scaling.Most-max(current[onDemand], s.ordered[onDemand].count))
 	if s.isSoldOut(now, pool) {
 		return min(maxReclaimable, current[pool])
@@ -47,7 +47,7 @@
 }
 
 // isSoldOut reports whether an order of a pool was refused within refusalBackoff.
-func (s *Scaler) isSoldOut(now time.Time, pool Kind) bool {
+func (s *Scaler) isSoldOut(now time.Time, pool Pool) bool {
 	at := s.refusedAt[pool]
 	return !at.IsZero() && now.Sub(at) < refusalBackoff
 }
@@ -55,10 +55,10 @@
 // soldOutDataCentres returns how many data centres have no reclaimable upstreams and refused
 // the last order for some. They count until some have come: otherwise each retry would spread
 // the plan over data centres that have none available, and the refusal would revert it.
-func (s *Scaler) soldOutDataCentres(centres []units.DataCentre, current Stock) int {
+func (s *Scaler) soldOutDataCentres(centres []units.DataCentre, current PoolSizes) int {
 	soldOut := 0
 	for _, centre := range centres {
-		pool := Kind{
+		pool := Pool{
 			DataCentre:  centre,
 			Reclaimable: true,
 		}
@@ -77,7 +77,7 @@
 // Only what an order asked for beyond those already there is about to come, and only for as
 // long as a start may take. If more were counted, the loss of upstreams that were reclaimed
 // since the order would go unnoticed.
-func (s *Scaler) readyOrStarting(now time.Time, service *matcher.Service, pool Kind, want int, current Stock) int {
+func (s *Scaler) readyOrStarting(now time.Time, service *matcher.Service, pool Pool, want int, current PoolSizes) int {
 	last, known := s.ordered[pool]
 	starting := 0
 	if known && now.Sub(last.placedAt) < effectTimeout(service, true) {
@@ -95,16 +95,16 @@
 // The minimum of a data centre counts the upstreams that are ready or starting there, not those
 // that are wanted: while no reclaimable ones are available, each retry for them would release
 // the on-demand one, and order it again when the retry is refused.
-func (s *Scaler) planOnDemand(plan Stock, centres []units.DataCentre, readyOrStarting map[units.DataCentre]int, count int, scaling *matcher.Scaling) {
+func (s *Scaler) planOnDemand(plan PoolSizes, centres []units.DataCentre, readyOrStarting map[units.DataCentre]int, count int, scaling *matcher.Scaling) {
 	half := (count + 1) / 2
 	for _, centre := range centres {
-		reclaimable := plan[Kind{
+		reclaimable := plan[Pool{
 			DataCentre:  centre,
 			Reclaimable: true,
 		}]
 		assigned := min(count, half, max(0, scaling.Most-reclaimable))
 		assigned = max(assigned, min(scaling.Least-readyOrStarting[centre], scaling.Most-reclaimable))
-		plan[Kind{DataCentre: centre}] = assigned
+		plan[Pool{DataCentre: centre}] = assigned
 		count = max(0, count-assigned)
 	}
 }
@@ -123,11 +123,11 @@
 
 // poolsOf returns all pools, reclaimable ones first, since they replace the on-demand upstreams
 // that are released.
-func poolsOf(service *matcher.Service) []Kind {
-	var pools []Kind
+func poolsOf(service *matcher.Service) []Pool {
+	var pools []Pool
 	for _, reclaimable := range []bool{true, false} {
 		for _, centre := range dataCentresByPrice(service) {
-			pools = append(pools, Kind{
+			pools = append(pools, Pool{
 				DataCentre:  centre,
 				Reclaimable: reclaimable,
 			})
--- a/src/scaler/scaler.go
+++ b/src/scaler/scaler.go
@@ -61,31 +61,31 @@
 	warmUp = 8 * time.Second
 )
 
-// Kind is one pool of a service's upstreams: the reclaimable or the on-demand ones in a data
+// Pool is one pool of a service's upstreams: the reclaimable or the on-demand ones in a data
 // centre.
-type Kind struct {
+type Pool struct {
 	DataCentre  units.DataCentre
 	Reclaimable bool
 }
 
 // Load is the demand of a service's callers, over all entries.
 type Load struct {
-	// Asked is the demand in prompt tokens per second, or in calls per second for a service
+	// Demand is the demand in prompt tokens per second, or in calls per second for a service
 	// without prompts.
-	Asked float64
-	// Each is how many seconds an upstream takes for one token or call without queueing; 0 if
+	Demand float64
+	// SecondsPerUnit is how many seconds an upstream takes for one token or call without queueing; 0 if
 	// unknown.
-	Each float64
-	// Running is the mean number of calls in flight.
-	Running float64
-	// Limited is how many upstreams report that they accept fewer calls than there are for
+	SecondsPerUnit float64
+	// Concurrency is the mean number of calls in flight.
+	Concurrency float64
+	// LimitedUpstreams is how many upstreams report that they accept fewer calls than there are for
 	// them.
-	Limited int
+	LimitedUpstreams int
 }
 
-// Stock is the number of a service's upstreams in each pool: those that take calls now, or
+// PoolSizes is the number of a service's upstreams in each pool: those that take calls now, or
 // those that are planned.
-type Stock map[Kind]int
+type PoolSizes map[Pool]int
 
 // Scaler plans for one service; it is a state machine without a clock.
 type Scaler struct {
@@ -105,23 +105,23 @@
 	// how many calls are then in flight for each that is demanded per second.
 	secondsPerUnit     float64
 	concurrencyPerUnit float64
-	ordered            map[Kind]placedOrder
-	refusedAt          map[Kind]time.Time
+	ordered            map[Pool]placedOrder
+	refusedAt          map[Pool]time.Time
 }
 
 // Step takes the current load and number of upstreams and returns the orders to place now.
-func (s *Scaler) Step(now time.Time, service *matcher.Service, load Load, current Stock) []Order {
+func (s *Scaler) Step(now time.Time, service *matcher.Service, load Load, current PoolSizes) []Order {
 	if s.ordered == nil {
-		s.ordered = make(map[Kind]placedOrder)
-		s.refusedAt = make(map[Kind]time.Time)
+		s.ordered = make(map[Pool]placedOrder)
+		s.refusedAt = make(map[Pool]time.Time)
 		s.updatedAt = now
 		s.firstStepAt = now
-		s.startedIdle = load.Running == 0
+		s.startedIdle = load.Concurrency == 0
 	}
 	if s.startedIdle && s.firstCallAt.IsZero() {
 		s.initialUpstreams = max(s.initialUpstreams, initialCount(current))
 	}
-	if s.firstCallAt.IsZero() && load.Running > 0 {
+	if s.firstCallAt.IsZero() && load.Concurrency > 0 {
 		s.firstCallAt = now
 	}
 	s.updateLoad(now, load)
@@ -130,7 +130,7 @@
 	var orders []Order
 	for _, pool := range poolsOf(service) {
 		want := Order{
-			Kind:  pool,
+			Pool:  pool,
 			Count: plan[pool],
 		}
 		if nextOrder, due := s.nextOrder(now, service, want, current, required); due {
@@ -144,20 +144,20 @@
 func (s *Scaler) updateLoad(now time.Time, load Load) {
 	elapsed := now.Sub(s.updatedAt)
 	s.updatedAt = now
-	s.smoothed.Asked = smooth(s.smoothed.Asked, load.Asked, elapsed, smoothingPeriod)
-	s.smoothed.Running = smooth(s.smoothed.Running, load.Running, elapsed, smoothingPeriod)
-	s.load.Asked = trackPeak(s.load.Asked, s.smoothed.Asked, elapsed)
-	if load.Each > 0 {
-		s.secondsPerUnit = trackMinimum(s.secondsPerUnit, load.Each, elapsed)
+	s.smoothed.Demand = smooth(s.smoothed.Demand, load.Demand, elapsed, smoothingPeriod)
+	s.smoothed.Concurrency = smooth(s.smoothed.Concurrency, load.Concurrency, elapsed, smoothingPeriod)
+	s.load.Demand = trackPeak(s.load.Demand, s.smoothed.Demand, elapsed)
+	if load.SecondsPerUnit > 0 {
+		s.secondsPerUnit = trackMinimum(s.secondsPerUnit, load.SecondsPerUnit, elapsed)
 	}
 	// Calls that have just begun have not been in flight for long; estimated from them, a call
 	// would seem to need no slot.
-	if s.smoothed.Asked > 0 && !s.firstCallAt.IsZero() && now.Sub(s.firstCallAt) >= warmUp {
-		s.concurrencyPerUnit = trackMinimum(s.concurrencyPerUnit, s.smoothed.Running/s.smoothed.Asked, elapsed)
+	if s.smoothed.Demand > 0 && !s.firstCallAt.IsZero() && now.Sub(s.firstCallAt) >= warmUp {
+		s.concurrencyPerUnit = trackMinimum(s.concurrencyPerUnit, s.smoothed.Concurrency/s.smoothed.Demand, elapsed)
 	}
-	s.load.Each = s.secondsPerUnit
-	s.load.Limited = load.Limited
-	s.load.Running = s.load.Asked * s.concurrencyPerUnit
+	s.load.SecondsPerUnit = s.secondsPerUnit
+	s.load.LimitedUpstreams = load.LimitedUpstreams
+	s.load.Concurrency = s.load.Demand * s.concurrencyPerUnit
 }
 
 // trackMinimum falls at once and rises slowly. Once there are too few upstreams, queueing
@@ -188,7 +188,7 @@
 // initialCount returns how many upstreams there are before the first call if all of them are on
 // demand: the operators' estimate of what the load will need. The upstreams that a new leader
 // finds while calls run are the result of an earlier plan.
-func initialCount(current Stock) int {
+func initialCount(current PoolSizes) int {
 	total := 0
 	for pool, count := range current {
 		if pool.Reclaimable {
@@ -201,11 +201,11 @@
 
 // requiredByLoad returns how many upstreams the measured load needs.
 func (s *Scaler) requiredByLoad(service *matcher.Service) int {
-	work := s.load.Asked * s.load.Each
+	work := s.load.Demand * s.load.SecondsPerUnit
 	prefill := work + safetyFactor*math.Sqrt(work)
 	slots := spareUpstreams
 	if service.Engine != nil && service.Engine.Slots > 0 {
-		slots += s.load.Running / (maxSlotUtilization * float64(service.Engine.Slots))
+		slots += s.load.Concurrency / (maxSlotUtilization * float64(service.Engine.Slots))
 	}
-	return int(math.Ceil(max(prefill, slots))) + s.load.Limited
+	return int(math.Ceil(max(prefill, slots))) + s.load.LimitedUpstreams
 }
--- a/src/scaler/scaler_test.go
+++ b/src/scaler/scaler_test.go
@@ -35,7 +35,7 @@
 
 // fakePlatform carries out orders after the time that upstreams take to start.
 type fakePlatform struct {
-	ready   Stock
+	ready   PoolSizes
 	pending []pending
 	service *matcher.Service
 	soldOut bool
@@ -49,9 +49,9 @@
 }
 
 func newFakePlatform(service *matcher.Service) *fakePlatform {
-	p := &fakePlatform{ready: make(Stock), service: service}
+	p := &fakePlatform{ready: make(PoolSizes), service: service}
 	for centre := range service.Scaling.Prices {
-		p.ready[Kind{DataCentre: centre}] = initialPerDataCentre
+		p.ready[Pool{DataCentre: centre}] = initialPerDataCentre
 	}
 	return p
 }
@@ -63,17 +63,17 @@
 	for end = now.Add(length); now.Before(end); now = now.Add(stepInterval) {
 		for _, c := range p.pending {
 			if !now.Before(c.at) {
-				p.ready[c.Kind] = c.Count
+				p.ready[c.Pool] = c.Count
 			}
 		}
 		fewest = min(fewest, p.total())
 		for _, order := range s.Step(now, p.service, load(p.total()), p.ready) {
 			if order.Reclaimable && (p.soldOut || p.soldOutIn[order.DataCentre]) {
-				s.Refused(now, order.Kind)
+				s.OnOrderRefused(now, order.Pool)
 				continue
 			}
 			at := now.Add(p.service.Scaling.Boot)
-			if order.Count < p.ready[order.Kind] {
+			if order.Count < p.ready[order.Pool] {
 				at = now.Add(stepInterval)
 			}
 			p.pending = append(p.pending, pending{Order: order, at: at})
@@ -107,7 +107,7 @@
 	if upstreams < 8 {
 		queue = 8
 	}
-	return Load{Asked: 300_000, Each: 1e-5 * queue, Running: 60 * queue}
+	return Load{Demand: 300_000, SecondsPerUnit: 1e-5 * queue, Concurrency: 60 * queue}
 }
 
 // The system starts with the upstreams that its operators chose, all on demand, some seconds
@@ -135,13 +135,13 @@
 func TestReplacementsAreOrderedWhileUpstreamsAnnounceThemselves(t *testing.T) {
 	svc := service()
 	s := &Scaler{}
-	ready := make(Stock)
+	ready := make(PoolSizes)
 	ordered := 0
 	now := startTime
 	for range 20 {
 		for _, centre := range []units.DataCentre{"a", "b", "c", "d"} {
-			if ready[Kind{DataCentre: centre}] < initialPerDataCentre {
-				ready[Kind{DataCentre: centre}]++
+			if ready[Pool{DataCentre: centre}] < initialPerDataCentre {
+				ready[Pool{DataCentre: centre}]++
 				break
 			}
 		}
@@ -197,7 +197,7 @@
 	for _, centre := range []units.DataCentre{"a", "b", "c"} {
 		p.soldOutIn[centre] = true
 		p.pending = nil
-		p.ready[Kind{DataCentre: centre, Reclaimable: true}] = 0
+		p.ready[Pool{DataCentre: centre, Reclaimable: true}] = 0
 		now, _ = p.run(s, now, 10*time.Second, evenLoad)
 		reclaimable, largest := 0, 0
 		for pool, count := range p.ready {
@@ -219,15 +219,15 @@
 // minute. The one on-demand upstream that must be there meanwhile used to be released at each
 // retry and ordered again at its refusal; its calls ended each time.
 func TestMinimumOfASoldOutDataCentreStays(t *testing.T) {
-	light := func(int) Load { return Load{Asked: 10_000, Each: 1e-5, Running: 2} }
+	light := func(int) Load { return Load{Demand: 10_000, SecondsPerUnit: 1e-5, Concurrency: 2} }
 	p := newFakePlatform(service())
 	s := &Scaler{}
 	now, _ := p.run(s, startTime, time.Minute, light)
 	p.soldOut = true
 	p.pending = nil
-	p.ready[Kind{DataCentre: "b", Reclaimable: true}] = 0
+	p.ready[Pool{DataCentre: "b", Reclaimable: true}] = 0
 	now, _ = p.run(s, now, 6*time.Second, light)
-	onDemand := Kind{DataCentre: "b"}
+	onDemand := Pool{DataCentre: "b"}
 	if got, want := p.ready[onDemand], 1; got != want {
 		t.Fatalf("on-demand upstreams in the sold-out data centre: got %d, want %d", got, want)
 	}
@@ -271,7 +271,7 @@
 		t.Errorf("on-demand upstreams: got %d, want at most %d", got, limit)
 	}
 	for centre := range p.service.Scaling.Prices {
-		if p.ready[Kind{DataCentre: centre}]+p.ready[Kind{DataCentre: centre, Reclaimable: true}] < 1 {
+		if p.ready[Pool{DataCentre: centre}]+p.ready[Pool{DataCentre: centre, Reclaimable: true}] < 1 {
 			t.Errorf("upstreams in %s: got none, want the minimum", centre)
 		}
 	}
@@ -287,8 +287,8 @@
 	now, _ := p.run(s, startTime, time.Minute, evenLoad)
 	p.soldOut = true
 	p.pending = nil
-	p.ready[Kind{DataCentre: "a", Reclaimable: true}] = 0
-	p.ready[Kind{DataCentre: "b", Reclaimable: true}] = 0
+	p.ready[Pool{DataCentre: "a", Reclaimable: true}] = 0
+	p.ready[Pool{DataCentre: "b", Reclaimable: true}] = 0
 	needed := s.requiredByLoad(p.service)
 	_, fewest := p.run(s, now, 13*time.Second, evenLoad)
 	if fewest < needed {
@@ -306,7 +306,7 @@
 	p.soldOut = true
 	p.pending = nil
 	for _, centre := range []units.DataCentre{"a", "b", "c", "d"} {
-		p.ready[Kind{DataCentre: centre, Reclaimable: true}] = 0
+		p.ready[Pool{DataCentre: centre, Reclaimable: true}] = 0
 		now, _ = p.run(s, now, p.service.Scaling.Boot+time.Second, evenLoad)
 		if got, want := p.total(), s.requiredByLoad(p.service); got < want {
 			t.Errorf("upstreams one start time after the loss of %s: got %d, want the %d that the load needs", centre, got, want)
@@ -321,7 +321,7 @@
 func TestReclaimIsReplacedAtOnce(t *testing.T) {
 	doubleLoad := func(upstreams int) Load {
 		load := evenLoad(upstreams)
-		load.Asked *= 2
+		load.Demand *= 2
 		return load
 	}
 	cases := map[string]func(p *fakePlatform, s *Scaler) time.Time{
@@ -342,17 +342,17 @@
 			now := prepare(p, s)
 			for centre := range p.service.Scaling.Prices {
 				if centre != "d" {
-					p.ready[Kind{DataCentre: centre, Reclaimable: true}] = 0
+					p.ready[Pool{DataCentre: centre, Reclaimable: true}] = 0
 				}
 			}
 			onDemand := p.onDemand()
 			ordered := 0
 			for _, order := range s.Step(now, p.service, evenLoad(p.total()), p.ready) {
 				if !order.Reclaimable {
-					ordered += order.Count - p.ready[order.Kind]
+					ordered += order.Count - p.ready[order.Pool]
 				}
 			}
-			if missing := s.requiredByLoad(p.service) - p.ready[Kind{DataCentre: "d", Reclaimable: true}] - onDemand; ordered < missing {
+			if missing := s.requiredByLoad(p.service) - p.ready[Pool{DataCentre: "d", Reclaimable: true}] - onDemand; ordered < missing {
 				t.Errorf("ordered on demand: got %d, want the %d that are missing", ordered, missing)
 			}
 		})
@@ -366,13 +366,13 @@
 func TestSoldOutCapacityIsOrderedOnDemand(t *testing.T) {
 	p := newFakePlatform(service())
 	s := &Scaler{}
-	heavy := func(int) Load { return Load{Asked: 2_000_000, Each: 1e-5, Running: 200} }
+	heavy := func(int) Load { return Load{Demand: 2_000_000, SecondsPerUnit: 1e-5, Concurrency: 200} }
 	now, _ := p.run(s, startTime, time.Minute, heavy)
 	needed := s.requiredByLoad(p.service)
 	p.soldOut = true
 	p.pending = nil
 	for _, centre := range []units.DataCentre{"a", "b"} {
-		p.ready[Kind{DataCentre: centre, Reclaimable: true}] = 0
+		p.ready[Pool{DataCentre: centre, Reclaimable: true}] = 0
 	}
 	now, _ = p.run(s, now, p.service.Scaling.Boot+time.Second, heavy)
 	if got := p.total(); got < needed {
@@ -400,7 +400,7 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			s := &Scaler{load: Load{Asked: c.work * 1e5, Each: 1e-5}}
+			s := &Scaler{load: Load{Demand: c.work * 1e5, SecondsPerUnit: 1e-5}}
 			planned := s.requiredByLoad(service())
 			if limit := int(math.Ceil(c.limit * c.work)); planned > limit {
 				t.Errorf("planned: got %d upstreams, want at most %d", planned, limit)
@@ -445,12 +445,12 @@
 	svc.Scaling.Most = 60
 	p := newFakePlatform(svc)
 	s := &Scaler{}
-	heavy := func(int) Load { return Load{Asked: 6_000_000, Each: 1e-5, Running: 200} }
+	heavy := func(int) Load { return Load{Demand: 6_000_000, SecondsPerUnit: 1e-5, Concurrency: 200} }
 	now, _ := p.run(s, startTime, time.Minute, heavy)
 	p.soldOut = true
 	p.pending = nil
 	for centre := range svc.Scaling.Prices {
-		p.ready[Kind{DataCentre: centre, Reclaimable: true}] = 0
+		p.ready[Pool{DataCentre: centre, Reclaimable: true}] = 0
 	}
 	now, _ = p.run(s, now, 20*time.Second, heavy)
 	needed := s.requiredByLoad(svc)
@@ -486,7 +486,7 @@
 	now := startTime
 	for passed := time.Duration(0); passed < 20*time.Second; passed += stepInterval {
 		running := min(1, passed.Seconds()/3) * 160
-		s.Step(now.Add(passed), svc, Load{Asked: 100_000, Each: 1e-6, Running: running}, Stock{})
+		s.Step(now.Add(passed), svc, Load{Demand: 100_000, SecondsPerUnit: 1e-6, Concurrency: running}, PoolSizes{})
 	}
 	// Half of an upstream's 32 slots may be in use.
 	if got, want := s.requiredByLoad(svc), 10; got < want {
@@ -502,7 +502,7 @@
 	now, _ := p.run(s, startTime, 30*time.Second, evenLoad)
 	before := s.requiredByLoad(p.service)
 	_, _ = p.run(s, now, 10*time.Second, func(int) Load {
-		return Load{Asked: 300_000, Each: 5e-4, Running: 900}
+		return Load{Demand: 300_000, SecondsPerUnit: 5e-4, Concurrency: 900}
 	})
 	if got, limit := s.requiredByLoad(p.service), before*2; got > limit {
 		t.Errorf("needed while all queue: got %d, want at most %d", got, limit)
@@ -516,31 +516,31 @@
 		svc := service()
 		svc.Scaling.Most = rapid.IntRange(1, 10).Draw(t, "most")
 		s := &Scaler{}
-		ready := make(Stock)
-		ordered := make(Stock)
+		ready := make(PoolSizes)
+		ordered := make(PoolSizes)
 		now := startTime
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(100, 3000).Draw(t, "passes")) * time.Millisecond)
 			load := Load{
-				Asked:   rapid.Float64Range(0, 1e6).Draw(t, "asked"),
-				Each:    rapid.Float64Range(0, 1e-4).Draw(t, "each"),
-				Running: rapid.Float64Range(0, 1000).Draw(t, "running"),
+				Demand:         rapid.Float64Range(0, 1e6).Draw(t, "asked"),
+				SecondsPerUnit: rapid.Float64Range(0, 1e-4).Draw(t, "each"),
+				Concurrency:    rapid.Float64Range(0, 1000).Draw(t, "running"),
 			}
 			for _, order := range s.Step(now, svc, load, ready) {
 				if rapid.IntRange(0, 4).Draw(t, "refused") == 0 {
-					s.Refused(now, order.Kind)
+					s.OnOrderRefused(now, order.Pool)
 					continue
 				}
-				ordered[order.Kind] = order.Count
-				ready[order.Kind] = order.Count
+				ordered[order.Pool] = order.Count
+				ready[order.Pool] = order.Count
 				if order.Count < 0 || order.Count > svc.Scaling.Most {
-					t.Fatalf("order: got %d of %+v, want 0 to %d", order.Count, order.Kind, svc.Scaling.Most)
+					t.Fatalf("order: got %d of %+v, want 0 to %d", order.Count, order.Pool, svc.Scaling.Most)
 				}
 			}
 		}
 		plan := s.plan(now, svc, s.requirement(now, svc), ready)
 		for centre := range svc.Scaling.Prices {
-			both := plan[Kind{DataCentre: centre}] + plan[Kind{DataCentre: centre, Reclaimable: true}]
+			both := plan[Pool{DataCentre: centre}] + plan[Pool{DataCentre: centre, Reclaimable: true}]
 			if both < svc.Scaling.Least || both > svc.Scaling.Most {
 				t.Fatalf("plan for %s: got %d, want %d to %d", centre, both, svc.Scaling.Least, svc.Scaling.Most)
 			}
