--- a/src/tracker/event.go
+++ b/src/tracker/event.go
@@ -15,17 +15,17 @@
 	Announcement *messages.Announcement
 }
 
-// Told reports a rumour about an upstream that another entry has sent.
-type Told struct {
+// RumourReceived reports a rumour about an upstream that another entry has sent.
+type RumourReceived struct {
 	Rumour *messages.Rumour
 }
 
 // Ticked reports that time has passed.
 type Ticked struct{}
 
-func (Announced) event() {}
-func (Told) event()      {}
-func (Ticked) event()    {}
+func (Announced) event()      {}
+func (RumourReceived) event() {}
+func (Ticked) event()         {}
 
 // Action is an effect that the caller of Step must carry out.
 type Action interface{ action() }
@@ -44,8 +44,8 @@
 type Suspected struct {
 	Upstream *Upstream
 	Silence  string
-	// Health is the multiplier of the timeouts that applied, 1 while this process is healthy.
-	Health int
+	// HealthMultiplier is the multiplier of the timeouts that applied, 1 while this process is healthy.
+	HealthMultiplier int
 }
 
 // Refuted reports that a suspected upstream has announced itself again.
@@ -65,9 +65,9 @@
 	Urgent bool
 }
 
-// Lacking requests the full announcement of an upstream that a rumour has named and whose
+// MissingAnnouncement requests the full announcement of an upstream that a rumour has named and whose
 // announcement is not known here.
-type Lacking struct {
+type MissingAnnouncement struct {
 	Upstream units.Upstream
 }
 
@@ -76,14 +76,14 @@
 	Err error
 }
 
-func (Changed) action()   {}
-func (Left) action()      {}
-func (Suspected) action() {}
-func (Refuted) action()   {}
-func (Probe) action()     {}
-func (Spread) action()    {}
-func (Lacking) action()   {}
-func (Refused) action()   {}
+func (Changed) action()             {}
+func (Left) action()                {}
+func (Suspected) action()           {}
+func (Refuted) action()             {}
+func (Probe) action()               {}
+func (Spread) action()              {}
+func (MissingAnnouncement) action() {}
+func (Refused) action()             {}
 
 // RefusedError is the reason why an announcement was refused, and the remedy.
 type RefusedError struct {
--- a/src/tracker/liveness.go
+++ b/src/tracker/liveness.go
@@ -60,16 +60,16 @@
 	changedAt time.Time
 }
 
-// Health returns the multiplier of this process's timeouts, 1 while it is healthy.
-func (t *Tracker) Health() int { return t.health.score + 1 }
+// HealthMultiplier returns the multiplier of this process's timeouts, 1 while it is healthy.
+func (t *Tracker) HealthMultiplier() int { return t.health.score + 1 }
 
 func (t *Tracker) tick(now time.Time) []Action {
 	t.recover(now)
 	t.detectLocalFault(now)
 	var actions []Action
 	for _, upstream := range t.upstreams {
-		upstream.Live.sample(now)
-		if upstream.Direct && now.Sub(upstream.DirectAt) >= t.Expiry && upstream.DirectAt.Before(upstream.HeardAt) {
+		upstream.Local.sample(now)
+		if upstream.Direct && now.Sub(upstream.DirectAt) >= t.Expiry && upstream.DirectAt.Before(upstream.AnnouncedAt) {
 			upstream = t.update(upstream, func(next *Upstream) { next.Direct = false })
 		}
 		actions = append(actions, t.checkLiveness(now, upstream)...)
@@ -88,7 +88,7 @@
 // upstream gone as soon as it resumes.
 func (t *Tracker) detectPause(now time.Time) {
 	h := &t.health
-	if t.Late == 0 || h.tickedAt.IsZero() || now.Sub(h.tickedAt) < t.Late {
+	if t.PauseThreshold == 0 || h.tickedAt.IsZero() || now.Sub(h.tickedAt) < t.PauseThreshold {
 		return
 	}
 	h.tickedAt = now
@@ -127,7 +127,7 @@
 // detectLocalFault raises the score when more than half of the upstreams that announce
 // themselves to this entry are silent together, since the fault is then likely on this side.
 func (t *Tracker) detectLocalFault(now time.Time) {
-	if t.Late == 0 || t.Suspicion == 0 || now.Sub(t.health.changedAt) < recoveryInterval {
+	if t.PauseThreshold == 0 || t.SuspicionTimeout == 0 || now.Sub(t.health.changedAt) < recoveryInterval {
 		return
 	}
 	direct, silent := 0, 0
@@ -136,7 +136,7 @@
 			continue
 		}
 		direct++
-		if t.silence(now, upstream) >= t.Suspicion {
+		if t.silence(now, upstream) >= t.SuspicionTimeout {
 			silent++
 		}
 	}
@@ -148,7 +148,7 @@
 
 // silence returns how long an upstream has been silent while this process was running.
 func (t *Tracker) silence(now time.Time, u *Upstream) time.Duration {
-	return now.Sub(latest(u.HeardAt, t.health.resumedAt))
+	return now.Sub(latest(u.AnnouncedAt, t.health.resumedAt))
 }
 
 // checkLiveness moves a silent upstream from announced to suspected, and from suspected to gone.
@@ -159,15 +159,15 @@
 		}
 		return t.remove(now, u, "left")
 	}
-	multiplier := time.Duration(t.Health())
-	if u.HeardAt.After(u.DirectAt) {
+	multiplier := time.Duration(t.HealthMultiplier())
+	if u.AnnouncedAt.After(u.DirectAt) {
 		multiplier *= indirectTimeoutFactor
 	}
 	silence := t.silence(now, u)
 	switch {
 	case silence >= t.Expiry*multiplier:
 		return t.remove(now, u, "silent")
-	case t.Suspicion == 0 || silence < t.Suspicion*multiplier:
+	case t.SuspicionTimeout == 0 || silence < t.SuspicionTimeout*multiplier:
 		return nil
 	case !u.Suspected:
 		return t.suspect(now, u, false)
@@ -184,7 +184,7 @@
 // spreadSuspicionAfter returns the silence after which a suspicion that no probe has refuted is
 // spread.
 func (t *Tracker) spreadSuspicionAfter() time.Duration {
-	return t.Suspicion + (t.Expiry-t.Suspicion)/probeDivisor
+	return t.SuspicionTimeout + (t.Expiry-t.SuspicionTimeout)/probeDivisor
 }
 
 // suspect marks an upstream as suspected. A suspicion that another entry has reported is spread
@@ -196,9 +196,9 @@
 		next.SuspicionSpread = reported
 	})
 	actions := []Action{Changed{}, Suspected{
-		Upstream: next,
-		Silence:  now.Sub(u.HeardAt).String(),
-		Health:   t.Health(),
+		Upstream:         next,
+		Silence:          now.Sub(u.AnnouncedAt).String(),
+		HealthMultiplier: t.HealthMultiplier(),
 	}}
 	if reported {
 		return append(actions, Spread{
--- a/src/tracker/load_test.go
+++ b/src/tracker/load_test.go
@@ -17,7 +17,7 @@
 	}
 	first := announcement(1, 1, false)
 	table.Step(now, Announced{Announcement: first})
-	live := table.Find("ember-1").Live
+	live := table.Find("ember-1").Local
 	live.InFlight.Store(6)
 	table.Step(now, Ticked{})
 	now = now.Add(200 * time.Millisecond)
@@ -30,7 +30,7 @@
 		AgeMs:   200,
 	}
 	table.Step(now, Announced{Announcement: report})
-	if got, want := table.Find("ember-1").Load.Others, 4; got != want {
+	if got, want := table.Find("ember-1").Load.PeerCalls, 4; got != want {
 		t.Errorf("calls of other entries: got %d, want %d", got, want)
 	}
 }
--- a/src/tracker/rumour.go
+++ b/src/tracker/rumour.go
@@ -74,7 +74,7 @@
 	if ended != nil && (incarnation < ended.incarnation || ended.covers(incarnation, a.GetSequence())) {
 		return nil
 	}
-	return []Action{Lacking{Upstream: units.Upstream(a.GetUpstream())}}
+	return []Action{MissingAnnouncement{Upstream: units.Upstream(a.GetUpstream())}}
 }
 
 // mergeSuspicion adopts another entry's suspicion, or refutes it by a newer announcement.
@@ -130,7 +130,7 @@
 	return &messages.Rumour{
 		Announcement: a,
 		State:        state,
-		AgeMs:        max(0, now.Sub(u.HeardAt)).Milliseconds(),
+		AgeMs:        max(0, now.Sub(u.AnnouncedAt)).Milliseconds(),
 	}
 }
 
@@ -157,7 +157,7 @@
 			Upstream:    string(name),
 			Incarnation: uint64(u.Incarnation),
 			Sequence:    u.Sequence,
-			State:       u.rumour(u.HeardAt).GetState(),
+			State:       u.rumour(u.AnnouncedAt).GetState(),
 		})
 	}
 	return lines
--- a/src/tracker/tracker.go
+++ b/src/tracker/tracker.go
@@ -14,13 +14,13 @@
 // Tracker is the table of announced upstreams. It is a state machine; its fields are set
 // before the first Step.
 type Tracker struct {
-	// Suspicion is the silence after which an upstream is suspected; 0 suspects none.
-	Suspicion time.Duration
+	// SuspicionTimeout is the silence after which an upstream is suspected; 0 suspects none.
+	SuspicionTimeout time.Duration
 	// Expiry is how long an upstream counts as live without an announcement.
 	Expiry time.Duration
-	// Late is the time between two ticks from which this process counts as having been
+	// PauseThreshold is the time between two ticks from which this process counts as having been
 	// suspended; with 0 it never does.
-	Late time.Duration
+	PauseThreshold time.Duration
 
 	upstreams  map[units.Upstream]*Upstream
 	tombstones map[units.Upstream]*tombstone
@@ -41,7 +41,7 @@
 			return []Action{Refused{Err: justResumedError(e.Announcement)}}
 		}
 		return t.announce(now, e.Announcement)
-	case Told:
+	case RumourReceived:
 		if t.isJustResumed(now) {
 			return nil
 		}
@@ -130,9 +130,9 @@
 		next.inheritFrom(known)
 	} else {
 		t.lastNumber++
-		next.Live.Number = t.lastNumber
+		next.Local.ID = t.lastNumber
 	}
-	next.Load.subtractOwnCalls(next.Live)
+	next.Load.subtractOwnCalls(next.Local)
 	t.upstreams[next.Name] = next
 	actions := []Action{Changed{}, Spread{
 		Rumour: next.rumour(now),
@@ -161,10 +161,10 @@
 
 // inheritFrom copies what outlasts a single announcement from the known one.
 func (u *Upstream) inheritFrom(known *Upstream) {
-	u.Live = known.Live
+	u.Local = known.Local
 	u.Direct = u.Direct || known.Direct
 	u.DirectAt = latest(u.DirectAt, known.DirectAt)
-	u.HeardAt = latest(u.HeardAt, known.HeardAt)
+	u.AnnouncedAt = latest(u.AnnouncedAt, known.AnnouncedAt)
 }
 
 // isNameConflict reports whether next claims the name of a live upstream at another address.
--- a/src/tracker/tracker_test.go
+++ b/src/tracker/tracker_test.go
@@ -106,8 +106,8 @@
 		t.Run(name, func(t *testing.T) {
 			now := time.Unix(0, 0)
 			table := &Tracker{
-				Suspicion: testExpiry / 2,
-				Expiry:    testExpiry,
+				SuspicionTimeout: testExpiry / 2,
+				Expiry:           testExpiry,
 			}
 			for round := range uint64(2) {
 				for i := range 4 {
--- a/src/tracker/upstream.go
+++ b/src/tracker/upstream.go
@@ -36,8 +36,8 @@
 	Role           string
 	LoadingVersion units.ModelVersion
 	ChecksFencing  bool
-	// HeardAt is when the announcement left the upstream, as far as is known here.
-	HeardAt time.Time
+	// AnnouncedAt is when the announcement left the upstream, as far as is known here.
+	AnnouncedAt time.Time
 	// Direct is set once the upstream has announced itself to this entry, last at DirectAt.
 	Direct   bool
 	DirectAt time.Time
@@ -47,8 +47,8 @@
 	SuspicionSpread bool
 	// Announcement is the message as received; it is immutable.
 	Announcement *messages.Announcement
-	// Live is shared by all announcements of one incarnation.
-	Live *Live
+	// Local is shared by all announcements of one incarnation.
+	Local *LocalState
 }
 
 // Load is an upstream's load as measured by itself.
@@ -57,8 +57,8 @@
 	Queued       int
 	QueuedTokens units.Tokens
 	MeasuredAt   time.Time
-	// Others is how many of the running and queued calls came from other entries.
-	Others int
+	// PeerCalls is how many of the running and queued calls came from other entries.
+	PeerCalls int
 }
 
 // KV is the size and transfer rate of an engine's KV cache export; zeros mean that it exports
@@ -68,17 +68,17 @@
 	BytesPerSecond int64
 }
 
-// Live is this entry's own state of an upstream; request goroutines update it.
-type Live struct {
+// LocalState is this entry's own state of an upstream; request goroutines update it.
+type LocalState struct {
 	InFlight atomic.Int64
-	// Prefill counts prompt tokens sent whose calls have no first token yet.
-	Prefill atomic.Int64
-	// Idle counts idle connections of this process.
-	Idle atomic.Int64
-	// Number identifies the incarnation within this process, from 1.
-	Number uint32
-	// Since is when the incarnation was first seen.
-	Since time.Time
+	// PrefillTokens counts prompt tokens sent whose calls have no first token yet.
+	PrefillTokens atomic.Int64
+	// IdleConnections counts idle connections of this process.
+	IdleConnections atomic.Int64
+	// ID identifies the incarnation within this process, from 1.
+	ID uint32
+	// FirstSeenAt is when the incarnation was first seen.
+	FirstSeenAt time.Time
 	// EjectedUntil is in nanoseconds of Unix time, 0 if the upstream was never ejected.
 	EjectedUntil atomic.Int64
 
@@ -97,7 +97,7 @@
 const historyLength = 32
 
 // sample records the number of calls in flight now.
-func (l *Live) sample(now time.Time) {
+func (l *LocalState) sample(now time.Time) {
 	l.history[l.samples%historyLength] = sample{
 		at:       now,
 		inFlight: l.InFlight.Load(),
@@ -107,7 +107,7 @@
 
 // inFlightAt returns the number of calls in flight at an earlier time, by the last sample
 // before it.
-func (l *Live) inFlightAt(at time.Time) int64 {
+func (l *LocalState) inFlightAt(at time.Time) int64 {
 	for i := l.samples - 1; i >= max(0, l.samples-historyLength); i-- {
 		if known := l.history[i%historyLength]; !known.at.After(at) {
 			return known.inFlight
@@ -118,9 +118,9 @@
 
 // subtractOwnCalls sets Others by subtracting this entry's own calls, which it knows more
 // exactly and without delay.
-func (l *Load) subtractOwnCalls(live *Live) {
+func (l *Load) subtractOwnCalls(live *LocalState) {
 	own := live.inFlightAt(l.MeasuredAt)
-	l.Others = max(0, l.Running+l.Queued-int(own))
+	l.PeerCalls = max(0, l.Running+l.Queued-int(own))
 }
 
 // acceptsWork reports whether an upstream would accept new calls.
@@ -155,15 +155,15 @@
 		Role:           a.GetRole(),
 		LoadingVersion: units.ModelVersion(a.GetLoadingVersion()),
 		ChecksFencing:  a.GetChecksFencing(),
-		HeardAt:        now,
+		AnnouncedAt:    now,
 		Announcement:   a,
 		PrefillPerStep: units.Tokens(a.GetPrefillPerStep()),
 		KV: KV{
 			BytesPerToken:  int64(a.GetKvBytesPerToken()),
 			BytesPerSecond: int64(a.GetKvBytesPerSecond()),
 		},
-		Live: &Live{
-			Since: now,
+		Local: &LocalState{
+			FirstSeenAt: now,
 		},
 	}
 }
--- a/src/watcher/limits.go
+++ b/src/watcher/limits.go
@@ -57,7 +57,7 @@
 	if perStep <= 0 {
 		perStep = unknownPrefill
 	}
-	waiting := upstream.Load.QueuedTokens + units.Tokens(upstream.Live.Prefill.Load()) + prompt
+	waiting := upstream.Load.QueuedTokens + units.Tokens(upstream.Local.PrefillTokens.Load()) + prompt
 	prefill := time.Duration(waiting/perStep+1) * step
 	return prefill + queueWait(upstream, step)
 }
@@ -67,7 +67,7 @@
 	if upstream.Slots <= 0 {
 		return 0
 	}
-	own := int(upstream.Live.InFlight.Load())
+	own := int(upstream.Local.InFlight.Load())
 	under := max(own, upstream.Load.Running+upstream.Load.Queued)
 	excess := under - upstream.Slots
 	if excess < 0 {
--- a/src/watcher/watcher_test.go
+++ b/src/watcher/watcher_test.go
@@ -22,7 +22,7 @@
 				QueuedTokens: waiting,
 				Running:      running,
 			},
-			Live: &tracker.Live{},
+			Local: &tracker.LocalState{},
 		}
 	}
 	const step = 2 * time.Millisecond
