--- a/src/governor/pack.go
+++ b/src/governor/compress.go
@@ -9,17 +9,17 @@
 	"github.com/rosecroft/rosecroft/src/messages"
 )
 
-// mostUnpacked bounds what is unpacked, in bytes.
-const mostUnpacked = 16 << 20
+// maxDecompressed bounds the size of decompressed content, in bytes.
+const maxDecompressed = 16 << 20
 
-// pack returns a configuration as entries get it. One of a thousand routes is
-// 300 KB; sent as it is to sixty entries with slow links it takes longer than a
-// poll may, so that each asks again and the leader can do nothing else. Packed it
-// is a tenth or less.
-func pack(d *messages.Declaration) (*messages.Declaration, error) {
+// compressConfiguration returns a configuration in the form that is sent to entries. A
+// configuration of a thousand routes is 300 KB. Sent uncompressed to sixty entries over slow
+// links, it takes longer than a poll's timeout, so every entry polls again and the leader can
+// do nothing else. Compressed it is a tenth of that size or less.
+func compressConfiguration(d *messages.Declaration) (*messages.Declaration, error) {
 	packed, err := compress(d.GetDocument())
 	if err != nil {
-		return nil, fmt.Errorf("pack the configuration: %w", err)
+		return nil, fmt.Errorf("compress the configuration: %w", err)
 	}
 	return &messages.Declaration{
 		Version:  d.GetVersion(),
@@ -27,11 +27,11 @@
 	}, nil
 }
 
-// Unpack returns the document of a configuration that came with a poll's answer.
+// Unpack decompresses the document of a configuration received in a poll response.
 func Unpack(d *messages.Declaration) ([]byte, error) {
 	document, err := decompress(d.GetDocument())
 	if err != nil {
-		return nil, fmt.Errorf("unpack the configuration: %w", err)
+		return nil, fmt.Errorf("decompress the configuration: %w", err)
 	}
 	return document, nil
 }
@@ -56,12 +56,12 @@
 	if err != nil {
 		return nil, err
 	}
-	content, err := io.ReadAll(io.LimitReader(reader, mostUnpacked+1))
+	content, err := io.ReadAll(io.LimitReader(reader, maxDecompressed+1))
 	if err != nil {
 		return nil, err
 	}
-	if len(content) > mostUnpacked {
-		return nil, fmt.Errorf("it is larger than %d bytes; split the deployment", mostUnpacked)
+	if len(content) > maxDecompressed {
+		return nil, fmt.Errorf("content is larger than %d bytes; split the deployment", maxDecompressed)
 	}
 	return content, nil
 }
--- a/src/governor/coordinator.go
+++ b/src/governor/coordinator.go
@@ -24,25 +24,26 @@
 )
 
 const (
-	boxSize = 1024
-	// pollsSize is how many polls wait at most; more wait at their connections.
-	pollsSize = 256
-	// pollPatience is how long a poll is worth an answer: by then its entry asks again.
-	pollPatience = 400 * time.Millisecond
+	eventQueueSize = 1024
+	// pollQueueSize is the maximum number of queued polls; more wait at their connections.
+	pollQueueSize = 256
+	// pollTimeout is how long a poll is worth answering: after that its entry polls again.
+	pollTimeout  = 400 * time.Millisecond
 	tickInterval = 20 * time.Millisecond
-	// startGrace is how many more heartbeats an instance takes without a leader after its
-	// start: fewer than it takes for an upstream that nobody hears to count as silent.
-	startGrace = 1
-	// spreadTicks is how many ticks gather heartbeats into one batch.
-	spreadTicks = 2
-	// heartbeat and election suit links of a few milliseconds and disks that sync
-	// in tens of them; a lost leader is replaced within a second.
-	heartbeat = 75 * time.Millisecond
-	election  = 450 * time.Millisecond
-	// repair is how long a voter may be gone before a spare takes its place, well
-	// below the time after which another loss must be borne.
-	repair = 2 * time.Second
-	// snapshotRecords and snapshotBytes bound the log and the time of a restart.
+	// startGraceHeartbeats is how many additional heartbeat intervals an instance accepts
+	// heartbeats without a leader after its start. It must be less than the number of
+	// intervals after which an upstream whose heartbeats no one receives counts as silent.
+	startGraceHeartbeats = 1
+	// batchTicks is how many ticks of heartbeats are sent in one batch.
+	batchTicks = 2
+	// heartbeatInterval and electionTimeout suit links with latencies of a few milliseconds
+	// and disks that sync in tens of milliseconds; a lost leader is replaced within a second.
+	heartbeatInterval = 75 * time.Millisecond
+	electionTimeout   = 450 * time.Millisecond
+	// repairDelay is how long a voter may be unreachable before a spare replaces it, well
+	// below the interval after which another loss must be tolerated.
+	repairDelay = 2 * time.Second
+	// snapshotRecords and snapshotBytes bound the size of the log and the time of a restart.
 	snapshotRecords = 256
 	snapshotBytes   = 8 << 20
 )
@@ -56,37 +57,41 @@
 	node     *replicator.Node
 	state    *state
 	outbox   *outbox
-	box      chan event
-	polls    chan polled
-	// ctx ends what the coordinator sends on its own account.
+	events   chan event
+	polls    chan pollReceived
+	// ctx ends the calls that the coordinator itself starts.
 	ctx context.Context
 
-	table     *enroller.Table
-	fresh     map[units.Upstream]bool
-	ticks     int
-	divider   *apportioner.Allocator
-	estimator timekeeper.Estimator
-	underWay  placer.LoadSum
-	digest    *digest
-	// declared is the configuration in force, packed its form for entries.
-	declared  *matcher.Declaration
-	packed    *messages.Declaration
-	role      replicator.RoleChanged
-	leadSince time.Time
-	// followedAt is when there was a leader last.
-	followedAt time.Time
-	// leadUntil is until when this instance may act as the leader, in
-	// nanoseconds, for goroutines that act for it.
-	leadUntil atomic.Int64
-	proposals map[uint64]chan<- declareReply
-	pending   map[units.Index]pendingProposal
-	nextToken uint64
-	duties    *duties
-	memory    *memory
-	rollouts  *rollouts
-	// quarantines keeps requests that end upstreams away from them.
+	table *enroller.Table
+	// unsent are the upstreams whose changes were not sent to the other control instances yet.
+	unsent      map[units.Upstream]bool
+	ticks       int
+	divider     *apportioner.Allocator
+	estimator   timekeeper.Estimator
+	inFlight    placer.LoadSum
+	pollSummary *pollSummary
+	// configuration is the decoded configuration in force, compressed the form that is sent
+	// to entries.
+	configuration *matcher.Declaration
+	compressed    *messages.Declaration
+	role          replicator.RoleChanged
+	leaderSince   time.Time
+	// leaderSeenAt is when a leader was last known.
+	leaderSeenAt time.Time
+	// leaderUntil is when this instance's right to act as the leader ends, in nanoseconds of
+	// Unix time. Goroutines that act for the leader read it.
+	leaderUntil atomic.Int64
+	// proposalsByToken holds proposals that have no log index yet, proposalsByIndex those
+	// that are not committed yet.
+	proposalsByToken map[uint64]chan<- declareReply
+	proposalsByIndex map[units.Index]pendingProposal
+	nextToken        uint64
+	duties           *duties
+	tableFile        *tableFile
+	rollouts         *rollouts
+	// quarantines blocks requests that terminate upstreams from reaching further ones.
 	quarantines *quarantines
-	pacing      *pacing
+	rateLimits  *rateLimits
 	pages       pages
 }
 
@@ -95,32 +100,33 @@
 	reply chan<- declareReply
 }
 
-func newCoordinator(g *Governor, folder *keeper.Keeper, kept *keeper.Kept) (*coordinator, error) {
+func newCoordinator(g *Governor, storage *keeper.Keeper, stored *keeper.Kept) (*coordinator, error) {
 	c := &coordinator{
 		settings: g.Settings,
 		log:      g.Log,
 		decode:   g.Decode,
-		keeper:   folder,
+		keeper:   storage,
 		state: &state{
 			ledger: &tallier.Ledger{
-				Length:   g.Settings.Usage.Window,
-				Patience: time.Duration(reportUse * float64(g.Settings.Usage.Lateness)),
-				Serves:   g.Settings.Revocation,
+				Length:     g.Settings.Usage.Window,
+				MaxWait:    time.Duration(reportWaitFraction * float64(g.Settings.Usage.Lateness)),
+				MaxServing: g.Settings.Revocation,
 			},
 		},
 		outbox: &outbox{client: g.Client},
-		box:    g.box,
+		events: g.events,
 		polls:  g.polls,
 		table: &enroller.Table{
 			ID:       rand.Uint64(),
 			Interval: g.Settings.HeartbeatInterval,
 		},
-		fresh: make(map[units.Upstream]bool),
-		// All control instances may have started together.
-		followedAt: timekeeper.Now().Add(startGrace * g.Settings.HeartbeatInterval),
-		divider:    &apportioner.Allocator{},
-		proposals:  make(map[uint64]chan<- declareReply),
-		pending:    make(map[units.Index]pendingProposal),
+		unsent: make(map[units.Upstream]bool),
+		// All control instances may have started at the same time, so there may be no leader
+		// yet.
+		leaderSeenAt:     timekeeper.Now().Add(startGraceHeartbeats * g.Settings.HeartbeatInterval),
+		divider:          &apportioner.Allocator{},
+		proposalsByToken: make(map[uint64]chan<- declareReply),
+		proposalsByIndex: make(map[units.Index]pendingProposal),
 	}
 	c.duties = &duties{
 		coordinator: c,
@@ -132,27 +138,27 @@
 	c.quarantines = &quarantines{
 		coordinator: c,
 	}
-	c.pacing = &pacing{
+	c.rateLimits = &rateLimits{
 		coordinator: c,
 	}
-	if err := c.restore(kept.Snapshot); err != nil {
+	if err := c.restore(stored.Snapshot); err != nil {
 		return nil, err
 	}
-	c.recall()
-	c.node = replicator.New(timekeeper.Now(), c.options(kept), replicator.Stored{
-		State:    kept.State,
-		Snapshot: kept.Snapshot,
-		Base:     kept.Base,
-		Records:  kept.Records,
+	c.loadTable()
+	c.node = replicator.New(timekeeper.Now(), c.options(stored), replicator.Stored{
+		State:    stored.State,
+		Snapshot: stored.Snapshot,
+		Base:     stored.Base,
+		Records:  stored.Records,
 	})
 	return c, nil
 }
 
-// recall puts the upstreams that were kept into the table; without them they come
-// back by their heartbeats.
-func (c *coordinator) recall() {
-	c.memory = newMemory(c.settings.DataFolder)
-	count, err := c.memory.load(timekeeper.Now(), c.table)
+// loadTable restores the upstreams saved on disk. Without them the table fills up again with
+// the heartbeats of the upstreams.
+func (c *coordinator) loadTable() {
+	c.tableFile = newTableFile(c.settings.DataFolder)
+	count, err := c.tableFile.load(timekeeper.Now(), c.table)
 	if err != nil {
 		c.log.Warn().Err(err).Msg("upstreams-not-recalled")
 		return
@@ -160,24 +166,24 @@
 	c.log.Info().Int("upstreams", count).Msg("upstreams-recalled")
 }
 
-// options sets up the voter. Only the seeds of the very first start found a log:
-// any other instance may have forgotten one, and waits to be taken in.
-func (c *coordinator) options(kept *keeper.Kept) replicator.Options {
+// options configures the voter. Only the seeds may create a log, and only at the very first
+// start: any other instance may have lost a log that it had, and waits to be added to one.
+func (c *coordinator) options(stored *keeper.Kept) replicator.Options {
 	seeds := c.settings.SeedPeers()
 	own := c.settings.OwnPeerAddress()
 	options := replicator.Options{
-		ID:              kept.ID,
+		ID:              stored.ID,
 		DataCentre:      c.settings.DataCentre,
 		Voters:          c.settings.Voters(),
-		Heartbeat:       heartbeat,
-		Election:        election,
-		Repair:          repair,
+		Heartbeat:       heartbeatInterval,
+		Election:        electionTimeout,
+		Repair:          repairDelay,
 		SnapshotRecords: snapshotRecords,
 		SnapshotBytes:   snapshotBytes,
 		Random:          rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 		Joining:         !c.settings.FirstStart || !slices.Contains(seeds, own),
 	}
-	// All seeds must agree on the order, whatever order each was told.
+	// All seeds must agree on the order, in whatever order their settings list them.
 	slices.Sort(seeds)
 	for _, seed := range seeds {
 		options.Instances = append(options.Instances, replicator.Place{Instance: units.Instance(seed)})
@@ -185,35 +191,35 @@
 	return options
 }
 
-// run takes events until ctx ends or the disk fails.
+// run handles events until ctx ends or the disk fails.
 func (c *coordinator) run(ctx context.Context) error {
 	c.ctx = ctx
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
-		e := c.next(ctx, ticker.C)
+		e := c.nextEvent(ctx, ticker.C)
 		if e == nil {
 			return nil
 		}
-		if err := c.take(e); err != nil {
+		if err := c.handle(e); err != nil {
 			return err
 		}
 	}
 }
 
-// next returns what is to be done next, nil once ctx ends. Polls go last.
+// nextEvent returns the next event, nil once ctx ends. Polls have the lowest priority.
 //
-// With one box for all, the polls of two hundred entries stood before the voters'
-// messages: the leader sent its heartbeats late, lost its majority on a day without
-// faults, and all entries asked all the others who leads. Polls that wait a little longer
-// cost nothing that an election does not cost many times.
-func (c *coordinator) next(ctx context.Context, ticks <-chan time.Time) event {
+// With a single queue, the polls of two hundred entries were handled before the voters'
+// messages: the leader sent its heartbeats late, lost its majority without any fault, and all
+// entries polled every control instance to find the leader. Polls that wait a little longer
+// cost far less than an election.
+func (c *coordinator) nextEvent(ctx context.Context, ticks <-chan time.Time) event {
 	select {
 	case <-ctx.Done():
 		return nil
 	case <-ticks:
-		return ticked{}
-	case e := <-c.box:
+		return timeTick{}
+	case e := <-c.events:
 		return e
 	default:
 	}
@@ -221,8 +227,8 @@
 	case <-ctx.Done():
 		return nil
 	case <-ticks:
-		return ticked{}
-	case e := <-c.box:
+		return timeTick{}
+	case e := <-c.events:
 		return e
 	case p := <-c.polls:
 		return p
@@ -235,115 +241,115 @@
 	}
 	now := timekeeper.Now()
 	if c.node.LeaderID() != "" {
-		c.followedAt = now
+		c.leaderSeenAt = now
 	}
 	c.table.Expire(now)
-	if err := c.memory.keep(now, c.table); err != nil {
+	if err := c.tableFile.save(now, c.table); err != nil {
 		c.log.Warn().Err(err).Msg("upstreams-not-kept")
 	}
-	if c.ticks++; c.ticks%spreadTicks == 0 {
-		c.spreadFresh(now)
+	if c.ticks++; c.ticks%batchTicks == 0 {
+		c.sendBatch(now)
 	}
-	return c.lead(ctx, now)
+	return c.tickLeader(ctx, now)
 }
 
-// lead keeps the duties while this instance leads.
-func (c *coordinator) lead(ctx context.Context, now time.Time) error {
-	if c.leads(now) {
-		c.pacing.work(now)
-		if err := errors.Join(c.rollouts.work(now), c.quarantines.work(now)); err != nil {
+// tickLeader does the leader's periodic work while this instance leads.
+func (c *coordinator) tickLeader(ctx context.Context, now time.Time) error {
+	if c.isLeader(now) {
+		c.rateLimits.tick(now)
+		if err := errors.Join(c.rollouts.tick(now), c.quarantines.tick(now)); err != nil {
 			return err
 		}
 	}
-	// The holder before may still act: its calls under way arrive late. Holders
-	// that took turns within the span would contradict each other.
-	if !c.leads(now) || now.Sub(c.leadSince) < dutyWait(c.node.Term(), c.settings.DutyLease) {
+	// The previous holder may still act: its calls in flight arrive late. Holders that
+	// alternate within the lease would contradict each other.
+	if !c.isLeader(now) || now.Sub(c.leaderSince) < dutyDelay(c.node.Term(), c.settings.DutyLease) {
 		return nil
 	}
-	return c.duties.work(ctx, now)
+	return c.duties.tick(ctx, now)
 }
 
-// firstTerm is the term of the first leader that a log can have.
+// firstTerm is the lowest term in which a log can have a leader.
 const firstTerm units.Term = 1
 
-// dutyWait returns how long a leader leaves what it does for all alone: the one before
-// may have sent something that is still on its way. Nobody was before the first, and
-// each second that it waits a whole fleet stands at the full price.
-func dutyWait(term units.Term, lease time.Duration) time.Duration {
+// dutyDelay returns how long a new leader waits before it acts on the duties: its predecessor
+// may have sent something that is still on its way. The first leader has no predecessor, and
+// each second that it waited would be paid for a whole fleet at the full price.
+func dutyDelay(term units.Term, lease time.Duration) time.Duration {
 	if term == firstTerm {
 		return 0
 	}
 	return lease
 }
 
-// leads reports whether this instance leads, and makes anew what a leader keeps of
-// the entries.
+// isLeader reports whether this instance leads. The first call of a leadership resets what
+// the leader has received from entries.
 //
-// Whoever asks first after the election must find it made: answered from before,
-// entries took an account's limit from a bucket of no known size, and admitted all
-// its calls for a second.
-func (c *coordinator) leads(now time.Time) bool {
+// The reset must precede the first answer to a poll. With the state of an earlier leadership,
+// entries took an account's limit from a bucket of unknown size and admitted all its calls
+// for a second.
+func (c *coordinator) isLeader(now time.Time) bool {
 	end := c.node.LeaseEnd(now)
 	if end.IsZero() {
-		c.leadUntil.Store(0)
-		c.leadSince = time.Time{}
+		c.leaderUntil.Store(0)
+		c.leaderSince = time.Time{}
 		return false
 	}
-	c.leadUntil.Store(end.UnixNano())
-	if c.leadSince.IsZero() {
-		c.leadSince = now
+	c.leaderUntil.Store(end.UnixNano())
+	if c.leaderSince.IsZero() {
+		c.leaderSince = now
 		c.divider = &apportioner.Allocator{
 			Lease:  c.settings.Revocation,
 			Window: apportioner.NewWindow(c.settings.Quota),
 			Since:  now,
 		}
-		// The last digest has the entries of an earlier leadership.
-		c.digest = nil
-		c.duties.begin()
-		c.rollouts.begin()
-		c.quarantines.begin()
-		c.pacing.begin()
+		// The cached summary counts the entries of an earlier leadership.
+		c.pollSummary = nil
+		c.duties.startLeadership()
+		c.rollouts.startLeadership()
+		c.quarantines.startLeadership()
+		c.rateLimits.startLeadership()
 	}
 	return true
 }
 
-func (c *coordinator) take(e event) error {
+func (c *coordinator) handle(e event) error {
 	switch e := e.(type) {
-	case arrived:
+	case logMessageReceived:
 		return c.step(replicator.Received{Message: e.message})
-	case declared:
-		return c.declare(e)
-	case asked:
+	case declareRequested:
+		return c.handleDeclare(e)
+	case readRequested:
 		e.reply <- c.read()
-	case ticked:
+	case timeTick:
 		return c.tick(c.ctx)
-	case polled:
-		return c.answer(e)
-	case announced:
-		e.reply <- c.announce(e)
-	case spread:
-		e.reply <- c.spread(e.batch)
-	case rolloutAsked:
+	case pollReceived:
+		return c.handlePoll(e)
+	case announcement:
+		e.reply <- c.handleAnnouncement(e)
+	case syncUpstreams:
+		e.reply <- c.syncUpstreams(e.batch)
+	case rolloutRequested:
 		return c.rollouts.start(e)
-	case rolloutRead:
+	case rolloutReadRequested:
 		e.reply <- c.rollouts.read(e.service)
-	case reportEnded:
-		c.duties.reported(e)
-	case orderEnded:
-		c.duties.orders.ended(e, c.duties)
-	case reloaded:
+	case usageReportDone:
+		c.duties.handleReportResult(e)
+	case orderDone:
+		c.duties.orders.handleResult(e, c.duties)
+	case settingsReloaded:
 		for _, seed := range e.settings.SeedPeers() {
 			c.node.Meet(units.Instance(seed))
 		}
-	case dumpAsked:
+	case dumpRequested:
 		e.reply <- c.dump()
 	}
 	return nil
 }
 
-// declare proposes a configuration, or answers at once where this instance leads
-// and a higher one is in force: that one is committed, so that the answer stands.
-func (c *coordinator) declare(e declared) error {
+// handleDeclare proposes a configuration. It replies at once where this instance leads and
+// the same or a higher version is in force: that one is committed, so the reply is final.
+func (c *coordinator) handleDeclare(e declareRequested) error {
 	if !c.node.Lead(timekeeper.Now()) {
 		e.reply <- declareReply{leader: string(c.node.LeaderID())}
 		return nil
@@ -353,7 +359,7 @@
 		return nil
 	}
 	c.nextToken++
-	c.proposals[c.nextToken] = e.reply
+	c.proposalsByToken[c.nextToken] = e.reply
 	return c.step(replicator.Proposed{
 		Command: &messages.Command{
 			Change: &messages.Command_Declaration{
@@ -364,19 +370,18 @@
 	})
 }
 
-// read answers from the state while the lease shows that no later leader has
-// changed it.
+// read replies from the state while the lease guarantees that no later leader has changed it.
 func (c *coordinator) read() readReply {
 	if !c.node.Lead(timekeeper.Now()) {
 		return readReply{leader: string(c.node.LeaderID())}
 	}
 	return readReply{
-		sure:        true,
-		declaration: c.state.declaration,
+		authoritative: true,
+		declaration:   c.state.declaration,
 	}
 }
 
-// controls returns the addresses of all control instances that are known.
+// controls returns the addresses of all known control instances.
 func (c *coordinator) controls() []string {
 	addresses := []string{c.settings.OwnPeerAddress()}
 	for _, instance := range c.node.Acquaintances() {
--- a/src/governor/coordinator_test.go
+++ b/src/governor/coordinator_test.go
@@ -21,7 +21,7 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// newInstance returns a governor and its coordinator that has not ticked.
+// newInstance returns a governor and its coordinator, which has not ticked yet.
 func newInstance(t testing.TB) (*Governor, *coordinator) {
 	t.Helper()
 	g := &Governor{
@@ -46,12 +46,12 @@
 		Client: &connector.Client{},
 	}
 	g.Prepare()
-	folder, kept, err := keeper.OpenUnnumbered(g.Settings.DataFolder, units.Instance(g.Settings.OwnPeerAddress()))
+	storage, stored, err := keeper.OpenUnnumbered(g.Settings.DataFolder, units.Instance(g.Settings.OwnPeerAddress()))
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = folder.Close() })
-	c, err := newCoordinator(g, folder, kept)
+	t.Cleanup(func() { _ = storage.Close() })
+	c, err := newCoordinator(g, storage, stored)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -59,12 +59,12 @@
 	return g, c
 }
 
-// newLeader returns a governor and its coordinator that has just won its election
-// and has not ticked since.
+// newLeader returns a governor and its coordinator, which has just won its election and has
+// not ticked since.
 func newLeader(t testing.TB) (*Governor, *coordinator) {
 	t.Helper()
 	g, c := newInstance(t)
-	// The voter's time is stepped on by hand, past the silence that an election takes.
+	// The voter's clock is advanced by hand, past the election timeout.
 	now := timekeeper.Now()
 	for range 500 {
 		if c.node.Lead(now) {
@@ -72,23 +72,23 @@
 		}
 		now = now.Add(tickInterval)
 		for _, action := range c.node.Step(now, replicator.Ticked{}) {
-			if err := c.carryOut(action); err != nil {
+			if err := c.execute(action); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
 	if !c.node.Lead(now) {
-		t.Fatal("a single voter does not lead after 10 s")
+		t.Fatal("single voter: got no leader after 10 s")
 	}
 	return g, c
 }
 
-// A leader is elected, and an entry polls it before anything else happens there.
-// What the leader would say of limits is from before its time, or from nowhere: an
-// entry that takes it over admits all calls of an account that sends too many.
-func TestFirstPollAfterAnElectionTellsNoLimits(t *testing.T) {
+// A leader is elected, and an entry polls it before any other event. The limits that the
+// leader could send date from before its leadership or have no basis at all: an entry that
+// applies them admits all calls of an account that exceeds its rate.
+func TestFirstPollAfterElectionGetsNoLimits(t *testing.T) {
 	_, c := newLeader(t)
-	c.declared = &matcher.Declaration{
+	c.configuration = &matcher.Declaration{
 		Accounts: []matcher.Account{{Name: "hot", Rate: 1000, Burst: 1000}},
 	}
 	c.divider = &apportioner.Allocator{}
@@ -105,34 +105,34 @@
 		t.Error("leads: got false, want true")
 	}
 	if got := response.GetShares(); len(got) > 0 {
-		t.Errorf("shares of limits: got %v, want none before all entries were heard", got)
+		t.Errorf("shares of limits: got %v, want none before all entries have polled", got)
 	}
 }
 
-// The first leader of all has no predecessor whose orders may still be on their way,
-// and each second that it waits costs a whole fleet at the full price. Later ones wait.
-func TestOnlyTheFirstLeaderActsAtOnce(t *testing.T) {
+// The very first leader has no predecessor whose orders may still be in flight, and each
+// second that it waits costs a whole fleet at the full price. Later leaders wait.
+func TestOnlyFirstLeaderSkipsDutyDelay(t *testing.T) {
 	const lease = 3 * time.Second
 	_, c := newLeader(t)
 	cases := map[string]struct {
 		term units.Term
 		want time.Duration
 	}{
-		"the only leader there was": {term: c.node.Term()},
-		"its successor":             {term: c.node.Term() + 1, want: lease},
-		"a much later one":          {term: 40, want: lease},
+		"the first leader":    {term: c.node.Term()},
+		"its successor":       {term: c.node.Term() + 1, want: lease},
+		"a much later leader": {term: 40, want: lease},
 	}
 	for name, test := range cases {
-		if got := dutyWait(test.term, lease); got != test.want {
-			t.Errorf("wait of %s: got %s, want %s", name, got, test.want)
+		if got := dutyDelay(test.term, lease); got != test.want {
+			t.Errorf("duty delay of %s: got %s, want %s", name, got, test.want)
 		}
 	}
 }
 
-// The leader is lost, and an entry is killed before there is another. What the entry
-// has counted since it told the leader is gone with both, and its callers' usage is
-// reported too low, unless the others that it asked meanwhile have kept it.
-func TestUsageIsHeardWithoutALeader(t *testing.T) {
+// The leader is lost, and an entry is killed before another is elected. What the entry
+// counted since its last report is lost with both, and its callers' usage is reported too
+// low, unless the other instances that it polled meanwhile have recorded it.
+func TestUsageIsRecordedWithoutLeader(t *testing.T) {
 	g, c := newInstance(t)
 	window := tallier.WindowAt(time.Now(), g.Settings.Usage.Window)
 	response := c.poll(&messages.EntryPoll{
@@ -145,7 +145,7 @@
 		}},
 	})
 	if response.GetLeads() {
-		t.Fatal("leads: got true, want an instance that does not")
+		t.Fatal("leads: got true, want false")
 	}
 	report, due := c.state.ledger.Due(time.Now().Add(time.Minute))
 	if got, want := report.Counts["a"], int64(7); !due || got != want {
@@ -153,23 +153,23 @@
 	}
 }
 
-// An upstream says to the leader that it leaves, and the leader is suspended right
-// after its answer. Entries that have not polled since ask the next leader; they send
-// calls to an upstream that is gone unless every other control instance was told
-// before the answer, or the upstream was left to ask again.
-func TestLeavingIsToldBeforeItIsAcknowledged(t *testing.T) {
+// An upstream announces to the leader that it is leaving, and the leader is suspended right
+// after its reply. Entries that have not polled since then poll the next leader. They send
+// calls to an upstream that is gone, unless every other control instance was notified before
+// the reply, or the upstream got an error and has to announce it again.
+func TestLeavingIsReplicatedBeforeAcknowledgement(t *testing.T) {
 	cases := map[string]struct {
 		reachable bool
 		wantErr   bool
 	}{
-		"others in reach":     {reachable: true},
-		"others out of reach": {wantErr: true},
+		"peers reachable":   {reachable: true},
+		"peers unreachable": {wantErr: true},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			g, c := newLeader(t)
 			g.Settings.LostDisks = 1
-			told := make(chan string, 2)
+			received := make(chan string, 2)
 			for range 2 {
 				listener, err := net.Listen("tcp", "127.0.0.1:0")
 				if err != nil {
@@ -181,8 +181,8 @@
 					continue
 				}
 				server := &connector.Server{Listener: listener}
-				connector.Handle(server, MethodSpread, func(_ context.Context, _ connector.Peer, m *messages.UpstreamBatch) (*messages.UpstreamBatchResponse, error) {
-					told <- m.GetUpstreams()[0].GetId()
+				connector.Handle(server, MethodUpstreamBatch, func(_ context.Context, _ connector.Peer, m *messages.UpstreamBatch) (*messages.UpstreamBatchResponse, error) {
+					received <- m.GetUpstreams()[0].GetId()
 					return &messages.UpstreamBatchResponse{}, nil
 				})
 				go func() { _ = server.Run(t.Context()) }()
@@ -196,10 +196,10 @@
 				Sequence: 1,
 			})
 			if (err != nil) != test.wantErr {
-				t.Errorf("announcement: got error %v, want one: %t", err, test.wantErr)
+				t.Errorf("announcement: got error %v, want an error: %t", err, test.wantErr)
 			}
-			if got := len(told); test.reachable && got != 2 {
-				t.Errorf("control instances told before the acknowledgement: got %d, want 2", got)
+			if got := len(received); test.reachable && got != 2 {
+				t.Errorf("control instances notified before the acknowledgement: got %d, want 2", got)
 			}
 		})
 	}
--- a/src/governor/dump.go
+++ b/src/governor/dump.go
@@ -8,7 +8,7 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// Dump is a control process's state as operators see it.
+// Dump is the state of a control process in the form shown to operators.
 type Dump struct {
 	Voter     string         `yaml:"voter"`
 	Role      string         `yaml:"role"`
@@ -21,7 +21,7 @@
 	Members   []string       `yaml:"members"`
 	Entries   int            `yaml:"entries"`
 	Upstreams []DumpUpstream `yaml:"upstreams"`
-	// Quarantines are the requests that are or were kept from upstreams.
+	// Quarantines are the requests that are or were quarantined.
 	Quarantines []DumpQuarantine `yaml:"quarantines"`
 }
 
@@ -30,7 +30,7 @@
 	Fingerprint string `yaml:"fingerprint"`
 	Strikes     uint32 `yaml:"strikes"`
 	Upstreams   uint32 `yaml:"upstreams"`
-	// LeftMs is how much longer it lasts, below 0 where it is over.
+	// LeftMs is the remaining time of the quarantine, negative once it is over.
 	LeftMs int64 `yaml:"left-ms"`
 }
 
@@ -41,11 +41,11 @@
 	State   string `yaml:"state"`
 	Silent  bool   `yaml:"silent"`
 	HeardMs int64  `yaml:"heard-ms"`
-	// InFlight and Unread are the calls of all entries there, and their prompt tokens that
-	// wait to be read, where this instance leads.
+	// InFlight and Unread are the calls that all entries have in flight there and the prompt
+	// tokens of these calls that are not prefilled yet; only the leader knows them.
 	InFlight int64 `yaml:"in-flight"`
 	Unread   int64 `yaml:"unread"`
-	// Limit is how many calls a second it says that it takes, nil for as many as come.
+	// Limit is the rate limit that the upstream states, in calls per second, nil for none.
 	Limit *float64 `yaml:"limit,omitempty"`
 }
 
@@ -66,7 +66,7 @@
 		d.Members = append(d.Members, member.GetId())
 	}
 	trueNow := c.trueTime(now)
-	for _, m := range c.state.quarantined().GetRequests() {
+	for _, m := range c.state.quarantineList().GetRequests() {
 		d.Quarantines = append(d.Quarantines, DumpQuarantine{
 			Fingerprint: units.Fingerprint(m.GetRequest()).String(),
 			Strikes:     m.GetStrikes(),
@@ -74,10 +74,10 @@
 			LeftMs:      time.Unix(0, m.GetUntilNs()).Sub(trueNow).Milliseconds(),
 		})
 	}
-	underWay := c.underWay.Total()
-	limits := c.pacing.limits()
+	inFlight := c.inFlight.Total()
+	limits := c.rateLimits.limits()
 	for _, e := range c.table.Entries() {
-		load := underWay[placer.HashOf(e.ID)]
+		load := inFlight[placer.HashOf(e.ID)]
 		d.Upstreams = append(d.Upstreams, DumpUpstream{
 			Name:     string(e.ID),
 			Service:  string(e.Service),
--- a/src/governor/duties.go
+++ b/src/governor/duties.go
@@ -15,76 +15,78 @@
 const (
 	// cloudTimeout bounds one call to the platform.
 	cloudTimeout = 2 * time.Second
-	// reportUse is the part of the time within which a window's usage is wanted that
-	// it waits for entries that are not heard; the rest is for the call, once again
-	// where it gets no answer.
-	reportUse = 0.75
+	// reportWaitFraction is the fraction of the time allowed for reporting a window's usage
+	// during which the window waits for entries that are not in contact. The rest is for the
+	// call to the platform, and for one retry where it gets no answer.
+	reportWaitFraction = 0.75
 )
 
-// Cloud is the platform's interface for what one instance does for all.
+// Cloud is the platform's API for actions that exactly one instance takes on behalf of all.
 type Cloud interface {
-	// ReportUsage reports one window; a *FencedError as its error ends the duty.
+	// ReportUsage reports one window. A *FencedError means that this instance no longer holds
+	// the duty.
 	ReportUsage(ctx context.Context, holder Holder, report tallier.Report) error
-	// Scale orders upstreams; a *FencedError as its error ends the duty, an
-	// *UnavailableError says that none are to be had now.
+	// Scale orders upstreams. A *FencedError means that this instance no longer holds the
+	// duty, an *UnavailableError that none are available now.
 	Scale(ctx context.Context, holder Holder, order Order) error
 }
 
-// UnavailableError says that the platform has no more upstreams of a kind now.
+// UnavailableError is returned where the platform has no more upstreams of a kind now.
 type UnavailableError struct {
 	Order Order
 }
 
-// Error names the remedy.
+// Error states the cause and the remedy.
 func (e *UnavailableError) Error() string {
 	return "the platform has no more upstreams of " + string(e.Order.Service) + " in " + string(e.Order.DataCentre) +
 		"; order them elsewhere or later"
 }
 
-// duties are what the leader does for all; the coordinator alone uses them.
+// duties are the actions that the leader alone takes on behalf of all instances. Only the
+// coordinator's goroutine uses them.
 type duties struct {
 	coordinator *coordinator
-	// cloud is nil where the platform takes no calls.
+	// cloud is nil where the platform offers no API.
 	cloud Cloud
 
-	// proposed is the last window whose usage was written to the log by this leader.
-	proposed  tallier.Window
-	delivered map[tallier.Window]bool
-	reporting bool
-	retryAt   time.Time
-	fenced    bool
-	orders    orders
+	// lastProposed is the last window whose usage this leader proposed to the log.
+	lastProposed tallier.Window
+	delivered    map[tallier.Window]bool
+	reporting    bool
+	retryAt      time.Time
+	fenced       bool
+	orders       orders
 }
 
-// begin starts a leadership with nothing delivered: a report that arrives twice
-// with the same counts does no harm, and one that never arrives does.
-func (d *duties) begin() {
-	d.proposed = 0
+// startLeadership resets the duties, with no report delivered yet: a report that is sent
+// twice with the same counts does no harm, one that is never sent does.
+func (d *duties) startLeadership() {
+	d.lastProposed = 0
 	d.delivered = make(map[tallier.Window]bool)
 	d.fenced = false
 	d.retryAt = time.Time{}
-	d.orders.begin()
+	d.orders.startLeadership()
 }
 
-// work does what is due.
-func (d *duties) work(ctx context.Context, now time.Time) error {
+// tick starts the duties that are due.
+func (d *duties) tick(ctx context.Context, now time.Time) error {
 	if d.cloud == nil || d.fenced {
 		return nil
 	}
 	d.report(ctx, now)
-	d.orders.work(ctx, now, d)
-	return d.fix(now)
+	d.orders.tick(ctx, now, d)
+	return d.proposeUsage(now)
 }
 
-// fix writes the counts of the next window to the log before anything is
-// reported: the next leader, which has heard other polls, must report the same.
-func (d *duties) fix(now time.Time) error {
+// proposeUsage proposes the counts of the next window to the log before they are reported:
+// the next leader, which has received other polls, must report the same counts.
+func (d *duties) proposeUsage(now time.Time) error {
 	c := d.coordinator
 	report, due := c.state.ledger.Due(c.trueTime(now))
-	if !due || report.Window <= d.proposed {
+	if !due || report.Window <= d.lastProposed {
 		return nil
 	}
-	d.proposed = report.Window
+	d.lastProposed = report.Window
 	return c.step(replicator.Proposed{
 		Command: &messages.Command{
 			Change: &messages.Command_UsageReport{
@@ -94,33 +96,33 @@
 	})
 }
 
-// report sends the oldest report that has not arrived, one at a time.
+// report sends the oldest undelivered report; at most one is in flight.
 func (d *duties) report(ctx context.Context, now time.Time) {
 	if d.reporting || now.Before(d.retryAt) {
 		return
 	}
-	for _, report := range d.coordinator.state.ledger.Fixed() {
+	for _, report := range d.coordinator.state.ledger.Committed() {
 		if d.delivered[report.Window] {
 			continue
 		}
 		d.reporting = true
-		go d.send(ctx, d.coordinator.node.Term(), report)
+		go d.sendReport(ctx, d.coordinator.node.Term(), report)
 		return
 	}
 }
 
-// send reports one window, unless the leadership has ended meanwhile: a process
-// that was suspended here must not act when it wakes.
-func (d *duties) send(ctx context.Context, term units.Term, report tallier.Report) {
+// sendReport reports one window, unless the leadership has ended meanwhile: a process that
+// was suspended at this point must not act when it resumes.
+func (d *duties) sendReport(ctx context.Context, term units.Term, report tallier.Report) {
 	c := d.coordinator
-	err := errRested
-	if timekeeper.Now().UnixNano() < c.leadUntil.Load() {
+	err := errLeadershipEnded
+	if timekeeper.Now().UnixNano() < c.leaderUntil.Load() {
 		callContext, cancel := context.WithTimeout(ctx, cloudTimeout)
 		err = d.cloud.ReportUsage(callContext, d.holder(term), report)
 		cancel()
 	}
 	select {
-	case c.box <- reportEnded{
+	case c.events <- usageReportDone{
 		term:   term,
 		window: report.Window,
 		err:    err,
@@ -129,7 +131,7 @@
 	}
 }
 
-var errRested = errors.New("this instance does not lead any more")
+var errLeadershipEnded = errors.New("this instance no longer leads")
 
 func (d *duties) holder(term units.Term) Holder {
 	return Holder{
@@ -138,8 +140,8 @@
 	}
 }
 
-// reported takes the end of a report.
-func (d *duties) reported(e reportEnded) {
+// handleReportResult handles the result of a usage report.
+func (d *duties) handleReportResult(e usageReportDone) {
 	c := d.coordinator
 	d.reporting = false
 	if e.term != c.node.Term() {
@@ -154,7 +156,7 @@
 	case errors.As(e.err, &fenced):
 		d.fenced = true
 	default:
-		d.retryAt = timekeeper.Now().Add(retryPause)
+		d.retryAt = timekeeper.Now().Add(retryDelay)
 	}
 	c.log.Warn().Err(e.err).Int64("window", int64(e.window)).Uint64("fence", uint64(e.term)).Msg("usage-not-reported")
 }
--- a/src/governor/event.go
+++ b/src/governor/event.go
@@ -12,171 +12,171 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// The methods between control instances, and from entries.
+// The methods that control instances call on each other and entries call on control.
 const (
-	MethodLog     connector.Method = "log/message"
-	MethodPoll    connector.Method = "registry/poll"
-	MethodSpread  connector.Method = "registry/spread"
-	MethodDeclare connector.Method = "registry/declare"
-	MethodRead    connector.Method = "registry/read"
-	// MethodRollout and MethodReadRollout hand an operator's calls to the leader.
-	MethodRollout     connector.Method = "registry/rollout"
-	MethodReadRollout connector.Method = "registry/read-rollout"
+	MethodLog             connector.Method = "log/message"
+	MethodPoll            connector.Method = "registry/poll"
+	MethodUpstreamBatch   connector.Method = "registry/spread"
+	MethodDeclare         connector.Method = "registry/declare"
+	MethodReadDeclaration connector.Method = "registry/read"
+	// MethodStartRollout and MethodReadRollout forward an operator's calls to the leader.
+	MethodStartRollout connector.Method = "registry/rollout"
+	MethodReadRollout  connector.Method = "registry/read-rollout"
 )
 
-// event is something the coordinator takes from its box.
+// event is an input of the coordinator.
 type event interface{ event() }
 
-// ticked says that time has passed.
-type ticked struct{}
+// timeTick is sent once per tick interval.
+type timeTick struct{}
 
-// arrived is a log message from another voter.
-type arrived struct {
+// logMessageReceived carries a message of the replicated log from another voter.
+type logMessageReceived struct {
 	message *messages.LogMessage
 }
 
-// declared asks for a configuration to be committed.
-type declared struct {
+// declareRequested requests that a configuration be committed.
+type declareRequested struct {
 	declaration *messages.Declaration
 	reply       chan<- declareReply
 }
 
-// declareReply says what became of it; leader is set where this instance does not lead.
+// declareReply is the outcome of a proposal; leader is set where this instance does not lead.
 type declareReply struct {
 	accepted bool
 	leader   string
 }
 
-// asked asks for the newest configuration.
-type asked struct {
+// readRequested requests the newest configuration.
+type readRequested struct {
 	reply chan<- readReply
 }
 
 type readReply struct {
-	sure        bool
-	leader      string
-	declaration *messages.Declaration
+	authoritative bool
+	leader        string
+	declaration   *messages.Declaration
 }
 
-// polled is an entry's poll.
-type polled struct {
-	poll *messages.EntryPoll
-	// at is when it arrived.
-	at    time.Time
-	reply chan<- *messages.EntryPollResponse
+// pollReceived carries an entry's poll.
+type pollReceived struct {
+	poll       *messages.EntryPoll
+	receivedAt time.Time
+	reply      chan<- *messages.EntryPollResponse
 }
 
-// announced is a heartbeat, or a goodbye where left is set.
-type announced struct {
+// announcement is a heartbeat, or a deregistration where deregistered is set.
+type announcement struct {
 	registration enroller.Registration
-	left         units.Upstream
+	deregistered units.Upstream
 	reply        chan<- announceReply
 }
 
-// announceReply says whether the news must reach the leader before it counts.
+// announceReply states what has to happen before a heartbeat may be acknowledged.
+// leaderReached is set where this instance leads.
 type announceReply struct {
-	leader string
-	leads  bool
-	// recent says that there was a leader a moment ago.
-	recent bool
-	// urgent is what must be known elsewhere before it is acknowledged, nil for
-	// nothing, and others the control instances to tell.
-	urgent *messages.RegisteredUpstream
-	others []string
-}
-
-// spread is a batch from another control instance.
-type spread struct {
+	leader        string
+	leaderReached bool
+	// leaderSeenRecently says that a leader was known within the last heartbeat interval.
+	leaderSeenRecently bool
+	// mustReplicate is the upstream that must be sent to other control instances before the
+	// acknowledgement, nil for none, and peers are the addresses of these instances.
+	mustReplicate *messages.RegisteredUpstream
+	peers         []string
+}
+
+// syncUpstreams carries a batch of upstreams from another control instance.
+type syncUpstreams struct {
 	batch *messages.UpstreamBatch
 	reply chan<- *messages.UpstreamBatchResponse
 }
 
-// rolloutAsked orders a roll-out.
-type rolloutAsked struct {
+// rolloutRequested orders a roll-out.
+type rolloutRequested struct {
 	order RolloutOrder
 	reply chan<- rolloutReply
 }
 
-// rolloutReply says what became of an order; leader is set where this instance does not
-// lead.
+// rolloutReply is the outcome of an order; leader is set where this instance does not lead.
 type rolloutReply struct {
 	outcome messages.RolloutOutcome
 	leader  string
 	detail  string
-	// committed is set while a majority does not hold the order yet, and says once it does.
+	// committed is set while the order is not committed yet, and receives the outcome of the
+	// commit.
 	committed <-chan declareReply
 }
 
-// rolloutRead asks for a service's last roll-out.
-type rolloutRead struct {
+// rolloutReadRequested requests a service's last roll-out.
+type rolloutReadRequested struct {
 	service units.Service
-	reply   chan<- rolloutState
+	reply   chan<- rolloutReadReply
 }
 
-type rolloutState struct {
-	sure    bool
-	leader  string
-	rollout *messages.Rollout
+type rolloutReadReply struct {
+	authoritative bool
+	leader        string
+	rollout       *messages.Rollout
 }
 
-// reportEnded says what the platform made of a usage report.
-type reportEnded struct {
+// usageReportDone carries the result of a usage report to the platform.
+type usageReportDone struct {
 	term   units.Term
 	window tallier.Window
 	err    error
 }
 
-// orderEnded says what the platform made of an order.
-type orderEnded struct {
+// orderDone carries the result of an order to the platform.
+type orderDone struct {
 	term  units.Term
 	order Order
 	err   error
 }
 
-// reloaded brings new settings, of which the seeds count.
-type reloaded struct {
+// settingsReloaded carries new settings, of which only the seeds are applied.
+type settingsReloaded struct {
 	settings *parser.Deployment
 }
 
-// dumpAsked asks for the state.
-type dumpAsked struct {
+// dumpRequested requests a dump of the state.
+type dumpRequested struct {
 	reply chan<- *Dump
 }
 
-func (ticked) event()       {}
-func (arrived) event()      {}
-func (declared) event()     {}
-func (asked) event()        {}
-func (polled) event()       {}
-func (announced) event()    {}
-func (spread) event()       {}
-func (rolloutAsked) event() {}
-func (rolloutRead) event()  {}
-func (reportEnded) event()  {}
-func (orderEnded) event()   {}
-func (reloaded) event()     {}
-func (dumpAsked) event()    {}
-
-// Order asks for a number of upstreams of one kind of a service.
+func (timeTick) event()             {}
+func (logMessageReceived) event()   {}
+func (declareRequested) event()     {}
+func (readRequested) event()        {}
+func (pollReceived) event()         {}
+func (announcement) event()         {}
+func (syncUpstreams) event()        {}
+func (rolloutRequested) event()     {}
+func (rolloutReadRequested) event() {}
+func (usageReportDone) event()      {}
+func (orderDone) event()            {}
+func (settingsReloaded) event()     {}
+func (dumpRequested) event()        {}
+
+// Order asks the platform for a number of upstreams of one kind for a service.
 type Order struct {
 	Service units.Service
 	scaler.Order
 }
 
-// Holder proves who acts for the system.
+// Holder identifies the instance that holds the duties, and carries its fencing token.
 type Holder struct {
 	Name units.Instance
-	// Fence rises with each new holder.
+	// Fence is the fencing token, which increases with each new holder.
 	Fence units.Term
 }
 
-// FencedError says that a holder with a higher fencing token has acted.
+// FencedError is returned where a holder with a higher fencing token has acted.
 type FencedError struct{}
 
-// Error names the remedy.
+// Error states the cause and the remedy.
 func (e *FencedError) Error() string {
 	return "another instance with a higher fencing token has acted; this one rests until it leads again"
 }
 
-// retryPause is how long a failed call to the platform waits for its next try.
-const retryPause = 500 * time.Millisecond
+// retryDelay is how long after a failed call to the platform the next attempt is made.
+const retryDelay = 500 * time.Millisecond
--- a/src/governor/figures.go
+++ b/src/governor/figures.go
@@ -6,7 +6,7 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// EncodeFigures returns what an entry has seen as a message.
+// EncodeFigures encodes what an entry has measured of a version.
 func EncodeFigures(service units.Service, number uint64, f releaser.Figures) *messages.VersionFigures {
 	return &messages.VersionFigures{
 		Service:      string(service),
@@ -25,7 +25,7 @@
 	}
 }
 
-// DecodeFigures returns what a message says that an entry has seen.
+// DecodeFigures decodes what an entry has measured of a version.
 func DecodeFigures(m *messages.VersionFigures) releaser.Figures {
 	return releaser.Figures{
 		UpstreamHash: releaser.UpstreamHash(m.GetUpstream()),
--- a/src/governor/governor.go
+++ b/src/governor/governor.go
@@ -23,19 +23,20 @@
 )
 
 const (
-	// reopenPause is how long a voter whose disk failed waits before it reads
-	// what the disk holds and goes on from there.
-	reopenPause = 500 * time.Millisecond
-	// callTimeout bounds what one control instance asks of another for a caller.
+	// reopenDelay is how long a voter whose disk failed waits before it reopens its data
+	// folder and resumes from the contents.
+	reopenDelay = 500 * time.Millisecond
+	// callTimeout bounds a call that is handled here or forwarded to another control
+	// instance.
 	callTimeout = 700 * time.Millisecond
 )
 
-// NotSureError says that this instance cannot answer now.
+// NotSureError is returned where this instance cannot give a definite answer now.
 type NotSureError struct {
 	Leader string
 }
 
-// Error names the remedy.
+// Error states the cause and the remedy.
 func (e *NotSureError) Error() string {
 	return fmt.Sprintf("this control instance cannot answer now (leader %q); ask again, or ask another one", e.Leader)
 }
@@ -45,33 +46,33 @@
 	Settings *parser.Deployment
 	Log      zerolog.Logger
 	Meter    *meter.Meter
-	// Decode reads a configuration in the operators' format; what it refuses is
-	// never committed.
+	// Decode decodes a configuration in the operators' format. A configuration that it
+	// rejects is never committed.
 	Decode func(document []byte) (*matcher.Declaration, error)
-	// Cloud is nil where the platform takes no calls.
+	// Cloud is nil where the platform offers no API.
 	Cloud  Cloud
 	Client *connector.Client
-	// Peers and Metrics are bound to the addresses of the settings; Metrics may be nil.
+	// Peers and Metrics are listeners on the addresses in the settings; Metrics may be nil.
 	Peers   net.Listener
 	Metrics net.Listener
 
-	box chan event
-	// polls is a box of its own, so that no number of entries holds up anything else.
-	polls chan polled
+	events chan event
+	// polls is a queue of its own, so that no number of entries delays other events.
+	polls chan pollReceived
 }
 
-// Prepare is called once, before Run and any call.
+// Prepare must be called once, before Run and any other method.
 func (g *Governor) Prepare() {
 	if g.Client == nil {
 		g.Client = &connector.Client{}
 	}
-	g.box = make(chan event, boxSize)
-	g.polls = make(chan polled, pollsSize)
+	g.events = make(chan event, eventQueueSize)
+	g.polls = make(chan pollReceived, pollQueueSize)
 }
 
-// Run serves until ctx ends. A voter whose disk fails does not end the process:
-// it leaves the others to go on without it and begins again from what its disk
-// holds, until the disk takes writes again.
+// Run serves until ctx ends. A voter whose disk fails does not end the process: the other
+// voters continue without it, and it restarts from the contents of its disk, until writes
+// succeed again.
 func (g *Governor) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { return g.peerServer().Run(ctx) })
@@ -87,9 +88,9 @@
 	}
 	group.Go(func() error {
 		for ctx.Err() == nil {
-			if err := g.vote(ctx); err != nil {
+			if err := g.runVoter(ctx); err != nil {
 				g.Log.Error().Err(err).Msg("voter-stopped")
-				g.rest(ctx)
+				g.waitToReopen(ctx)
 			}
 		}
 		return nil
@@ -97,21 +98,21 @@
 	return group.Wait()
 }
 
-// vote runs one voter until ctx ends or its disk fails.
-func (g *Governor) vote(ctx context.Context) (err error) {
-	folder, kept, err := keeper.OpenUnnumbered(g.Settings.DataFolder, units.Instance(g.Settings.OwnPeerAddress()))
+// runVoter runs one voter until ctx ends or its disk fails.
+func (g *Governor) runVoter(ctx context.Context) (err error) {
+	storage, stored, err := keeper.OpenUnnumbered(g.Settings.DataFolder, units.Instance(g.Settings.OwnPeerAddress()))
 	if err != nil {
 		return fmt.Errorf("open the data folder: %w", err)
 	}
-	defer func() { err = errors.Join(err, folder.Close()) }()
-	c, err := newCoordinator(g, folder, kept)
+	defer func() { err = errors.Join(err, storage.Close()) }()
+	c, err := newCoordinator(g, storage, stored)
 	if err != nil {
 		return err
 	}
 	g.Log.Info().
-		Str("voter", string(kept.ID)).
-		Str("log", kept.Snapshot.GetLogId()).
-		Int("records", len(kept.Records)).
+		Str("voter", string(stored.ID)).
+		Str("log", stored.Snapshot.GetLogId()).
+		Int("records", len(stored.Records)).
 		Bool("first-start", g.Settings.FirstStart).
 		Strs("seeds", g.Settings.SeedPeers()).
 		Msg("voter-started")
@@ -120,9 +121,10 @@
 	return c.run(ctx)
 }
 
-// rest lets a failed disk recover, and turns away whoever asks meanwhile.
-func (g *Governor) rest(ctx context.Context) {
-	timer := time.NewTimer(reopenPause)
+// waitToReopen waits for a failed disk to recover, and replies meanwhile to all events that
+// the instance is unavailable.
+func (g *Governor) waitToReopen(ctx context.Context) {
+	timer := time.NewTimer(reopenDelay)
 	defer timer.Stop()
 	for {
 		select {
@@ -130,34 +132,34 @@
 			return
 		case <-timer.C:
 			return
-		case e := <-g.box:
-			turnAway(e)
+		case e := <-g.events:
+			replyUnavailable(e)
 		case p := <-g.polls:
-			turnAway(p)
+			replyUnavailable(p)
 		}
 	}
 }
 
-// turnAway answers without a voter.
-func turnAway(e event) {
+// replyUnavailable replies to an event while there is no voter.
+func replyUnavailable(e event) {
 	switch e := e.(type) {
-	case declared:
+	case declareRequested:
 		e.reply <- declareReply{}
-	case asked:
+	case readRequested:
 		e.reply <- readReply{}
-	case polled:
+	case pollReceived:
 		e.reply <- &messages.EntryPollResponse{}
-	case announced:
+	case announcement:
 		e.reply <- announceReply{}
-	case spread:
+	case syncUpstreams:
 		e.reply <- &messages.UpstreamBatchResponse{}
-	case rolloutAsked:
+	case rolloutRequested:
 		e.reply <- rolloutReply{}
-	case rolloutRead:
-		e.reply <- rolloutState{}
-	case dumpAsked:
+	case rolloutReadRequested:
+		e.reply <- rolloutReadReply{}
+	case dumpRequested:
 		e.reply <- &Dump{}
-	case ticked, arrived, reportEnded, orderEnded, reloaded:
+	case timeTick, logMessageReceived, usageReportDone, orderDone, settingsReloaded:
 	}
 }
 
@@ -167,65 +169,65 @@
 		Log:      g.Log,
 	}
 	connector.Handle(server, MethodLog, func(ctx context.Context, _ connector.Peer, m *messages.LogMessage) (*messages.LogMessage, error) {
-		return &messages.LogMessage{}, g.post(ctx, arrived{message: m})
+		return &messages.LogMessage{}, g.post(ctx, logMessageReceived{message: m})
 	})
 	connector.Handle(server, MethodPoll, func(ctx context.Context, _ connector.Peer, m *messages.EntryPoll) (*messages.EntryPollResponse, error) {
 		return g.poll(ctx, m)
 	})
-	connector.Handle(server, MethodSpread, func(ctx context.Context, _ connector.Peer, m *messages.UpstreamBatch) (*messages.UpstreamBatchResponse, error) {
-		return ask(ctx, g, func(reply chan<- *messages.UpstreamBatchResponse) event {
-			return spread{
+	connector.Handle(server, MethodUpstreamBatch, func(ctx context.Context, _ connector.Peer, m *messages.UpstreamBatch) (*messages.UpstreamBatchResponse, error) {
+		return sendAndWait(ctx, g, func(reply chan<- *messages.UpstreamBatchResponse) event {
+			return syncUpstreams{
 				batch: m,
 				reply: reply,
 			}
 		})
 	})
 	connector.Handle(server, MethodDeclare, func(ctx context.Context, _ connector.Peer, m *messages.DeclareRequest) (*messages.DeclareResponse, error) {
-		reply, err := g.declareHere(ctx, m.GetDeclaration())
+		reply, err := g.declareLocally(ctx, m.GetDeclaration())
 		return &messages.DeclareResponse{
 			Accepted: reply.accepted,
 			Leader:   reply.leader,
 		}, err
 	})
-	connector.Handle(server, MethodRead, func(ctx context.Context, _ connector.Peer, _ *messages.ReadDeclarationRequest) (*messages.ReadDeclarationResponse, error) {
-		reply, err := g.readHere(ctx)
+	connector.Handle(server, MethodReadDeclaration, func(ctx context.Context, _ connector.Peer, _ *messages.ReadDeclarationRequest) (*messages.ReadDeclarationResponse, error) {
+		reply, err := g.readLocally(ctx)
 		return &messages.ReadDeclarationResponse{
-			Sure:        reply.sure,
+			Sure:        reply.authoritative,
 			Declaration: reply.declaration,
 		}, err
 	})
-	g.handleRollouts(server)
+	g.registerRolloutMethods(server)
 	return server
 }
 
-// poll brings an entry's poll to the coordinator and waits for its reply.
+// poll passes an entry's poll to the coordinator and waits for its response.
 func (g *Governor) poll(ctx context.Context, m *messages.EntryPoll) (*messages.EntryPollResponse, error) {
 	reply := make(chan *messages.EntryPollResponse, 1)
-	p := polled{
-		poll:  m,
-		at:    timekeeper.Now(),
-		reply: reply,
+	p := pollReceived{
+		poll:       m,
+		receivedAt: timekeeper.Now(),
+		reply:      reply,
 	}
 	select {
 	case g.polls <- p:
-		return wait(ctx, reply)
+		return awaitReply(ctx, reply)
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 }
 
-// ask brings an event to the coordinator and waits for its reply.
-func ask[T any](ctx context.Context, g *Governor, form func(chan<- T) event) (T, error) {
+// sendAndWait sends an event to the coordinator and waits for its reply.
+func sendAndWait[T any](ctx context.Context, g *Governor, newEvent func(chan<- T) event) (T, error) {
 	reply := make(chan T, 1)
-	if err := g.post(ctx, form(reply)); err != nil {
+	if err := g.post(ctx, newEvent(reply)); err != nil {
 		var none T
 		return none, err
 	}
-	return wait(ctx, reply)
+	return awaitReply(ctx, reply)
 }
 
-// wait returns the coordinator's reply.
-func wait[T any](ctx context.Context, reply <-chan T) (T, error) {
+// awaitReply waits for the coordinator's reply.
+func awaitReply[T any](ctx context.Context, reply <-chan T) (T, error) {
 	select {
 	case answer := <-reply:
 		return answer, nil
@@ -237,41 +239,40 @@
 
 func (g *Governor) post(ctx context.Context, e event) error {
 	select {
-	case g.box <- e:
+	case g.events <- e:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-func (g *Governor) declareHere(ctx context.Context, d *messages.Declaration) (declareReply, error) {
-	return ask(ctx, g, func(reply chan<- declareReply) event {
-		return declared{
+func (g *Governor) declareLocally(ctx context.Context, d *messages.Declaration) (declareReply, error) {
+	return sendAndWait(ctx, g, func(reply chan<- declareReply) event {
+		return declareRequested{
 			declaration: d,
 			reply:       reply,
 		}
 	})
 }
 
-func (g *Governor) readHere(ctx context.Context) (readReply, error) {
-	return ask(ctx, g, func(reply chan<- readReply) event { return asked{reply: reply} })
+func (g *Governor) readLocally(ctx context.Context) (readReply, error) {
+	return sendAndWait(ctx, g, func(reply chan<- readReply) event { return readRequested{reply: reply} })
 }
 
-// Reload takes over new settings, of which the seeds count while the process runs.
+// Reload applies new settings; while the process runs, only the seeds take effect.
 func (g *Governor) Reload(ctx context.Context, settings *parser.Deployment) {
-	if err := g.post(ctx, reloaded{settings: settings}); err != nil {
+	if err := g.post(ctx, settingsReloaded{settings: settings}); err != nil {
 		g.Log.Warn().Err(err).Msg("settings-not-taken")
 	}
 }
 
 func (g *Governor) dump(ctx context.Context) (any, error) {
-	return ask(ctx, g, func(reply chan<- *Dump) event { return dumpAsked{reply: reply} })
+	return sendAndWait(ctx, g, func(reply chan<- *Dump) event { return dumpRequested{reply: reply} })
 }
 
-// Declare has a configuration committed, here or at the leader. It returns nil
-// once a majority of the voters holds it, or a higher version, on disk; a
-// *matcher.InvalidError where it can never be taken, a *NotSureError where nobody
-// can tell what became of it.
+// Declare has a configuration committed, here or by the leader. It returns nil once a
+// majority of the voters holds it, or a higher version, on disk; a *matcher.InvalidError
+// where it can never be accepted; a *NotSureError where the outcome is unknown.
 func (g *Governor) Declare(ctx context.Context, document []byte) error {
 	declaration, err := g.Decode(document)
 	if err != nil {
@@ -283,7 +284,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	reply, err := g.declareHere(ctx, d)
+	reply, err := g.declareLocally(ctx, d)
 	if err != nil {
 		return &NotSureError{}
 	}
@@ -302,95 +303,96 @@
 	return nil
 }
 
-// Newest returns the newest committed configuration, or nil where there is none;
-// a *NotSureError where a later one may exist.
+// Newest returns the newest committed configuration, or nil where there is none; a
+// *NotSureError where a later one may exist.
 func (g *Governor) Newest(ctx context.Context) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	reply, err := g.readHere(ctx)
+	reply, err := g.readLocally(ctx)
 	if err != nil {
 		return nil, &NotSureError{}
 	}
-	if reply.sure {
+	if reply.authoritative {
 		return reply.declaration.GetDocument(), nil
 	}
 	if reply.leader == "" || reply.leader == g.Settings.OwnPeerAddress() {
 		return nil, &NotSureError{Leader: reply.leader}
 	}
 	response := &messages.ReadDeclarationResponse{}
-	err = g.Client.Call(ctx, reply.leader, MethodRead, &messages.ReadDeclarationRequest{}, response)
+	err = g.Client.Call(ctx, reply.leader, MethodReadDeclaration, &messages.ReadDeclarationRequest{}, response)
 	if err != nil || !response.GetSure() {
 		return nil, &NotSureError{Leader: reply.leader}
 	}
 	return response.GetDeclaration().GetDocument(), nil
 }
 
-// Announce takes an upstream's heartbeat; it returns nil once the heartbeat counts.
+// Announce handles an upstream's heartbeat. It returns nil once the heartbeat takes effect.
 func (g *Governor) Announce(ctx context.Context, r enroller.Registration) error {
-	return g.announce(ctx, announced{registration: r})
+	return g.announce(ctx, announcement{registration: r})
 }
 
-// Leave takes an upstream's goodbye.
+// Leave handles an upstream's deregistration.
 func (g *Governor) Leave(ctx context.Context, id units.Upstream) error {
-	return g.announce(ctx, announced{left: id})
+	return g.announce(ctx, announcement{deregistered: id})
 }
 
-func (g *Governor) announce(ctx context.Context, a announced) error {
+func (g *Governor) announce(ctx context.Context, a announcement) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	reply, err := ask(ctx, g, func(reply chan<- announceReply) event {
+	reply, err := sendAndWait(ctx, g, func(reply chan<- announceReply) event {
 		a.reply = reply
 		return a
 	})
 	if err != nil {
 		return &NotSureError{}
 	}
-	if !reply.leads && reply.leader == "" && !reply.recent {
-		// An instance that is cut off would take heartbeats that nobody hears. Refused
-		// during an election, each upstream would try all instances in turn, and these would
-		// have time for nothing else.
+	if !reply.leaderReached && reply.leader == "" && !reply.leaderSeenRecently {
+		// An instance that is cut off would accept heartbeats that reach no leader. But if
+		// heartbeats were refused during a short election, each upstream would try all
+		// instances in turn, and these would be busy with nothing else.
 		return &NotSureError{}
 	}
-	if reply.urgent == nil {
+	if reply.mustReplicate == nil {
 		return nil
 	}
-	return g.tell(ctx, reply)
+	return g.replicate(ctx, reply)
 }
 
-// tell hands what ends an upstream's work to all other control instances, and
+// replicate sends an upstream that must get no more calls to all other control instances. It
 // returns nil once the leader and a majority have it.
 //
-// Entries ask the leader alone. One that is suspended or killed right after it has
-// acknowledged would take the mark with it, and entries that have not polled since
-// go on using the upstream under the next leader; all that can lead next have it.
-func (g *Governor) tell(ctx context.Context, news announceReply) error {
+// Entries poll the leader alone. If the leader is suspended or killed right after its
+// acknowledgement, the change would be lost with it, and entries that have not polled since
+// would continue to use the upstream under the next leader. After replication every instance
+// that can lead next has the change.
+func (g *Governor) replicate(ctx context.Context, change announceReply) error {
 	batch := &messages.UpstreamBatch{
 		From:      g.Settings.OwnPeerAddress(),
 		WallNs:    time.Now().UnixNano(),
-		Upstreams: []*messages.RegisteredUpstream{news.urgent},
+		Upstreams: []*messages.RegisteredUpstream{change.mustReplicate},
 	}
-	ctx, cancel := context.WithTimeout(ctx, receiptTimeout)
+	ctx, cancel := context.WithTimeout(ctx, ackTimeout)
 	defer cancel()
-	receipts := make(chan *messages.UpstreamBatchResponse, len(news.others))
-	for _, other := range news.others {
+	responses := make(chan *messages.UpstreamBatchResponse, len(change.peers))
+	for _, peer := range change.peers {
 		go func() {
 			response := &messages.UpstreamBatchResponse{}
-			if err := g.Client.Call(ctx, other, MethodSpread, batch, response); err != nil {
-				g.Log.Warn().Err(err).Str("control", other).Msg("upstream-not-told")
+			if err := g.Client.Call(ctx, peer, MethodUpstreamBatch, batch, response); err != nil {
+				g.Log.Warn().Err(err).Str("control", peer).Msg("upstream-not-told")
 				response = nil
 			}
-			receipts <- response
+			responses <- response
 		}()
 	}
-	told, leads := 1, news.leads
-	for range news.others {
-		if response := <-receipts; response != nil {
-			told++
-			leads = leads || response.GetLeads()
+	acknowledged, leaderReached := 1, change.leaderReached
+	for range change.peers {
+		if response := <-responses; response != nil {
+			acknowledged++
+			leaderReached = leaderReached || response.GetLeads()
 		}
 	}
-	if !leads || told < min(g.Settings.Voters()/2+1, len(news.others)+1) {
-		return &NotSureError{Leader: news.leader}
+	if !leaderReached || acknowledged < min(g.Settings.Voters()/2+1, len(change.peers)+1) {
+		return &NotSureError{Leader: change.leader}
 	}
 	return nil
 }
--- a/src/governor/beat_test.go
+++ b/src/governor/heartbeat_test.go
@@ -10,20 +10,20 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// BenchmarkHeartbeat is what one heartbeat of an upstream costs the coordinator that it
-// comes to, and what one costs that another control instance spreads.
+// BenchmarkHeartbeat measures what one heartbeat of an upstream costs a coordinator, whether it
+// comes from the upstream or in a batch from another control instance.
 func BenchmarkHeartbeat(b *testing.B) {
 	for _, upstreams := range []int{100, 1000, 3000, 12000} {
 		b.Run(fmt.Sprintf("upstreams=%d", upstreams), func(b *testing.B) {
-			f := crowd{
+			f := fleet{
 				upstreams: upstreams,
 			}
 			_, c := newLeader(b)
-			f.declare(c)
+			f.populate(c)
 			n := 0
 			for b.Loop() {
 				n++
-				c.announce(announced{
+				c.handleAnnouncement(announcement{
 					registration: enroller.Registration{
 						ID:       units.Upstream(fmt.Sprintf("i-%08d", n%upstreams)),
 						Service:  "s",
@@ -40,8 +40,8 @@
 	}
 }
 
-// Guards against elections that last: refused while there is no leader for a moment, every
-// upstream tries all instances in turn and keeps them busy.
+// Guards against long elections: if heartbeats are refused as soon as there is no leader,
+// every upstream tries all instances in turn and keeps them busy.
 func TestHeartbeatsDuringAnElection(t *testing.T) {
 	cases := map[string]struct {
 		silence time.Duration
@@ -50,13 +50,13 @@
 		state   enroller.State
 		taken   bool
 	}{
-		"right after the start":          {started: true, state: enroller.Ready, taken: true},
-		"one that leaves then":           {started: true, state: enroller.Leaving},
-		"a leader a moment ago":          {silence: 500 * time.Millisecond, state: enroller.Ready, taken: true},
-		"no leader for long":             {silence: 3 * time.Second, state: enroller.Ready},
-		"one that leaves and no leader":  {silence: 500 * time.Millisecond, state: enroller.Leaving},
-		"one that leaves, none for long": {silence: 3 * time.Second, state: enroller.Leaving},
-		"never a leader":                 {silence: 24 * time.Hour, state: enroller.Ready},
+		"right after the start":         {started: true, state: enroller.Ready, taken: true},
+		"leaving, after the start":      {started: true, state: enroller.Leaving},
+		"leader lost just now":          {silence: 500 * time.Millisecond, state: enroller.Ready, taken: true},
+		"leader lost long ago":          {silence: 3 * time.Second, state: enroller.Ready},
+		"leaving, leader lost just now": {silence: 500 * time.Millisecond, state: enroller.Leaving},
+		"leaving, leader lost long ago": {silence: 3 * time.Second, state: enroller.Leaving},
+		"never had a leader":            {silence: 24 * time.Hour, state: enroller.Ready},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -64,9 +64,9 @@
 			g.Settings.HeartbeatInterval = 1200 * time.Millisecond
 			g.Settings.LostDisks = 1
 			if !c.started {
-				coordinator.followedAt = timekeeper.Now().Add(-c.silence)
+				coordinator.leaderSeenAt = timekeeper.Now().Add(-c.silence)
 			}
-			go func() { _ = coordinator.take((<-g.box).(announced)) }()
+			go func() { _ = coordinator.handle((<-g.events).(announcement)) }()
 			err := g.Announce(t.Context(), enroller.Registration{
 				ID:       "u",
 				Service:  "s",
@@ -77,7 +77,7 @@
 				Sequence: 1,
 			})
 			if got := err == nil; got != c.taken {
-				t.Errorf("taken: got %t (%v), want %t", got, err, c.taken)
+				t.Errorf("accepted: got %t (%v), want %t", got, err, c.taken)
 			}
 		})
 	}
--- a/src/governor/operator.go
+++ b/src/governor/operator.go
@@ -11,45 +11,45 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// longestRollout bounds what an operator may ask for.
-const longestRollout = 24 * time.Hour
+// maxRolloutDuration bounds the duration that an operator may order.
+const maxRolloutDuration = 24 * time.Hour
 
-// RolloutOrder asks for a service's calls to move to upstreams of another version.
+// RolloutOrder requests that a service's calls move to upstreams of another version.
 type RolloutOrder struct {
 	Service  units.Service
 	Target   units.Release
 	Duration time.Duration
 }
 
-// Rollout is what became of a service's last roll-out.
+// Rollout is the state of a service's last roll-out.
 type Rollout struct {
 	Target units.Release
 	State  releaser.State
 	Reason string
 }
 
-// RolloutRefusedError says that an order can not be carried out.
+// RolloutRefusedError is returned for an order that cannot be carried out.
 type RolloutRefusedError struct {
 	// Busy says that another roll-out of the service is running.
 	Busy   bool
 	Reason string
 }
 
-// Error names the remedy.
+// Error returns the reason, which states the remedy.
 func (e *RolloutRefusedError) Error() string { return e.Reason }
 
 // StartRollout orders a roll-out, here or at the leader. It returns nil once a majority of
-// the voters holds it on disk, or held the same order before; a *RolloutRefusedError where it
-// can not be carried out, a *NotSureError where nobody can tell what became of it.
+// the voters holds the order on disk, or held the same order before; a *RolloutRefusedError
+// where it cannot be carried out; a *NotSureError where the outcome is unknown.
 func (g *Governor) StartRollout(ctx context.Context, order RolloutOrder) error {
-	if order.Service == "" || order.Target == "" || order.Duration <= 0 || order.Duration > longestRollout {
+	if order.Service == "" || order.Target == "" || order.Duration <= 0 || order.Duration > maxRolloutDuration {
 		return &RolloutRefusedError{
-			Reason: fmt.Sprintf("a roll-out needs a service, a target and a duration up to %v; complete the order", longestRollout),
+			Reason: fmt.Sprintf("a roll-out needs a service, a target and a duration up to %v; complete the order", maxRolloutDuration),
 		}
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	response, err := g.startHere(ctx, order)
+	response, err := g.startRolloutLocally(ctx, order)
 	if err != nil {
 		return &NotSureError{}
 	}
@@ -66,7 +66,7 @@
 				DurationMs: order.Duration.Milliseconds(),
 			},
 		}
-		if err := g.Client.Call(ctx, leader, MethodRollout, request, response); err != nil {
+		if err := g.Client.Call(ctx, leader, MethodStartRollout, request, response); err != nil {
 			g.Log.Warn().Err(err).Str("service", string(order.Service)).Str("leader", leader).Msg("rollout-not-handed-on")
 			return &NotSureError{Leader: leader}
 		}
@@ -83,19 +83,20 @@
 	return &NotSureError{Leader: response.GetLeader()}
 }
 
-// startHere gives an order to this instance's coordinator and waits until a majority holds
-// it. Of two orders that race, the one that came second learns here that it did not start.
-func (g *Governor) startHere(ctx context.Context, order RolloutOrder) (*messages.StartRolloutResponse, error) {
-	reply, err := g.askRollout(ctx, order)
+// startRolloutLocally passes an order to this instance's coordinator and waits until a
+// majority holds it. It then asks again: of two concurrent orders, the second one learns from
+// this reply that it was not started.
+func (g *Governor) startRolloutLocally(ctx context.Context, order RolloutOrder) (*messages.StartRolloutResponse, error) {
+	reply, err := g.requestRollout(ctx, order)
 	if err != nil {
 		return nil, err
 	}
 	if reply.committed != nil {
-		committed, err := wait(ctx, reply.committed)
+		committed, err := awaitReply(ctx, reply.committed)
 		if err != nil || !committed.accepted {
 			return &messages.StartRolloutResponse{Leader: committed.leader}, err
 		}
-		if reply, err = g.askRollout(ctx, order); err != nil {
+		if reply, err = g.requestRollout(ctx, order); err != nil {
 			return nil, err
 		}
 	}
@@ -106,9 +107,9 @@
 	}, nil
 }
 
-func (g *Governor) askRollout(ctx context.Context, order RolloutOrder) (rolloutReply, error) {
-	return ask(ctx, g, func(reply chan<- rolloutReply) event {
-		return rolloutAsked{
+func (g *Governor) requestRollout(ctx context.Context, order RolloutOrder) (rolloutReply, error) {
+	return sendAndWait(ctx, g, func(reply chan<- rolloutReply) event {
+		return rolloutRequested{
 			order: order,
 			reply: reply,
 		}
@@ -120,12 +121,12 @@
 func (g *Governor) LastRollout(ctx context.Context, service units.Service) (*Rollout, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	state, err := g.readRolloutHere(ctx, service)
+	state, err := g.readRolloutLocally(ctx, service)
 	if err != nil {
 		return nil, &NotSureError{}
 	}
 	rollout := state.rollout
-	if !state.sure {
+	if !state.authoritative {
 		if state.leader == "" || state.leader == g.Settings.OwnPeerAddress() {
 			return nil, &NotSureError{Leader: state.leader}
 		}
@@ -146,28 +147,29 @@
 	}, nil
 }
 
-func (g *Governor) readRolloutHere(ctx context.Context, service units.Service) (rolloutState, error) {
-	return ask(ctx, g, func(reply chan<- rolloutState) event {
-		return rolloutRead{
+func (g *Governor) readRolloutLocally(ctx context.Context, service units.Service) (rolloutReadReply, error) {
+	return sendAndWait(ctx, g, func(reply chan<- rolloutReadReply) event {
+		return rolloutReadRequested{
 			service: service,
 			reply:   reply,
 		}
 	})
 }
 
-// handleRollouts answers other control instances, to which operators gave their calls.
-func (g *Governor) handleRollouts(server *connector.Server) {
-	connector.Handle(server, MethodRollout, func(ctx context.Context, _ connector.Peer, m *messages.StartRolloutRequest) (*messages.StartRolloutResponse, error) {
-		return g.startHere(ctx, RolloutOrder{
+// registerRolloutMethods handles the roll-out calls that other control instances forward for
+// operators.
+func (g *Governor) registerRolloutMethods(server *connector.Server) {
+	connector.Handle(server, MethodStartRollout, func(ctx context.Context, _ connector.Peer, m *messages.StartRolloutRequest) (*messages.StartRolloutResponse, error) {
+		return g.startRolloutLocally(ctx, RolloutOrder{
 			Service:  units.Service(m.GetRollout().GetService()),
 			Target:   units.Release(m.GetRollout().GetTarget()),
 			Duration: time.Duration(m.GetRollout().GetDurationMs()) * time.Millisecond,
 		})
 	})
 	connector.Handle(server, MethodReadRollout, func(ctx context.Context, _ connector.Peer, m *messages.ReadRolloutRequest) (*messages.ReadRolloutResponse, error) {
-		state, err := g.readRolloutHere(ctx, units.Service(m.GetService()))
+		state, err := g.readRolloutLocally(ctx, units.Service(m.GetService()))
 		return &messages.ReadRolloutResponse{
-			Sure:    state.sure,
+			Sure:    state.authoritative,
 			Rollout: state.rollout,
 		}, err
 	})
--- a/src/governor/orders.go
+++ b/src/governor/orders.go
@@ -13,33 +13,34 @@
 )
 
 const (
-	// planInterval is how often the plan is made anew; loads arrive with every poll.
+	// planInterval is how often the plan is recomputed; loads arrive with every poll.
 	planInterval = 250 * time.Millisecond
-	// tellInterval is how often the load is logged.
-	tellInterval = 2 * time.Second
-	// mostCalls bounds the orders that are on their way to the platform at once.
-	mostCalls = 8
+	// logInterval is how often the load is logged.
+	logInterval = 2 * time.Second
+	// maxPendingOrders bounds the orders to the platform that are in flight at the same time.
+	maxPendingOrders = 8
 )
 
-// orders gives orders for upstreams while this instance leads; the coordinator alone uses it.
+// orders orders upstreams while this instance leads. Only the coordinator's goroutine uses
+// it.
 type orders struct {
 	survey    scaler.LoadMeter
 	scalers   map[units.Service]*scaler.Scaler
 	plannedAt time.Time
-	toldAt    time.Time
-	calls     int
-	// fenced are the services whose orders another holder has given since.
+	loggedAt  time.Time
+	pending   int
+	// fenced are the services for which another holder has given orders since.
 	fenced map[units.Service]bool
 }
 
-func (d *orders) begin() {
-	d.scalers = make(map[units.Service]*scaler.Scaler)
-	d.fenced = make(map[units.Service]bool)
-	d.calls = 0
+func (o *orders) startLeadership() {
+	o.scalers = make(map[units.Service]*scaler.Scaler)
+	o.fenced = make(map[units.Service]bool)
+	o.pending = 0
 }
 
-// hear takes what an entry has seen of the services.
-func (d *orders) hear(now time.Time, entry units.Instance, incarnation units.Incarnation, loads []*messages.ServiceLoad) {
+// record stores an entry's load totals by service.
+func (o *orders) record(now time.Time, entry units.Instance, incarnation units.Incarnation, loads []*messages.ServiceLoad) {
 	totals := make(map[units.Service]scaler.Totals, len(loads))
 	for _, l := range loads {
 		totals[units.Service(l.GetService())] = scaler.Totals{
@@ -49,31 +50,31 @@
 			SecondsPerToken: l.GetSecondsPerToken(),
 		}
 	}
-	d.survey.Record(now, entry, incarnation, totals)
+	o.survey.Record(now, entry, incarnation, totals)
 }
 
-// work makes the plan anew and gives the orders that are due.
-func (d *orders) work(ctx context.Context, now time.Time, duties *duties) {
+// tick recomputes the plan and sends the orders that are due.
+func (o *orders) tick(ctx context.Context, now time.Time, duties *duties) {
 	c := duties.coordinator
-	if c.declared == nil || now.Sub(d.plannedAt) < planInterval {
+	if c.configuration == nil || now.Sub(o.plannedAt) < planInterval {
 		return
 	}
-	d.plannedAt = now
-	loads := d.survey.Measure(now)
-	for i := range c.declared.Services {
-		service := &c.declared.Services[i]
-		if service.Scaling == nil || len(service.Scaling.Prices) == 0 || d.fenced[service.Name] || d.calls > mostCalls {
+	o.plannedAt = now
+	loads := o.survey.Measure(now)
+	for i := range c.configuration.Services {
+		service := &c.configuration.Services[i]
+		if service.Scaling == nil || len(service.Scaling.Prices) == 0 || o.fenced[service.Name] || o.pending > maxPendingOrders {
 			continue
 		}
-		s := d.scalers[service.Name]
+		s := o.scalers[service.Name]
 		if s == nil {
 			s = &scaler.Scaler{}
-			d.scalers[service.Name] = s
+			o.scalers[service.Name] = s
 		}
 		load := loads[service.Name]
-		load.LimitedUpstreams = c.pacing.short(now, service.Name)
-		stock := stockOf(c.table, service.Name, c.rollouts.barred(service.Name))
-		d.tell(now, duties, service.Name, s.Load(), stock)
+		load.LimitedUpstreams = c.rateLimits.limitedUpstreams(now, service.Name)
+		stock := readyUpstreams(c.table, service.Name, c.rollouts.separateRelease(service.Name))
+		o.logLoad(now, duties, service.Name, s.Load(), stock)
 		for _, order := range s.Step(now, service, load, stock) {
 			c.log.Info().
 				Str("service", string(service.Name)).
@@ -87,8 +88,8 @@
 				Int("limited", load.LimitedUpstreams).
 				Uint64("fence", uint64(c.node.Term())).
 				Msg("upstreams-ordered")
-			d.calls++
-			go d.send(ctx, duties, c.node.Term(), Order{
+			o.pending++
+			go o.send(ctx, duties, c.node.Term(), Order{
 				Service: service.Name,
 				Order:   order,
 			})
@@ -96,12 +97,12 @@
 	}
 }
 
-// tell logs what the plan goes by, now and then.
-func (d *orders) tell(now time.Time, duties *duties, service units.Service, load scaler.Load, stock scaler.PoolSizes) {
-	if now.Sub(d.toldAt) < tellInterval {
+// logLoad logs the input of the plan, at most once per logInterval.
+func (o *orders) logLoad(now time.Time, duties *duties, service units.Service, load scaler.Load, stock scaler.PoolSizes) {
+	if now.Sub(o.loggedAt) < logInterval {
 		return
 	}
-	d.toldAt = now
+	o.loggedAt = now
 	total := 0
 	for _, count := range stock {
 		total += count
@@ -115,12 +116,12 @@
 		Msg("service-load")
 }
 
-// stockOf counts the upstreams of a service that take calls, but for a version that does
-// not carry the service: they run beside those that do.
-func stockOf(table *enroller.Table, service units.Service, barred units.Release) scaler.PoolSizes {
+// readyUpstreams counts a service's upstreams that accept calls. Upstreams of the excluded
+// release are not counted: they run beside those that carry the service's load.
+func readyUpstreams(table *enroller.Table, service units.Service, excluded units.Release) scaler.PoolSizes {
 	stock := make(scaler.PoolSizes)
 	for _, e := range table.Entries() {
-		if e.Service == service && e.State == enroller.Ready && !e.Silent && (barred == "" || e.Release != barred) {
+		if e.Service == service && e.State == enroller.Ready && !e.Silent && (excluded == "" || e.Release != excluded) {
 			stock[scaler.Pool{
 				DataCentre:  e.DataCentre,
 				Reclaimable: e.Reclaimable,
@@ -130,17 +131,17 @@
 	return stock
 }
 
-// send gives one order, unless the leadership has ended meanwhile.
-func (d *orders) send(ctx context.Context, duties *duties, term units.Term, order Order) {
+// send sends one order, unless the leadership has ended meanwhile.
+func (o *orders) send(ctx context.Context, duties *duties, term units.Term, order Order) {
 	c := duties.coordinator
-	err := errRested
-	if timekeeper.Now().UnixNano() < c.leadUntil.Load() {
+	err := errLeadershipEnded
+	if timekeeper.Now().UnixNano() < c.leaderUntil.Load() {
 		callContext, cancel := context.WithTimeout(ctx, cloudTimeout)
 		err = duties.cloud.Scale(callContext, duties.holder(term), order)
 		cancel()
 	}
 	select {
-	case c.box <- orderEnded{
+	case c.events <- orderDone{
 		term:  term,
 		order: order,
 		err:   err,
@@ -149,14 +150,14 @@
 	}
 }
 
-// ended takes the end of an order.
-func (d *orders) ended(e orderEnded, duties *duties) {
+// handleResult handles the result of an order.
+func (o *orders) handleResult(e orderDone, duties *duties) {
 	c := duties.coordinator
 	if e.term != c.node.Term() {
 		return
 	}
-	d.calls = max(0, d.calls-1)
-	s := d.scalers[e.order.Service]
+	o.pending = max(0, o.pending-1)
+	s := o.scalers[e.order.Service]
 	if e.err == nil || s == nil {
 		return
 	}
@@ -164,7 +165,7 @@
 	var unavailable *UnavailableError
 	switch {
 	case errors.As(e.err, &fenced):
-		d.fenced[e.order.Service] = true
+		o.fenced[e.order.Service] = true
 	case errors.As(e.err, &unavailable):
 		s.OnOrderRefused(timekeeper.Now(), e.order.Pool)
 	default:
--- a/src/governor/outbox.go
+++ b/src/governor/outbox.go
@@ -10,39 +10,39 @@
 )
 
 const (
-	// queueSize is how many messages wait for one instance; the log's heartbeats
-	// and the next batches bring what is dropped.
-	queueSize = 256
-	// receiptTimeout is how long a message's receipt is awaited; a connection
-	// that has gone silent holds its instance up no longer.
-	receiptTimeout = 300 * time.Millisecond
+	// sendQueueSize is the number of messages queued for one instance. A dropped message is
+	// made up for by the next heartbeats of the log and the next batches.
+	sendQueueSize = 256
+	// ackTimeout is how long a message's acknowledgement is awaited, so that an unresponsive
+	// connection does not delay its queue any longer.
+	ackTimeout = 300 * time.Millisecond
 )
 
-// outbox sends messages to other control instances, one queue and goroutine for
-// each, so that a silent one holds up no other.
+// outbox sends messages to other control instances. Each has a queue and a goroutine of its
+// own, so that an unresponsive instance delays no other.
 type outbox struct {
 	client *connector.Client
 
 	mu     sync.Mutex
-	queues map[string]chan parcel
+	queues map[string]chan peerMessage
 }
 
-// parcel is one message on its way; one of its fields is set.
-type parcel struct {
+// peerMessage is one queued message; exactly one of its fields is set.
+type peerMessage struct {
 	log   *messages.LogMessage
 	batch *messages.UpstreamBatch
 }
 
-// post queues a message and drops it where the queue is full.
-func (o *outbox) post(ctx context.Context, address string, p parcel) {
+// enqueue queues a message, and drops it where the queue is full.
+func (o *outbox) enqueue(ctx context.Context, address string, p peerMessage) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.queues == nil {
-		o.queues = make(map[string]chan parcel)
+		o.queues = make(map[string]chan peerMessage)
 	}
 	queue := o.queues[address]
 	if queue == nil {
-		queue = make(chan parcel, queueSize)
+		queue = make(chan peerMessage, sendQueueSize)
 		o.queues[address] = queue
 		go o.deliver(ctx, address, queue)
 	}
@@ -52,31 +52,31 @@
 	}
 }
 
-func (o *outbox) deliver(ctx context.Context, address string, queue <-chan parcel) {
+func (o *outbox) deliver(ctx context.Context, address string, queue <-chan peerMessage) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case p := <-queue:
 			if err := o.send(ctx, address, p); err != nil {
-				discard(queue)
+				drain(queue)
 			}
 		}
 	}
 }
 
-func (o *outbox) send(ctx context.Context, address string, p parcel) error {
-	ctx, cancel := context.WithTimeout(ctx, receiptTimeout)
+func (o *outbox) send(ctx context.Context, address string, p peerMessage) error {
+	ctx, cancel := context.WithTimeout(ctx, ackTimeout)
 	defer cancel()
 	if p.log != nil {
 		return o.client.Call(ctx, address, MethodLog, p.log, &messages.LogMessage{})
 	}
-	return o.client.Call(ctx, address, MethodSpread, p.batch, &messages.UpstreamBatchResponse{})
+	return o.client.Call(ctx, address, MethodUpstreamBatch, p.batch, &messages.UpstreamBatchResponse{})
 }
 
-// discard drops what has waited while the other end was silent; only the newest
+// drain drops the messages that were queued while the peer did not respond; only the newest
 // messages matter.
-func discard(queue <-chan parcel) {
+func drain(queue <-chan peerMessage) {
 	for range len(queue) {
 		<-queue
 	}
--- a/src/governor/pages.go
+++ b/src/governor/pages.go
@@ -11,41 +11,42 @@
 )
 
 const (
-	// leastPageTime and mostPageTime bound the time whose changes one page holds: a part of
-	// the time between two polls of an entry.
-	leastPageTime = tickInterval
-	mostPageTime  = 100 * time.Millisecond
-	// leaderPages is how many entries polling twice in a page's time make it that long.
-	leaderPages = 1600
-	// keptPages is how many pages are kept for entries that poll late.
-	keptPages = 64
-	// smallPage is the size up to which packing a page saves nothing, in bytes.
-	smallPage = 512
+	// minPageInterval and maxPageInterval bound the interval whose changes one page holds, a
+	// fraction of the interval between two polls of an entry.
+	minPageInterval = tickInterval
+	maxPageInterval = 100 * time.Millisecond
+	// entriesPerPageSecond is the number of entries that would make the page interval one
+	// second. Each is counted as polling twice within an interval.
+	entriesPerPageSecond = 1600
+	// maxPages is how many pages are kept for entries that poll late.
+	maxPages = 64
+	// maxUncompressedSize is the size up to which compressing a page saves nothing, in bytes.
+	maxUncompressedSize = 512
 )
 
-// pages are the last changes of the table as entries get them.
+// pages holds the last changes of the table in the encoding that is sent to entries.
 //
-// The load it answers: thousands of upstreams start or fall silent within seconds, and
-// hundreds of entries follow. Encoded for each entry anew, each change costs the leader
-// hundreds of times what it costs once, and the leader loses its majority over it.
+// When thousands of upstreams start or fall silent within seconds, hundreds of entries need
+// each change. If each change were encoded for every entry, it would cost the leader hundreds
+// of times as much as encoding it once, and the leader would lose its majority.
 type pages struct {
 	list []page
-	// end is the table's cursor up to which there are pages.
+	// end is the table's cursor up to which changes are in pages.
 	end      uint64
 	sealedAt time.Time
 }
 
-// page holds the changes behind the cursor from.
+// page holds the changes after the cursor from.
 type page struct {
 	from    uint64
 	count   int
 	message *messages.TablePage
 }
 
-// seal makes a page of what has changed since the last one.
+// seal creates a page of the changes since the last one.
 func (p *pages) seal(now time.Time, table *enroller.Table, entries int) error {
-	span := min(mostPageTime, max(leastPageTime, time.Duration(entries)*time.Second/leaderPages))
-	if now.Sub(p.sealedAt) < span || table.Cursor() == p.end {
+	interval := min(maxPageInterval, max(minPageInterval, time.Duration(entries)*time.Second/entriesPerPageSecond))
+	if now.Sub(p.sealedAt) < interval || table.Cursor() == p.end {
 		return nil
 	}
 	changes, end := table.Part(now, table.ID, p.end, table.Cursor(), len(table.Entries()))
@@ -54,9 +55,9 @@
 		return fmt.Errorf("encode the changes of the table: %w", err)
 	}
 	message := &messages.TablePage{Content: content}
-	if len(content) > smallPage {
+	if len(content) > maxUncompressedSize {
 		if message.Content, err = compress(content); err != nil {
-			return fmt.Errorf("pack the changes of the table: %w", err)
+			return fmt.Errorf("compress the changes of the table: %w", err)
 		}
 		message.Packed = true
 	}
@@ -65,17 +66,18 @@
 		count:   len(changes),
 		message: message,
 	})
-	if len(p.list) > keptPages {
-		p.list = p.list[len(p.list)-keptPages:]
+	if len(p.list) > maxPages {
+		p.list = p.list[len(p.list)-maxPages:]
 	}
 	p.end = end
 	p.sealedAt = now
 	return nil
 }
 
-// since returns the pages behind a cursor, with few changes more than most, and the cursor
-// behind them; false where no page begins there.
-func (p *pages) since(cursor uint64, most int) (found []*messages.TablePage, reached uint64, known bool) {
+// since returns the pages after a cursor and the cursor after the last of them. They hold at
+// least limit changes unless there are fewer, and at most one page more. known is false where
+// no page begins at the cursor.
+func (p *pages) since(cursor uint64, limit int) (found []*messages.TablePage, next uint64, known bool) {
 	if cursor == p.end {
 		return nil, cursor, true
 	}
@@ -85,7 +87,7 @@
 			continue
 		}
 		known = true
-		if count >= most {
+		if count >= limit {
 			return found, p.list[i].from, true
 		}
 		count += p.list[i].count
@@ -94,13 +96,13 @@
 	return found, p.end, known
 }
 
-// Upstreams returns the changes that a page holds.
+// Upstreams decodes the changes in a page.
 func Upstreams(m *messages.TablePage) ([]*messages.RegisteredUpstream, error) {
 	content := m.GetContent()
 	if m.GetPacked() {
 		var err error
 		if content, err = decompress(content); err != nil {
-			return nil, fmt.Errorf("unpack changes of the table: %w", err)
+			return nil, fmt.Errorf("decompress changes of the table: %w", err)
 		}
 	}
 	batch := &messages.UpstreamBatch{}
--- a/src/governor/pages_test.go
+++ b/src/governor/pages_test.go
@@ -13,7 +13,7 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// follower is an entry's table that follows a leader.
+// follower is an entry's copy of a leader's table.
 type follower struct {
 	table  *enroller.Table
 	cursor uint64
@@ -31,7 +31,7 @@
 		poll.TableDigest = f.table.Digest()
 	}
 	response := &messages.EntryPollResponse{}
-	c.tellTable(now, true, poll, response)
+	c.addTableChanges(now, true, poll, response)
 	changes := response.GetUpstreams()
 	for _, page := range response.GetPages() {
 		read, err := Upstreams(page)
@@ -46,9 +46,9 @@
 	f.id, f.cursor, f.more = c.table.ID, response.GetTableCursor(), response.GetMore()
 }
 
-// Guards against an upstream that an entry never hears of: whenever entries poll, come late or
-// lose their place, they end with the leader's table.
-func TestPagesBringTheTable(t *testing.T) {
+// Guards against an upstream that never reaches an entry: however entries poll, whether they
+// poll late or lose their cursor, they end up with the leader's table.
+func TestPagesReproduceTable(t *testing.T) {
 	_, c := newLeader(t)
 	rapid.Check(t, func(t *rapid.T) {
 		c.table = &enroller.Table{ID: rapid.Uint64Min(1).Draw(t, "table"), Interval: time.Hour}
@@ -95,26 +95,27 @@
 	})
 }
 
-// Guards against a leader that encodes each change for each of hundreds of entries.
+// Guards against a leader that encodes each change separately for each of hundreds of
+// entries.
 func TestEntriesShareOnePage(t *testing.T) {
-	f := crowd{upstreams: 3000}
+	f := fleet{upstreams: 3000}
 	_, c := newLeader(t)
-	f.declare(c)
+	f.populate(c)
 	var first *messages.TablePage
 	for entry := range 300 {
 		response := &messages.EntryPollResponse{}
-		c.tellTable(timekeeper.Now(), true, &messages.EntryPoll{}, response)
+		c.addTableChanges(timekeeper.Now(), true, &messages.EntryPoll{}, response)
 		if len(response.GetPages()) != 1 || len(response.GetUpstreams()) > 0 {
-			t.Fatalf("answer to entry %d: got %d pages and %d upstreams, want one page alone", entry, len(response.GetPages()), len(response.GetUpstreams()))
+			t.Fatalf("answer to entry %d: got %d pages and %d upstreams, want a single page and no upstreams", entry, len(response.GetPages()), len(response.GetUpstreams()))
 		}
 		if first == nil {
 			first = response.GetPages()[0]
 		}
 		if response.GetPages()[0] != first {
-			t.Fatalf("page of entry %d: got one of its own, want the same for all", entry)
+			t.Fatalf("page of entry %d: got a separate page, want the one that all entries share", entry)
 		}
 	}
-	if got, most := len(first.GetContent()), 60<<10; got > most {
-		t.Errorf("page of 3,000 upstreams: got %d bytes, want at most %d", got, most)
+	if got, maxSize := len(first.GetContent()), 60<<10; got > maxSize {
+		t.Errorf("page of 3,000 upstreams: got %d bytes, want at most %d", got, maxSize)
 	}
 }
--- a/src/governor/poll_test.go
+++ b/src/governor/poll_test.go
@@ -15,18 +15,19 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// crowd is a fleet as its leader hears it.
-type crowd struct {
+// fleet is a simulated deployment that polls a leader.
+type fleet struct {
 	entries   int
 	upstreams int
 	accounts  int
 }
 
-// declare gives the leader a configuration, upstreams and accounts of the crowd's number.
-func (f crowd) declare(c *coordinator) {
-	c.declared = &matcher.Declaration{}
+// populate sets a configuration on the leader and registers the fleet's accounts and
+// upstreams.
+func (f fleet) populate(c *coordinator) {
+	c.configuration = &matcher.Declaration{}
 	for i := range f.accounts {
-		c.declared.Accounts = append(c.declared.Accounts, matcher.Account{
+		c.configuration.Accounts = append(c.configuration.Accounts, matcher.Account{
 			Name:  units.Account(fmt.Sprintf("account-%d", i)),
 			Rate:  36_000,
 			Burst: 36_000,
@@ -47,7 +48,7 @@
 }
 
 // poll returns the n-th poll of an entry.
-func (f crowd) poll(c *coordinator, entry, n int) *messages.EntryPoll {
+func (f fleet) poll(c *coordinator, entry, n int) *messages.EntryPoll {
 	loads := make(map[placer.Hash]placer.InFlightLoad)
 	for i := range 4 {
 		loads[placer.HashOf(units.Upstream(fmt.Sprintf("i-%08d", (entry*7+n+i*31)%f.upstreams)))] = placer.InFlightLoad{
@@ -87,53 +88,53 @@
 	return poll
 }
 
-// Two hundred entries poll a leader faster than it answers, ten polls of each waiting.
-// Heartbeats of the log behind them come too late, and the leader loses its majority on a
-// day without faults; callers are refused until another one leads. Whatever else there is
-// to do goes before all polls.
-func TestPollsHoldUpNothingElse(t *testing.T) {
+// Two hundred entries poll a leader faster than it answers, with ten polls of each queued. If
+// the log's heartbeats queue behind them, they come too late: the leader loses its majority
+// without any fault, and callers are refused until another one is elected. All other events
+// must precede the polls.
+func TestOtherEventsPrecedePolls(t *testing.T) {
 	const urgent = 40
 	g, c := newLeader(t)
 	for entry := range cap(g.polls) {
-		g.polls <- polled{
-			poll:  &messages.EntryPoll{Entry: fmt.Sprint(entry)},
-			at:    timekeeper.Now(),
-			reply: make(chan *messages.EntryPollResponse, 1),
+		g.polls <- pollReceived{
+			poll:       &messages.EntryPoll{Entry: fmt.Sprint(entry)},
+			receivedAt: timekeeper.Now(),
+			reply:      make(chan *messages.EntryPollResponse, 1),
 		}
 	}
 	for range urgent {
-		g.box <- arrived{message: &messages.LogMessage{}}
+		g.events <- logMessageReceived{message: &messages.LogMessage{}}
 	}
 	ticks := make(chan time.Time, 1)
 	ticks <- time.Now()
 	for i := range urgent + 1 {
-		if e, isPoll := c.next(t.Context(), ticks).(polled); isPoll {
-			t.Fatalf("event %d: got the poll of %s, want what goes before it", i, e.poll.GetEntry())
+		if e, isPoll := c.nextEvent(t.Context(), ticks).(pollReceived); isPoll {
+			t.Fatalf("event %d: got the poll of %s, want another event first", i, e.poll.GetEntry())
 		}
 	}
-	if got := c.next(t.Context(), ticks); got.(polled).poll.GetEntry() != "0" {
-		t.Errorf("event with nothing else to do: got %v, want the first poll", got)
+	if got := c.nextEvent(t.Context(), ticks); got.(pollReceived).poll.GetEntry() != "0" {
+		t.Errorf("event after all others: got %v, want the first poll", got)
 	}
 }
 
-// A leader was held up for half a second. The entries have given those polls up and sent
-// others; worked through first, the old ones would make the next ones late as well.
-func TestPollsThatWereGivenUpAreNotAnswered(t *testing.T) {
+// A leader was delayed by half a second. The entries have given up on the queued polls and
+// sent new ones; if the old polls were answered first, the new ones would be late as well.
+func TestExpiredPollsAreNotAnswered(t *testing.T) {
 	cases := map[string]struct {
 		age  time.Duration
 		want bool
 	}{
-		"fresh":    {age: 100 * time.Millisecond, want: true},
-		"given up": {age: 500 * time.Millisecond},
+		"fresh":   {age: 100 * time.Millisecond, want: true},
+		"expired": {age: 500 * time.Millisecond},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			_, leader := newLeader(t)
 			reply := make(chan *messages.EntryPollResponse, 1)
-			if err := leader.take(polled{
-				poll:  &messages.EntryPoll{Entry: "e", Serving: true},
-				at:    timekeeper.Now().Add(-c.age),
-				reply: reply,
+			if err := leader.handle(pollReceived{
+				poll:       &messages.EntryPoll{Entry: "e", Serving: true},
+				receivedAt: timekeeper.Now().Add(-c.age),
+				reply:      reply,
 			}); err != nil {
 				t.Fatal(err)
 			}
@@ -141,23 +142,24 @@
 				t.Errorf("answered as the leader: got %t, want %t", got, c.want)
 			}
 			if got := leader.divider.HasEntry("e"); got != c.want {
-				t.Errorf("heard: got %t, want %t", got, c.want)
+				t.Errorf("entry recorded: got %t, want %t", got, c.want)
 			}
 		})
 	}
 }
 
-// BenchmarkPoll is what one poll costs the leader's coordinator by the size of the fleet.
+// BenchmarkPoll measures what one poll costs the leader's coordinator, by the size of the
+// fleet.
 func BenchmarkPoll(b *testing.B) {
 	for _, entries := range []int{8, 60, 195, 990} {
 		b.Run(fmt.Sprintf("entries=%d", entries), func(b *testing.B) {
-			f := crowd{
+			f := fleet{
 				entries:   entries,
 				upstreams: 150,
 				accounts:  19,
 			}
 			_, c := newLeader(b)
-			f.declare(c)
+			f.populate(c)
 			for entry := range entries {
 				c.poll(f.poll(c, entry, 1))
 			}
@@ -172,16 +174,16 @@
 	}
 }
 
-// Guards against answers that grow with the fleet: at 3,000 busy upstreams and 300 entries the
-// leader sent tens of MB a second, and lost its majority.
+// Guards against responses that grow with the fleet: with 3,000 busy upstreams and 300
+// entries the leader sent tens of MB per second and lost its majority.
 func TestAnswerOfBusyFleetStaysSmall(t *testing.T) {
-	const most = 8 << 10
-	f := crowd{
+	const maxSize = 8 << 10
+	f := fleet{
 		entries:   300,
 		upstreams: 3000,
 	}
 	_, c := newLeader(t)
-	f.declare(c)
+	f.populate(c)
 	loads := make(map[placer.Hash]placer.InFlightLoad)
 	for i := range f.upstreams {
 		loads[placer.HashOf(units.Upstream(fmt.Sprintf("i-%08d", i)))] = placer.InFlightLoad{
@@ -192,14 +194,14 @@
 	poll := f.poll(c, 0, 1)
 	poll.UnderWay = EncodeLoads(loads)
 	c.poll(poll)
-	c.digest = nil
+	c.pollSummary = nil
 	response := c.poll(f.poll(c, 1, 1))
-	if got := proto.Size(response); got > most {
-		t.Errorf("answer: got %d bytes, want at most %d", got, most)
+	if got := proto.Size(response); got > maxSize {
+		t.Errorf("response: got %d bytes, want at most %d", got, maxSize)
 	}
-	told := DecodeLoads(response.GetUnderWay())
+	loadsSent := DecodeLoads(response.GetUnderWay())
 	busiest := placer.HashOf(units.Upstream(fmt.Sprintf("i-%08d", f.upstreams-1)))
-	if got, want := told[busiest].Calls, int64(f.upstreams-1); got != want {
+	if got, want := loadsSent[busiest].Calls, int64(f.upstreams-1); got != want {
 		t.Errorf("calls at the busiest upstream: got %d, want %d", got, want)
 	}
 }
--- a/src/governor/quarantine.go
+++ b/src/governor/quarantine.go
@@ -12,62 +12,64 @@
 )
 
 const (
-	// quarantineInterval is how often what speaks against requests is judged.
+	// quarantineInterval is how often the evidence against requests is evaluated.
 	quarantineInterval = 50 * time.Millisecond
-	// quarantineTime is how long the first quarantine of a request lasts; each further one
-	// lasts twice as long, up to the last.
-	quarantineTime     = 10 * time.Minute
-	lastQuarantineTime = 24 * time.Hour
-	// quarantinePause is how long a verdict may take to be committed before it is proposed
-	// again.
-	quarantinePause = time.Second
-	// mostQuarantines bounds the requests that are remembered.
-	mostQuarantines = 256
-	// mostTold bounds the suspects that entries are told.
-	mostTold = 256
+	// minQuarantineTime is the duration of a request's first quarantine; each further one
+	// lasts twice as long, up to maxQuarantineTime.
+	minQuarantineTime = 10 * time.Minute
+	maxQuarantineTime = 24 * time.Hour
+	// quarantineRetryDelay is how long a verdict may take to be committed before it is
+	// proposed again.
+	quarantineRetryDelay = time.Second
+	// maxQuarantines bounds the number of requests in the replicated state.
+	maxQuarantines = 256
+	// maxSuspects bounds the number of suspect requests that are sent to entries.
+	maxSuspects = 256
 )
 
-// quarantines decides which requests may reach no upstream; the coordinator alone uses it.
+// quarantines decides which requests no upstream may receive. Only the coordinator's
+// goroutine uses it.
 type quarantines struct {
 	coordinator *coordinator
-	// leadership is random, since a later one must not pass for this one.
-	leadership uint64
-	weigher    *quarantiner.Quarantiner
-	workedAt   time.Time
-	// proposed holds when verdicts were proposed that are not known to be committed, released
-	// when the end of a quarantine was.
-	proposed map[units.Fingerprint]time.Time
-	released map[units.Fingerprint]time.Time
+	// leadership identifies this leadership. It is random, so that a later leadership is
+	// never mistaken for it.
+	leadership  uint64
+	detector    *quarantiner.Quarantiner
+	evaluatedAt time.Time
+	// proposed holds when verdicts that are not known to be committed were proposed, and
+	// releaseProposed when the end of a quarantine was proposed.
+	proposed        map[units.Fingerprint]time.Time
+	releaseProposed map[units.Fingerprint]time.Time
 }
 
-// begin starts a leadership that knows nothing of what entries have seen.
-func (q *quarantines) begin() {
+// startLeadership starts with no losses reported by entries.
+func (q *quarantines) startLeadership() {
 	q.leadership = rand.Uint64() | 1
 	q.proposed = make(map[units.Fingerprint]time.Time)
-	q.released = make(map[units.Fingerprint]time.Time)
-	q.weigher = &quarantiner.Quarantiner{
+	q.releaseProposed = make(map[units.Fingerprint]time.Time)
+	q.detector = &quarantiner.Quarantiner{
 		Enough:   quarantiner.FleetPoints,
 		Settle:   quarantiner.Settle,
 		Repeated: func(request units.Fingerprint) bool { return q.coordinator.state.quarantines[request] != nil },
 	}
 }
 
-// hear takes an entry's news.
-func (q *quarantines) hear(now time.Time, poll *messages.EntryPoll) error {
-	if q.weigher == nil || poll.GetLeadership() != q.leadership {
+// record processes the losses and runs that an entry reports.
+func (q *quarantines) record(now time.Time, poll *messages.EntryPoll) error {
+	if q.detector == nil || poll.GetLeadership() != q.leadership {
 		return nil
 	}
 	for _, m := range poll.GetLosses() {
 		request := units.Fingerprint(m.GetRequest())
 		if !m.GetRan() {
-			q.weigher.Lose(now, quarantiner.Loss{
+			q.detector.Lose(now, quarantiner.Loss{
 				Request:   request,
 				Life:      units.Life(m.GetLife()),
 				Answering: m.GetAnswering(),
 			})
 			continue
 		}
-		q.weigher.Ran(now, request)
+		q.detector.Ran(now, request)
 		if err := q.release(now, poll.GetEntry(), request); err != nil {
 			return err
 		}
@@ -75,16 +77,17 @@
 	return nil
 }
 
-// release ends the quarantine of a request that has run, also one that is being committed: the
-// news comes once, and a request that is quarantined runs nowhere to tell it again.
+// release ends the quarantine of a request that has run, even while the quarantine is still
+// being committed: the run is reported only once, and a quarantined request runs nowhere, so
+// that no further report would come.
 func (q *quarantines) release(now time.Time, entry string, request units.Fingerprint) error {
 	c := q.coordinator
 	_, pending := q.proposed[request]
-	if c.state.quarantines[request] == nil && !pending || now.Sub(q.released[request]) < quarantinePause {
+	if c.state.quarantines[request] == nil && !pending || now.Sub(q.releaseProposed[request]) < quarantineRetryDelay {
 		return nil
 	}
 	delete(q.proposed, request)
-	q.released[request] = now
+	q.releaseProposed[request] = now
 	c.log.Info().
 		Stringer("fingerprint", request).
 		Str("entry", entry).
@@ -95,40 +98,40 @@
 	})
 }
 
-// work judges what speaks against requests.
-func (q *quarantines) work(now time.Time) error {
-	if now.Sub(q.workedAt) < quarantineInterval {
+// tick evaluates the evidence against requests and proposes the quarantines that are due.
+func (q *quarantines) tick(now time.Time) error {
+	if now.Sub(q.evaluatedAt) < quarantineInterval {
 		return nil
 	}
-	q.workedAt = now
+	q.evaluatedAt = now
 	c := q.coordinator
 	trueNow := c.trueTime(now)
-	maps.DeleteFunc(q.released, func(_ units.Fingerprint, at time.Time) bool { return now.Sub(at) >= quarantinePause })
-	for _, verdict := range q.weigher.Due(now) {
+	maps.DeleteFunc(q.releaseProposed, func(_ units.Fingerprint, at time.Time) bool { return now.Sub(at) >= quarantineRetryDelay })
+	for _, verdict := range q.detector.Due(now) {
 		known := c.state.quarantines[verdict.Request]
-		pending, found := q.proposed[verdict.Request]
+		proposedAt, found := q.proposed[verdict.Request]
 		if found && known.GetUntilNs() > trueNow.UnixNano() {
 			delete(q.proposed, verdict.Request)
-			q.weigher.Drop(verdict.Request)
+			q.detector.Drop(verdict.Request)
 			continue
 		}
-		if found && now.Sub(pending) < quarantinePause {
+		if found && now.Sub(proposedAt) < quarantineRetryDelay {
 			continue
 		}
 		q.proposed[verdict.Request] = now
 		strikes := known.GetStrikes() + 1
-		lasts := quarantineFor(strikes)
+		duration := quarantineDuration(strikes)
 		c.log.Warn().
 			Stringer("fingerprint", verdict.Request).
 			Int("upstreams", verdict.Upstreams).
 			Int("points", int(verdict.Points)).
 			Uint32("strikes", strikes).
-			Dur("lasts-ms", lasts).
+			Dur("lasts-ms", duration).
 			Msg("request-quarantined")
 		err := q.propose(&messages.Quarantine{
 			Request:   uint64(verdict.Request),
 			Strikes:   strikes,
-			UntilNs:   trueNow.Add(lasts).UnixNano(),
+			UntilNs:   trueNow.Add(duration).UnixNano(),
 			Upstreams: uint32(verdict.Upstreams),
 		})
 		if err != nil {
@@ -138,13 +141,14 @@
 	return nil
 }
 
-// quarantineFor returns how long a quarantine lasts.
-func quarantineFor(strikes uint32) time.Duration {
-	lasts := quarantineTime
-	for ; strikes > 1 && lasts < lastQuarantineTime; strikes-- {
-		lasts *= 2
+// quarantineDuration returns the duration of a request's quarantine by the number of its
+// strikes.
+func quarantineDuration(strikes uint32) time.Duration {
+	duration := minQuarantineTime
+	for ; strikes > 1 && duration < maxQuarantineTime; strikes-- {
+		duration *= 2
 	}
-	return min(lasts, lastQuarantineTime)
+	return min(duration, maxQuarantineTime)
 }
 
 func (q *quarantines) propose(m *messages.Quarantine) error {
@@ -157,22 +161,22 @@
 	})
 }
 
-// tell adds what an entry does not know to an answer.
-func (q *quarantines) tell(leads bool, poll *messages.EntryPoll, response *messages.EntryPollResponse) {
+// report adds the quarantines and suspects that an entry does not have yet to a response.
+func (q *quarantines) report(isLeader bool, poll *messages.EntryPoll, response *messages.EntryPollResponse) {
 	s := q.coordinator.state
 	if poll.GetQuarantineNumber() < s.quarantineNumber {
-		response.Quarantines = s.quarantined()
+		response.Quarantines = s.quarantineList()
 	}
-	if !leads {
+	if !isLeader {
 		return
 	}
 	response.Leadership = q.leadership
-	if poll.GetLeadership() == q.leadership && poll.GetSuspectsVersion() == q.weigher.Version() {
+	if poll.GetLeadership() == q.leadership && poll.GetSuspectsVersion() == q.detector.Version() {
 		return
 	}
-	suspects, version := q.weigher.Suspects()
+	suspects, version := q.detector.Suspects()
 	m := &messages.Suspects{Version: version}
-	for _, request := range suspects[:min(len(suspects), mostTold)] {
+	for _, request := range suspects[:min(len(suspects), maxSuspects)] {
 		m.Requests = append(m.Requests, uint64(request))
 	}
 	response.Suspects = m
--- a/src/governor/quarantine_test.go
+++ b/src/governor/quarantine_test.go
@@ -13,11 +13,11 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// suspected is the request of the tests.
-const suspected units.Fingerprint = 1
+// suspectRequest is the request used in the tests.
+const suspectRequest units.Fingerprint = 1
 
-// newsOf returns an entry's poll with news of the request.
-func newsOf(c *coordinator, entry string, life units.Life, ran bool) *messages.EntryPoll {
+// lossPoll returns an entry's poll that reports a loss, or a run, of the request.
+func lossPoll(c *coordinator, entry string, life units.Life, ran bool) *messages.EntryPoll {
 	return &messages.EntryPoll{
 		Entry:       entry,
 		Incarnation: 1,
@@ -25,130 +25,131 @@
 		WallNs:      time.Now().UnixNano(),
 		Leadership:  c.quarantines.leadership,
 		Losses: []*messages.UpstreamLoss{{
-			Request: uint64(suspected),
+			Request: uint64(suspectRequest),
 			Life:    uint64(life),
 			Ran:     ran,
 		}},
 	}
 }
 
-// hearNews gives a leader a poll's news and lets it judge later.
-func hearNews(t *testing.T, c *coordinator, now time.Time, poll *messages.EntryPoll) {
+// receiveLosses passes a poll's losses to a leader and has it evaluate them after the settle
+// time.
+func receiveLosses(t *testing.T, c *coordinator, now time.Time, poll *messages.EntryPoll) {
 	t.Helper()
-	if err := c.quarantines.hear(now, poll); err != nil {
+	if err := c.quarantines.record(now, poll); err != nil {
 		t.Fatal(err)
 	}
 	for _, at := range []time.Duration{quarantiner.Settle, 2 * quarantiner.Settle} {
-		if err := c.quarantines.work(now.Add(at)); err != nil {
+		if err := c.quarantines.tick(now.Add(at)); err != nil {
 			t.Fatal(err)
 		}
 	}
 }
 
-// quarantinedBy returns what a poll of an entry that knows nothing is told.
-func quarantinedBy(c *coordinator) []units.Fingerprint {
+// quarantinesSent returns the quarantines in the response to an entry that has none yet.
+func quarantinesSent(c *coordinator) []units.Fingerprint {
 	response := c.poll(&messages.EntryPoll{Entry: "new", Incarnation: 1, Serving: true})
-	var told []units.Fingerprint
+	var sent []units.Fingerprint
 	for _, m := range response.GetQuarantines().GetRequests() {
-		told = append(told, units.Fingerprint(m.GetRequest()))
+		sent = append(sent, units.Fingerprint(m.GetRequest()))
 	}
-	return told
+	return sent
 }
 
-// Guards against a request that ends upstreams behind one entry after the other, each of which
-// has seen one end.
-func TestLeaderAddsUpWhatEntriesLost(t *testing.T) {
+// Guards against a request that terminates upstreams at one entry after another, each of which has
+// seen only one loss.
+func TestLeaderCombinesLossesOfEntries(t *testing.T) {
 	_, c := newLeader(t)
 	now := timekeeper.Now()
-	c.leads(now)
-	hearNews(t, c, now, newsOf(c, "e1", 11, false))
-	if got := quarantinedBy(c); len(got) > 0 {
+	c.isLeader(now)
+	receiveLosses(t, c, now, lossPoll(c, "e1", 11, false))
+	if got := quarantinesSent(c); len(got) > 0 {
 		t.Fatalf("after one loss: got %v quarantined, want none", got)
 	}
 	if got := c.poll(&messages.EntryPoll{Entry: "e2"}).GetSuspects().GetRequests(); !slices.Equal(got, []uint64{1}) {
 		t.Errorf("suspects: got %v, want [1]", got)
 	}
-	hearNews(t, c, now.Add(time.Second), newsOf(c, "e2", 12, false))
-	if got := quarantinedBy(c); !slices.Equal(got, []units.Fingerprint{1}) {
+	receiveLosses(t, c, now.Add(time.Second), lossPoll(c, "e2", 12, false))
+	if got := quarantinesSent(c); !slices.Equal(got, []units.Fingerprint{1}) {
 		t.Fatalf("after two entries' losses: got %v quarantined, want [1]", got)
 	}
 	if got := c.state.quarantines[1].GetStrikes(); got != 1 {
 		t.Errorf("strikes: got %d, want 1", got)
 	}
 	if got := c.poll(&messages.EntryPoll{Entry: "e2", QuarantineNumber: c.state.quarantineNumber}); got.GetQuarantines() != nil {
-		t.Errorf("told to an entry that knows: got %v, want nothing", got.GetQuarantines())
+		t.Errorf("quarantines sent to an entry that has them: got %v, want nothing", got.GetQuarantines())
 	}
-	hearNews(t, c, now.Add(2*time.Second), newsOf(c, "e3", 13, false))
+	receiveLosses(t, c, now.Add(2*time.Second), lossPoll(c, "e3", 13, false))
 	if got := c.state.quarantines[1].GetStrikes(); got != 2 {
-		t.Errorf("strikes after it ended one more: got %d, want 2", got)
+		t.Errorf("strikes after one more loss: got %d, want 2", got)
 	}
 }
 
-// Guards against a request that stays quarantined though it has run since.
+// Guards against a request that stays quarantined although it has run since.
 func TestRequestThatRanIsReleased(t *testing.T) {
 	_, c := newLeader(t)
 	now := timekeeper.Now()
-	c.leads(now)
+	c.isLeader(now)
 	for life := range 2 {
-		hearNews(t, c, now.Add(time.Duration(life)*time.Second), newsOf(c, "e1", units.Life(life+1), false))
+		receiveLosses(t, c, now.Add(time.Duration(life)*time.Second), lossPoll(c, "e1", units.Life(life+1), false))
 	}
-	if got := quarantinedBy(c); !slices.Equal(got, []units.Fingerprint{1}) {
+	if got := quarantinesSent(c); !slices.Equal(got, []units.Fingerprint{1}) {
 		t.Fatalf("after two losses: got %v quarantined, want [1]", got)
 	}
-	hearNews(t, c, now.Add(4*time.Second), newsOf(c, "e2", 0, true))
-	if got := quarantinedBy(c); len(got) > 0 {
-		t.Errorf("after it has run: got %v quarantined, want none", got)
+	receiveLosses(t, c, now.Add(4*time.Second), lossPoll(c, "e2", 0, true))
+	if got := quarantinesSent(c); len(got) > 0 {
+		t.Errorf("after a run: got %v quarantined, want none", got)
 	}
 }
 
-// Guards against a request that stays quarantined since the news that it has run came while the
+// Guards against a request that stays quarantined because its run was reported while the
 // verdict was being committed.
-func TestRunDuringTheVerdictReleasesARequest(t *testing.T) {
+func TestRunWhileQuarantineIsCommittedReleasesRequest(t *testing.T) {
 	_, c := newLeader(t)
 	now := timekeeper.Now()
-	c.leads(now)
+	c.isLeader(now)
 	for life := range 2 {
-		if err := c.quarantines.hear(now, newsOf(c, "e1", units.Life(life+1), false)); err != nil {
+		if err := c.quarantines.record(now, lossPoll(c, "e1", units.Life(life+1), false)); err != nil {
 			t.Fatal(err)
 		}
 	}
 	now = now.Add(quarantiner.Settle)
-	if err := c.quarantines.work(now); err != nil {
+	if err := c.quarantines.tick(now); err != nil {
 		t.Fatal(err)
 	}
-	if err := c.quarantines.hear(now.Add(time.Millisecond), newsOf(c, "e2", 0, true)); err != nil {
+	if err := c.quarantines.record(now.Add(time.Millisecond), lossPoll(c, "e2", 0, true)); err != nil {
 		t.Fatal(err)
 	}
-	if err := c.quarantines.work(now.Add(time.Second)); err != nil {
+	if err := c.quarantines.tick(now.Add(time.Second)); err != nil {
 		t.Fatal(err)
 	}
-	if got := quarantinedBy(c); len(got) > 0 {
-		t.Errorf("after it has run: got %v quarantined, want none", got)
+	if got := quarantinesSent(c); len(got) > 0 {
+		t.Errorf("after a run: got %v quarantined, want none", got)
 	}
 }
 
-// Guards against a new leader that takes entries to have told it what they told the one before.
-func TestNewsIsToldToEachLeadership(t *testing.T) {
+// Guards against a new leader that treats reports to its predecessor as reports to itself.
+func TestLossesReportedToEarlierLeadershipAreIgnored(t *testing.T) {
 	_, c := newLeader(t)
 	now := timekeeper.Now()
-	c.leads(now)
-	before := newsOf(c, "e1", 11, false)
+	c.isLeader(now)
+	earlier := lossPoll(c, "e1", 11, false)
 	response := c.poll(&messages.EntryPoll{Entry: "e1"})
-	if got, want := response.GetLeadership(), before.GetLeadership(); got != want || got == 0 {
+	if got, want := response.GetLeadership(), earlier.GetLeadership(); got != want || got == 0 {
 		t.Fatalf("leadership: got %d, want %d", got, want)
 	}
-	c.quarantines.begin()
-	hearNews(t, c, now, before)
-	if got, _ := c.quarantines.weigher.Suspects(); len(got) > 0 {
-		t.Errorf("suspects by news for another leadership: got %v, want none", got)
+	c.quarantines.startLeadership()
+	receiveLosses(t, c, now, earlier)
+	if got, _ := c.quarantines.detector.Suspects(); len(got) > 0 {
+		t.Errorf("suspects by losses reported to an earlier leadership: got %v, want none", got)
 	}
-	if got := c.poll(&messages.EntryPoll{Entry: "e1"}).GetLeadership(); got == before.GetLeadership() {
-		t.Error("leadership: got the same one again, want another")
+	if got := c.poll(&messages.EntryPoll{Entry: "e1"}).GetLeadership(); got == earlier.GetLeadership() {
+		t.Error("leadership: got that of the earlier leadership, want a new one")
 	}
 }
 
-// Guards against a quarantine that is lost with a leader, a snapshot or a restart, and against a
-// record that grows for ever.
+// Guards against a quarantine that is lost with a leader, a snapshot or a restart, and
+// against a record of quarantines that grows without bound.
 func TestQuarantinesAreKept(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		direct, restored := newState(), newState()
@@ -188,27 +189,27 @@
 	})
 }
 
-// Guards against a record of quarantines that grows for ever.
+// Guards against a record of quarantines that grows without bound.
 func TestQuarantinesAreBounded(t *testing.T) {
 	s := newState()
-	for n := range 2 * mostQuarantines {
+	for n := range 2 * maxQuarantines {
 		s.apply(&messages.Command{Change: &messages.Command_Quarantine{Quarantine: &messages.Quarantine{
 			Request: uint64(n + 1),
 			Strikes: 1,
 			UntilNs: int64(n + 1),
 		}}})
 	}
-	if got := len(s.quarantines); got != mostQuarantines {
-		t.Errorf("quarantines: got %d, want %d", got, mostQuarantines)
+	if got := len(s.quarantines); got != maxQuarantines {
+		t.Errorf("quarantines: got %d, want %d", got, maxQuarantines)
 	}
-	if s.quarantines[2*mostQuarantines] == nil || s.quarantines[1] != nil {
-		t.Error("kept: got the one that ends first, want those that last longer")
+	if s.quarantines[2*maxQuarantines] == nil || s.quarantines[1] != nil {
+		t.Error("kept quarantines: got the one that ends first, want the later ones")
 	}
 }
 
-// Guards against a request that is tried again and again at the same pace, and against one that
-// is never tried again.
-func TestQuarantinesLastLonger(t *testing.T) {
+// Guards against a request that is retried at the same pace forever, and against one that is
+// never retried.
+func TestQuarantineDurationDoubles(t *testing.T) {
 	cases := map[string]struct {
 		strikes uint32
 		want    time.Duration
@@ -220,7 +221,7 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			if got := quarantineFor(c.strikes); got != c.want {
+			if got := quarantineDuration(c.strikes); got != c.want {
 				t.Errorf("got %v, want %v", got, c.want)
 			}
 		})
--- /dev/null
+++ b/src/governor/ratelimits.go
@@ -0,0 +1,137 @@
+package governor
+
+import (
+	"time"
+
+	"github.com/rosecroft/rosecroft/src/enroller"
+	"github.com/rosecroft/rosecroft/src/messages"
+	"github.com/rosecroft/rosecroft/src/pacer"
+	"github.com/rosecroft/rosecroft/src/units"
+)
+
+// pruneInterval is how often the limits of upstreams that are gone are removed.
+const pruneInterval = time.Second
+
+// rateLimits divides the calls that upstreams with rate limits accept among entries. Only the
+// coordinator's goroutine uses it.
+type rateLimits struct {
+	coordinator *coordinator
+	divider     *pacer.Allocator
+	prunedAt    time.Time
+}
+
+// startLeadership starts with no limits reported by entries.
+func (l *rateLimits) startLeadership() { l.divider = &pacer.Allocator{} }
+
+// record stores the limits that upstreams have stated to an entry.
+func (l *rateLimits) record(now time.Time, poll *messages.EntryPoll) {
+	if poll.GetLeadership() != l.coordinator.quarantines.leadership {
+		return
+	}
+	for _, m := range poll.GetLimits() {
+		before := l.divider.Version()
+		l.divider.RecordObservation(now, pacer.Observation{
+			Life:       units.Life(m.GetLife()),
+			HasLimit:   m.GetStated(),
+			Rate:       units.CallRate(m.GetRate()),
+			AnsweredAt: now.Add(-time.Duration(m.GetAgeNs())),
+			SentAt:     now.Add(-time.Duration(m.GetSentAgeNs())),
+		})
+		if l.divider.Version() != before {
+			l.coordinator.log.Info().
+				Str("upstream", string(l.upstreamName(units.Life(m.GetLife())))).
+				Str("entry", poll.GetEntry()).
+				Bool("limited", m.GetStated()).
+				Float64("limit", m.GetRate()).
+				Int64("age-ms", time.Duration(m.GetAgeNs()).Milliseconds()).
+				Msg("upstream-limit-changed")
+		}
+	}
+}
+
+// report adds the limits that an entry does not have yet, and the permits granted to it, to a
+// response.
+func (l *rateLimits) report(now time.Time, poll *messages.EntryPoll, response *messages.EntryPollResponse) {
+	known := poll.GetLeadership() == l.coordinator.quarantines.leadership
+	if !known || poll.GetLimitsVersion() != l.divider.Version() {
+		response.Limits = encodeLimits(now, l.divider)
+	}
+	for _, want := range poll.GetWants() {
+		life := units.Life(want.GetLife())
+		if calls := l.divider.Grant(now, units.Instance(poll.GetEntry()), life, int(want.GetCalls())); calls > 0 {
+			response.Permits = append(response.Permits, &messages.UpstreamCalls{
+				Life:  uint64(life),
+				Calls: uint32(calls),
+			})
+		}
+	}
+}
+
+func encodeLimits(now time.Time, divider *pacer.Allocator) *messages.UpstreamLimits {
+	limits, version := divider.Limits()
+	m := &messages.UpstreamLimits{Version: version}
+	for _, limit := range limits {
+		m.Limits = append(m.Limits, &messages.UpstreamLimit{
+			Life:   uint64(limit.Life),
+			Stated: true,
+			Rate:   float64(limit.Rate),
+			AgeNs:  int64(now.Sub(limit.StatedAt)),
+		})
+	}
+	return m
+}
+
+// tick removes the limits of upstreams that are gone.
+func (l *rateLimits) tick(now time.Time) {
+	if now.Sub(l.prunedAt) < pruneInterval {
+		return
+	}
+	l.prunedAt = now
+	present := make(map[units.Life]bool)
+	for _, e := range l.coordinator.table.Entries() {
+		if e.State != enroller.Gone {
+			present[units.LifeOf(e.ID, e.Born)] = true
+		}
+	}
+	l.divider.RetainLimits(now, func(life units.Life) bool { return present[life] })
+}
+
+// upstreamName returns the name of the upstream with a life, "" where it is unknown.
+func (l *rateLimits) upstreamName(life units.Life) units.Upstream {
+	for _, e := range l.coordinator.table.Entries() {
+		if units.LifeOf(e.ID, e.Born) == life {
+			return e.ID
+		}
+	}
+	return ""
+}
+
+// limits returns the limits of upstreams by their lives; an instance that has never led has
+// none.
+func (l *rateLimits) limits() map[units.Life]*float64 {
+	known := make(map[units.Life]*float64)
+	if l.divider == nil {
+		return known
+	}
+	limits, _ := l.divider.Limits()
+	for _, limit := range limits {
+		rate := float64(limit.Rate)
+		known[limit.Life] = &rate
+	}
+	return known
+}
+
+// limitedUpstreams returns how many upstreams of a service accept fewer calls than are
+// available for them.
+func (l *rateLimits) limitedUpstreams(now time.Time, service units.Service) int {
+	if limits, _ := l.divider.Limits(); len(limits) == 0 {
+		return 0
+	}
+	count := 0
+	for _, e := range l.coordinator.table.Entries() {
+		if e.Service == service && e.State == enroller.Ready && l.divider.HasShortage(now, units.LifeOf(e.ID, e.Born)) {
+			count++
+		}
+	}
+	return count
+}
--- a/src/governor/registry.go
+++ b/src/governor/registry.go
@@ -12,33 +12,33 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// mostChanges is how many upstreams one answer brings at most: some tens of kilobytes.
-const mostChanges = 256
+// maxChanges is the maximum number of upstreams in one response, some tens of kilobytes.
+const maxChanges = 256
 
-// announce takes a heartbeat or a goodbye. What ends an upstream's work must be
-// with the leader, whom all entries ask, and with those who may lead next before it
-// is acknowledged.
-func (c *coordinator) announce(a announced) announceReply {
+// handleAnnouncement handles a heartbeat or a deregistration. A change after which an
+// upstream gets no more calls must reach the leader, which all entries poll, and the
+// instances that may lead next, before it is acknowledged.
+func (c *coordinator) handleAnnouncement(a announcement) announceReply {
 	now := timekeeper.Now()
 	reply := announceReply{
-		leader: string(c.node.LeaderID()),
-		leads:  c.node.Lead(now),
-		recent: now.Sub(c.followedAt) < c.settings.HeartbeatInterval,
+		leader:             string(c.node.LeaderID()),
+		leaderReached:      c.node.Lead(now),
+		leaderSeenRecently: now.Sub(c.leaderSeenAt) < c.settings.HeartbeatInterval,
 	}
 	id := a.registration.ID
-	news := false
-	if a.left != "" {
-		id = a.left
-		news = c.table.Leave(now, id)
+	changed := false
+	if a.deregistered != "" {
+		id = a.deregistered
+		changed = c.table.Leave(now, id)
 	} else {
-		news = c.table.Hear(now, a.registration, 0)
+		changed = c.table.Hear(now, a.registration, 0)
 	}
-	c.fresh[id] = true
+	c.unsent[id] = true
 	message := c.table.Message(now, id)
 	if message == nil {
 		return reply
 	}
-	if news {
+	if changed {
 		c.log.Info().
 			Str("upstream", message.GetId()).
 			Str("service", message.GetService()).
@@ -50,36 +50,36 @@
 			Msg("upstream-changed")
 	}
 	if enroller.State(message.GetState()) != enroller.Ready {
-		reply.urgent = message
+		reply.mustReplicate = message
 		for _, instance := range c.node.Acquaintances() {
-			reply.others = append(reply.others, string(instance))
+			reply.peers = append(reply.peers, string(instance))
 		}
 	}
 	return reply
 }
 
-// spreadFresh tells the other control instances what was heard here.
-func (c *coordinator) spreadFresh(now time.Time) {
-	if len(c.fresh) == 0 && c.ticks%(spreadTicks*16) != 0 {
+// sendBatch sends the heartbeats received here to the other control instances.
+func (c *coordinator) sendBatch(now time.Time) {
+	if len(c.unsent) == 0 && c.ticks%(batchTicks*16) != 0 {
 		return
 	}
 	batch := &messages.UpstreamBatch{
 		From:   c.settings.OwnPeerAddress(),
 		WallNs: time.Now().UnixNano(),
 	}
-	for id := range c.fresh {
+	for id := range c.unsent {
 		if message := c.table.Message(now, id); message != nil {
 			batch.Upstreams = append(batch.Upstreams, message)
 		}
 	}
-	clear(c.fresh)
+	clear(c.unsent)
 	for _, instance := range c.node.Acquaintances() {
-		c.outbox.post(c.ctx, string(instance), parcel{batch: batch})
+		c.outbox.enqueue(c.ctx, string(instance), peerMessage{batch: batch})
 	}
 }
 
-// spread takes what another control instance heard.
-func (c *coordinator) spread(batch *messages.UpstreamBatch) *messages.UpstreamBatchResponse {
+// syncUpstreams merges the upstreams that another control instance received.
+func (c *coordinator) syncUpstreams(batch *messages.UpstreamBatch) *messages.UpstreamBatchResponse {
 	now := timekeeper.Now()
 	c.estimator.Take(now, units.Instance(batch.GetFrom()), time.Unix(0, batch.GetWallNs()))
 	for _, message := range batch.GetUpstreams() {
@@ -88,62 +88,62 @@
 	return &messages.UpstreamBatchResponse{Leads: c.node.Lead(now)}
 }
 
-// answer answers a poll, unless its entry has given it up: an instance that is behind
-// would answer nothing else until all of them are through.
-func (c *coordinator) answer(p polled) error {
+// handlePoll answers a poll unless its entry has given up on it: an instance that is behind
+// would otherwise spend all its time on expired polls.
+func (c *coordinator) handlePoll(p pollReceived) error {
 	now := timekeeper.Now()
-	if now.Sub(p.at) > pollPatience {
+	if now.Sub(p.receivedAt) > pollTimeout {
 		p.reply <- &messages.EntryPollResponse{}
 		return nil
 	}
 	p.reply <- c.poll(p.poll)
-	return c.quarantines.hear(now, p.poll)
+	return c.quarantines.record(now, p.poll)
 }
 
-// poll answers an entry.
+// poll returns the response to an entry's poll.
 func (c *coordinator) poll(poll *messages.EntryPoll) *messages.EntryPollResponse {
 	now := timekeeper.Now()
-	leads := c.leads(now)
+	isLeader := c.isLeader(now)
 	summary := c.summary(now)
 	response := &messages.EntryPollResponse{
-		Leads:    leads,
+		Leads:    isLeader,
 		Leader:   string(c.node.LeaderID()),
 		Controls: summary.controls,
 		TableId:  c.table.ID,
 	}
-	c.tellTable(now, leads, poll, response)
-	if c.packed.GetVersion() > poll.GetDeclarationVersion() {
-		response.Declaration = c.packed
+	c.addTableChanges(now, isLeader, poll, response)
+	if c.compressed.GetVersion() > poll.GetDeclarationVersion() {
+		response.Declaration = c.compressed
 	}
 	trueTime := summary.trueTime.Add(now.Sub(summary.at))
-	// Any instance may lead next. Counts that only the last leader heard are lost with
-	// it where their entries are killed before there is another.
-	c.hearUsage(trueTime, poll)
-	response.Rollouts = c.rollouts.tell(leads)
-	c.quarantines.tell(leads, poll, response)
-	if !leads {
+	// Any instance may lead next. If only the leader recorded counts, they would be lost with
+	// it where their entries are killed before another leader is elected.
+	c.recordUsage(trueTime, poll)
+	response.Rollouts = c.rollouts.report(isLeader)
+	c.quarantines.report(isLeader, poll, response)
+	if !isLeader {
 		return response
 	}
 	entry := units.Instance(poll.GetEntry())
-	response.Counted = uint64(c.underWay.LastCounted(entry))
+	response.Counted = uint64(c.inFlight.LastCounted(entry))
 	c.estimator.Take(now, entry, time.Unix(0, poll.GetWallNs()))
-	c.hearEntry(now, entry, poll)
-	c.pacing.tell(now, poll, response)
+	c.recordEntry(now, entry, poll)
+	c.rateLimits.report(now, poll, response)
 	response.TrueTimeNs = trueTime.UnixNano()
 	response.Entries = summary.entries
 	response.Settled = c.divider.Settled(now)
-	response.UnderWay = summary.underWay
-	if c.declared == nil {
+	response.UnderWay = summary.inFlight
+	if c.configuration == nil {
 		return response
 	}
-	for _, account := range c.declared.Accounts {
+	for _, account := range c.configuration.Accounts {
 		if account.Rate <= 0 {
 			continue
 		}
-		if part, level, known := c.divider.Share(now, entry, &account); known {
+		if share, level, known := c.divider.Share(now, entry, &account); known {
 			response.Shares = append(response.Shares, &messages.AccountShare{
 				Account: string(account.Name),
-				Part:    part,
+				Part:    share,
 				Level:   level,
 			})
 		}
@@ -151,27 +151,27 @@
 	return response
 }
 
-// tellTable brings what an entry's table lacks. One that looks for a leader asks many
-// instances, and needs the table of the one that leads.
-func (c *coordinator) tellTable(now time.Time, leads bool, poll *messages.EntryPoll, response *messages.EntryPollResponse) {
+// addTableChanges adds the changes that an entry's table lacks to a response. An entry that
+// looks for the leader polls many instances, and needs only the leader's table.
+func (c *coordinator) addTableChanges(now time.Time, isLeader bool, poll *messages.EntryPoll, response *messages.EntryPollResponse) {
 	cursor := poll.GetTableCursor()
 	if poll.GetTableId() != c.table.ID {
 		cursor = 0
 	}
-	if !leads && cursor == 0 {
+	if !isLeader && cursor == 0 {
 		return
 	}
 	if err := c.pages.seal(now, c.table, c.divider.CountEntries(now)); err != nil {
 		c.log.Error().Err(err).Msg("table-not-told")
 		return
 	}
-	if changes, few := c.table.Differing(now, poll.GetTableDigest(), mostChanges); cursor == 0 && few {
+	if changes, complete := c.table.Differing(now, poll.GetTableDigest(), maxChanges); cursor == 0 && complete {
 		response.Upstreams, response.TableCursor = changes, c.pages.end
 		return
 	}
 	known := false
-	if response.Pages, response.TableCursor, known = c.pages.since(cursor, mostChanges); !known {
-		response.Upstreams, response.TableCursor = c.table.Part(now, c.table.ID, cursor, c.pages.end, mostChanges)
+	if response.Pages, response.TableCursor, known = c.pages.since(cursor, maxChanges); !known {
+		response.Upstreams, response.TableCursor = c.table.Part(now, c.table.ID, cursor, c.pages.end, maxChanges)
 	}
 	response.More = response.TableCursor < c.pages.end
 }
@@ -180,7 +180,7 @@
 	return c.estimator.TrueTime(now, time.Now())
 }
 
-// EncodeLoads returns what is under way as a message.
+// EncodeLoads encodes the loads in flight by upstream.
 func EncodeLoads(loads map[placer.Hash]placer.InFlightLoad) *messages.UpstreamLoads {
 	m := &messages.UpstreamLoads{}
 	for hash, load := range loads {
@@ -191,7 +191,7 @@
 	return m
 }
 
-// DecodeLoads returns what a message says is under way, nothing for one whose
+// DecodeLoads decodes the loads in flight by upstream. It returns none for a message whose
 // lists differ in length.
 func DecodeLoads(m *messages.UpstreamLoads) map[placer.Hash]placer.InFlightLoad {
 	loads := make(map[placer.Hash]placer.InFlightLoad)
@@ -207,8 +207,8 @@
 	return loads
 }
 
-// hearUsage takes what an entry has counted.
-func (c *coordinator) hearUsage(trueTime time.Time, poll *messages.EntryPoll) {
+// recordUsage records the calls that an entry has counted.
+func (c *coordinator) recordUsage(trueTime time.Time, poll *messages.EntryPoll) {
 	counts := make([]tallier.Count, 0, len(poll.GetUsage()))
 	for _, u := range poll.GetUsage() {
 		counts = append(counts, tallier.Count{
@@ -217,14 +217,14 @@
 			Calls:   u.GetCount(),
 		})
 	}
-	c.state.ledger.Hear(trueTime, tallier.Life{
+	c.state.ledger.Record(trueTime, tallier.EntryRun{
 		Entry:       units.Instance(poll.GetEntry()),
 		Incarnation: units.Incarnation(poll.GetIncarnation()),
 	}, counts)
 }
 
-// hearEntry takes what an entry has seen.
-func (c *coordinator) hearEntry(now time.Time, entry units.Instance, poll *messages.EntryPoll) {
+// recordEntry records the demand, version figures, limits and loads that an entry reports.
+func (c *coordinator) recordEntry(now time.Time, entry units.Instance, poll *messages.EntryPoll) {
 	demand := make(map[units.Account]apportioner.Demand, len(poll.GetDemand()))
 	for _, d := range poll.GetDemand() {
 		demand[units.Account(d.GetAccount())] = apportioner.Demand{
@@ -240,8 +240,8 @@
 	} else {
 		c.divider.RemoveEntry(entry)
 	}
-	c.rollouts.hear(entry, units.Incarnation(poll.GetIncarnation()), poll.GetVersions())
-	c.pacing.hear(now, poll)
-	c.duties.orders.hear(now, entry, units.Incarnation(poll.GetIncarnation()), poll.GetLoads())
-	c.underWay.Record(entry, placer.ReportNumber(poll.GetNumber()), DecodeLoads(poll.GetUnderWay()))
+	c.rollouts.record(entry, units.Incarnation(poll.GetIncarnation()), poll.GetVersions())
+	c.rateLimits.record(now, poll)
+	c.duties.orders.record(now, entry, units.Incarnation(poll.GetIncarnation()), poll.GetLoads())
+	c.inFlight.Record(entry, placer.ReportNumber(poll.GetNumber()), DecodeLoads(poll.GetUnderWay()))
 }
--- a/src/governor/rollout.go
+++ b/src/governor/rollout.go
@@ -14,43 +14,43 @@
 )
 
 const (
-	// watchInterval is how often running roll-outs are judged.
-	watchInterval = 100 * time.Millisecond
-	// endPause is how long the end of a roll-out may take to be committed before it is
+	// evaluationInterval is how often running roll-outs are evaluated.
+	evaluationInterval = 100 * time.Millisecond
+	// endRetryDelay is how long the end of a roll-out may take to be committed before it is
 	// proposed again.
-	endPause = time.Second
+	endRetryDelay = time.Second
 )
 
-// rollouts starts, watches and ends roll-outs; the coordinator alone uses it.
+// rollouts starts, monitors and ends roll-outs. Only the coordinator's goroutine uses it.
 type rollouts struct {
 	coordinator *coordinator
-	watched     map[units.Service]*watched
-	workedAt    time.Time
+	monitored   map[units.Service]*monitored
+	evaluatedAt time.Time
 }
 
-// watched is a running roll-out at the leader.
-type watched struct {
+// monitored is a running roll-out with the figures that this leader has received of it.
+type monitored struct {
 	number uint64
 	watch  *releaser.Monitor
 	share  float64
-	// endedAt is when its end was proposed last.
-	endedAt time.Time
+	// endProposedAt is when the end of the roll-out was last proposed.
+	endProposedAt time.Time
 }
 
-// begin starts a leadership that knows nothing of what entries have seen.
-func (r *rollouts) begin() { r.watched = make(map[units.Service]*watched) }
+// startLeadership starts with no figures reported by entries.
+func (r *rollouts) startLeadership() { r.monitored = make(map[units.Service]*monitored) }
 
-// start takes an order; it stands once a majority holds it.
-func (r *rollouts) start(e rolloutAsked) error {
+// start handles an order, which takes effect once a majority holds it.
+func (r *rollouts) start(e rolloutRequested) error {
 	c := r.coordinator
 	now := timekeeper.Now()
-	if !c.leads(now) || c.declared == nil {
+	if !c.isLeader(now) || c.configuration == nil {
 		e.reply <- rolloutReply{leader: string(c.node.LeaderID())}
 		return nil
 	}
 	service := e.order.Service
 	last := c.state.rollouts[service]
-	if outcome, detail := r.refuse(now, e.order, last); outcome != messages.RolloutOutcome_ROLLOUT_OUTCOME_UNSPECIFIED {
+	if outcome, detail := r.checkOrder(now, e.order, last); outcome != messages.RolloutOutcome_ROLLOUT_OUTCOME_UNSPECIFIED {
 		e.reply <- rolloutReply{
 			outcome: outcome,
 			detail:  detail,
@@ -59,7 +59,7 @@
 	}
 	c.nextToken++
 	committed := make(chan declareReply, 1)
-	c.proposals[c.nextToken] = committed
+	c.proposalsByToken[c.nextToken] = committed
 	e.reply <- rolloutReply{committed: committed}
 	c.log.Info().
 		Str("service", string(service)).
@@ -84,22 +84,23 @@
 	})
 }
 
-// refuse answers an order that starts nothing: one that was sent again, or can not be
-// carried out.
-func (r *rollouts) refuse(now time.Time, order RolloutOrder, last *messages.Rollout) (messages.RolloutOutcome, string) {
+// checkOrder returns the outcome of an order that starts nothing: one that was sent again, or
+// one that cannot be carried out. The outcome is unspecified for an order that has to be
+// started.
+func (r *rollouts) checkOrder(now time.Time, order RolloutOrder, last *messages.Rollout) (messages.RolloutOutcome, string) {
 	c := r.coordinator
-	known := false
-	for i := range c.declared.Services {
-		known = known || c.declared.Services[i].Name == order.Service
+	declared := false
+	for i := range c.configuration.Services {
+		declared = declared || c.configuration.Services[i].Name == order.Service
 	}
 	running := last.GetState() == messages.RolloutState_ROLLOUT_STATE_RUNNING
-	same := last != nil && last.GetTarget() == string(order.Target)
+	sameTarget := last != nil && last.GetTarget() == string(order.Target)
 	age := c.trueTime(now).Sub(time.Unix(0, last.GetOrderedNs()))
 	switch {
-	case !known:
+	case !declared:
 		return messages.RolloutOutcome_ROLLOUT_OUTCOME_INVALID,
 			fmt.Sprintf("the configuration has no service %q; declare it first", order.Service)
-	case same && (running || age < c.settings.Rollouts.Resend || last.GetState() == messages.RolloutState_ROLLOUT_STATE_COMPLETED):
+	case sameTarget && (running || age < c.settings.Rollouts.Resend || last.GetState() == messages.RolloutState_ROLLOUT_STATE_COMPLETED):
 		return messages.RolloutOutcome_ROLLOUT_OUTCOME_ACCEPTED, ""
 	case running:
 		return messages.RolloutOutcome_ROLLOUT_OUTCOME_BUSY,
@@ -108,21 +109,22 @@
 	return messages.RolloutOutcome_ROLLOUT_OUTCOME_UNSPECIFIED, ""
 }
 
-// read returns a service's last roll-out while the lease shows that no later leader has
+// read returns a service's last roll-out while the lease guarantees that no later leader has
 // changed it.
-func (r *rollouts) read(service units.Service) rolloutState {
+func (r *rollouts) read(service units.Service) rolloutReadReply {
 	c := r.coordinator
 	if !c.node.Lead(timekeeper.Now()) {
-		return rolloutState{leader: string(c.node.LeaderID())}
+		return rolloutReadReply{leader: string(c.node.LeaderID())}
 	}
-	return rolloutState{
-		sure:    true,
-		rollout: c.state.rollouts[service],
+	return rolloutReadReply{
+		authoritative: true,
+		rollout:       c.state.rollouts[service],
 	}
 }
 
-// barred returns the version of a service that runs beside those that carry it, "" for none.
-func (r *rollouts) barred(service units.Service) units.Release {
+// separateRelease returns the version of a service that runs beside the versions that carry
+// the service's load, "" for none.
+func (r *rollouts) separateRelease(service units.Service) units.Release {
 	last := r.coordinator.state.rollouts[service]
 	switch last.GetState() {
 	case messages.RolloutState_ROLLOUT_STATE_RUNNING, messages.RolloutState_ROLLOUT_STATE_ROLLED_BACK:
@@ -131,29 +133,29 @@
 	return ""
 }
 
-// hear takes what an entry has seen of the versions.
-func (r *rollouts) hear(entry units.Instance, incarnation units.Incarnation, seen []*messages.VersionFigures) {
+// record stores the figures of versions that an entry reports.
+func (r *rollouts) record(entry units.Instance, incarnation units.Incarnation, reported []*messages.VersionFigures) {
 	byService := make(map[units.Service][]releaser.Figures)
-	for _, f := range seen {
+	for _, f := range reported {
 		service := units.Service(f.GetService())
-		if w := r.watched[service]; w != nil && w.number == f.GetNumber() {
+		if w := r.monitored[service]; w != nil && w.number == f.GetNumber() {
 			byService[service] = append(byService[service], DecodeFigures(f))
 		}
 	}
 	for service, figures := range byService {
-		r.watched[service].watch.Record(releaser.EntryIncarnation{
+		r.monitored[service].watch.Record(releaser.EntryIncarnation{
 			Entry:       entry,
 			Incarnation: incarnation,
 		}, figures)
 	}
 }
 
-// tell returns the roll-outs for entries, with shares where this instance leads.
-func (r *rollouts) tell(leads bool) []*messages.RolloutShare {
+// report returns the roll-outs for entries; only the leader sets their shares.
+func (r *rollouts) report(isLeader bool) []*messages.RolloutShare {
 	var shares []*messages.RolloutShare
 	for service, rollout := range r.coordinator.state.rollouts {
 		share := &messages.RolloutShare{Rollout: rollout}
-		if w := r.watched[service]; leads && w != nil && w.number == rollout.GetNumber() {
+		if w := r.monitored[service]; isLeader && w != nil && w.number == rollout.GetNumber() {
 			share.Share = w.share
 		}
 		shares = append(shares, share)
@@ -161,31 +163,31 @@
 	return shares
 }
 
-// work judges the running roll-outs and ends those that are decided.
-func (r *rollouts) work(now time.Time) error {
+// tick evaluates the running roll-outs and ends those that are decided.
+func (r *rollouts) tick(now time.Time) error {
 	c := r.coordinator
-	if now.Sub(r.workedAt) < watchInterval {
+	if now.Sub(r.evaluatedAt) < evaluationInterval {
 		return nil
 	}
-	r.workedAt = now
+	r.evaluatedAt = now
 	for service, rollout := range c.state.rollouts {
 		if rollout.GetState() != messages.RolloutState_ROLLOUT_STATE_RUNNING {
-			delete(r.watched, service)
+			delete(r.monitored, service)
 			continue
 		}
-		if err := r.judge(now, service, rollout); err != nil {
+		if err := r.evaluate(now, service, rollout); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (r *rollouts) judge(now time.Time, service units.Service, rollout *messages.Rollout) error {
+func (r *rollouts) evaluate(now time.Time, service units.Service, rollout *messages.Rollout) error {
 	c := r.coordinator
 	trueNow := c.trueTime(now)
-	w := r.watched[service]
+	w := r.monitored[service]
 	if w == nil || w.number != rollout.GetNumber() {
-		w = &watched{
+		w = &monitored{
 			number: rollout.GetNumber(),
 			watch: &releaser.Monitor{
 				OrderedAt:      time.Unix(0, rollout.GetOrderedNs()),
@@ -197,7 +199,7 @@
 				},
 			},
 		}
-		r.watched[service] = w
+		r.monitored[service] = w
 	}
 	stock := r.stock(service, units.Release(rollout.GetTarget()))
 	decision := w.watch.Step(trueNow, stock)
@@ -216,10 +218,10 @@
 			Msg("rollout-share")
 	}
 	w.share = decision.Share
-	if decision.End == releaser.Running || now.Sub(w.endedAt) < endPause {
+	if decision.End == releaser.Running || now.Sub(w.endProposedAt) < endRetryDelay {
 		return nil
 	}
-	w.endedAt = now
+	w.endProposedAt = now
 	return r.end(service, rollout, decision, trueNow)
 }
 
@@ -255,10 +257,11 @@
 	})
 }
 
-// stock counts a service's upstreams by version, and what runs at those of the others.
+// stock counts a service's ready upstreams of the target version and of the others, and the
+// calls in flight at the others.
 func (r *rollouts) stock(service units.Service, target units.Release) releaser.FleetStatus {
 	c := r.coordinator
-	underWay := c.underWay.Total()
+	inFlight := c.inFlight.Total()
 	stock := releaser.FleetStatus{}
 	for _, e := range c.table.Entries() {
 		if e.Service != service {
@@ -274,7 +277,7 @@
 		}
 		stock.Other += ready
 		if e.State != enroller.Gone {
-			stock.Running += int(underWay[placer.HashOf(e.ID)].Calls)
+			stock.Running += int(inFlight[placer.HashOf(e.ID)].Calls)
 		}
 	}
 	return stock
--- a/src/governor/rollout_test.go
+++ b/src/governor/rollout_test.go
@@ -20,12 +20,13 @@
 	rolledBack = messages.RolloutState_ROLLOUT_STATE_ROLLED_BACK
 )
 
-// order gives an order to a leader of one voter and returns what it answers once it stands.
+// order gives an order to a leader that is the only voter, and returns the outcome after the
+// commit.
 func order(t *testing.T, c *coordinator, o RolloutOrder) messages.RolloutOutcome {
 	t.Helper()
 	for range 2 {
 		reply := make(chan rolloutReply, 1)
-		if err := c.rollouts.start(rolloutAsked{order: o, reply: reply}); err != nil {
+		if err := c.rollouts.start(rolloutRequested{order: o, reply: reply}); err != nil {
 			t.Fatal(err)
 		}
 		answer := <-reply
@@ -33,19 +34,19 @@
 			return answer.outcome
 		}
 		if committed := <-answer.committed; !committed.accepted {
-			t.Fatal("order: got it rejected, want it committed")
+			t.Fatal("order: got a rejected proposal, want it committed")
 		}
 	}
-	t.Fatal("order: got it twice, want it known after it was committed")
+	t.Fatal("order: got a second proposal, want the outcome after the commit")
 	return 0
 }
 
-// Guards against an order that starts twice, and against one that is refused when it is sent
-// again.
+// Guards against an order that is started twice, and against one that is refused when it is
+// sent again.
 func TestRolloutOrdersAtTheLeader(t *testing.T) {
 	_, c := newLeader(t)
 	c.settings.Rollouts.Resend = 5 * time.Second
-	c.declared = &matcher.Declaration{Services: []matcher.Service{{Name: "s"}}}
+	c.configuration = &matcher.Declaration{Services: []matcher.Service{{Name: "s"}}}
 	v2 := RolloutOrder{Service: "s", Target: "v2", Duration: 10 * time.Second}
 	v3 := RolloutOrder{Service: "s", Target: "v3", Duration: 10 * time.Second}
 	steps := []struct {
@@ -68,15 +69,15 @@
 	}
 	c.state.applyRollout(&messages.Rollout{Service: "s", Number: 1, Target: "v2", State: rolledBack, OrderedNs: c.state.rollouts["s"].GetOrderedNs()})
 	if got := order(t, c, v2); got != messages.RolloutOutcome_ROLLOUT_OUTCOME_ACCEPTED || c.state.rollouts["s"].GetNumber() != 1 {
-		t.Errorf("the same order right after its end: got %v and number %d, want it accepted and not begun anew", got, c.state.rollouts["s"].GetNumber())
+		t.Errorf("the same order right after its end: got %v and number %d, want it accepted and not restarted", got, c.state.rollouts["s"].GetNumber())
 	}
 	if got := order(t, c, v3); got != messages.RolloutOutcome_ROLLOUT_OUTCOME_ACCEPTED || c.state.rollouts["s"].GetNumber() != 2 {
-		t.Errorf("the next target: got %v and number %d, want it begun as number 2", got, c.state.rollouts["s"].GetNumber())
+		t.Errorf("the next target: got %v and number %d, want it started as number 2", got, c.state.rollouts["s"].GetNumber())
 	}
 }
 
-// Guards against a leader that gives a version calls by what it does not know: a new one, and
-// one that does not lead.
+// Guards against shares without a basis: from a new leader, which has no figures yet, and
+// from an instance that does not lead.
 func TestNewLeaderGivesNoShareAtOnce(t *testing.T) {
 	_, c := newLeader(t)
 	c.settings.Rollouts.ExposureShare = 0.1
@@ -90,7 +91,7 @@
 		DurationMs: 12_000,
 	})
 	now := timekeeper.Now()
-	c.leads(now)
+	c.isLeader(now)
 	for _, release := range []units.Release{"v1", "v2"} {
 		c.table.Hear(now, enroller.Registration{
 			ID:       units.Upstream(release),
@@ -103,27 +104,27 @@
 		}, 0)
 	}
 	for range 2 {
-		if err := c.rollouts.work(now); err != nil {
+		if err := c.rollouts.tick(now); err != nil {
 			t.Fatal(err)
 		}
-		c.rollouts.hear("e1", 1, []*messages.VersionFigures{{
+		c.rollouts.record("e1", 1, []*messages.VersionFigures{{
 			Service: "s",
 			Number:  1,
 			Route:   "r",
 			Answers: 100,
 		}})
-		now = now.Add(watchInterval)
+		now = now.Add(evaluationInterval)
 	}
-	for _, leads := range []bool{true, false} {
-		shares := c.rollouts.tell(leads)
+	for _, isLeader := range []bool{true, false} {
+		shares := c.rollouts.report(isLeader)
 		if len(shares) != 1 || shares[0].GetShare() != 0 {
-			t.Errorf("told where it leads %t: got %v, want the roll-out without a share", leads, shares)
+			t.Errorf("roll-outs reported with leader %t: got %v, want the roll-out without a share", isLeader, shares)
 		}
 	}
 }
 
-// Guards against a roll-out that goes back, or is lost with a snapshot, whatever is committed
-// in whichever order.
+// Guards against a roll-out that returns to an earlier state or is lost with a snapshot, in
+// whatever order records are committed.
 func TestRolloutsNeverGoBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &state{ledger: &tallier.Ledger{Length: time.Second}}
--- a/src/governor/state.go
+++ b/src/governor/state.go
@@ -14,20 +14,20 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// state is what the replicated log has built up.
+// state is the result of applying the replicated log.
 type state struct {
 	declaration *messages.Declaration
 	ledger      *tallier.Ledger
 	// rollouts holds the last roll-out of each service.
 	rollouts map[units.Service]*messages.Rollout
-	// quarantines holds the requests that are or were quarantined, and quarantineNumber
-	// rises with each change of them.
+	// quarantines holds the requests that are or were quarantined; quarantineNumber increases
+	// with each change.
 	quarantines      map[units.Fingerprint]*messages.Quarantine
 	quarantineNumber uint64
 }
 
-// apply takes one committed command. The highest version wins: a lower one that
-// is committed later changes nothing, and both are kept.
+// apply applies one committed command. The highest version of the configuration wins: a lower
+// one that is committed later changes nothing, though the log holds both.
 func (s *state) apply(command *messages.Command) {
 	switch change := command.GetChange().(type) {
 	case *messages.Command_Declaration:
@@ -35,7 +35,7 @@
 			s.declaration = change.Declaration
 		}
 	case *messages.Command_UsageReport:
-		s.ledger.Fix(reportFrom(change.UsageReport))
+		s.ledger.Commit(reportFrom(change.UsageReport))
 	case *messages.Command_Rollout:
 		s.applyRollout(change.Rollout)
 	case *messages.Command_Quarantine:
@@ -43,8 +43,8 @@
 	}
 }
 
-// applyQuarantine takes the next state of a request; the one whose quarantine ends first is
-// forgotten for it where there are too many.
+// applyQuarantine applies the next state of a request. Where there are too many, the
+// quarantine that ends first is removed.
 func (s *state) applyQuarantine(next *messages.Quarantine) {
 	if s.quarantines == nil {
 		s.quarantines = make(map[units.Fingerprint]*messages.Quarantine)
@@ -56,17 +56,17 @@
 		return
 	}
 	s.quarantines[request] = next
-	if len(s.quarantines) <= mostQuarantines {
+	if len(s.quarantines) <= maxQuarantines {
 		return
 	}
-	first := slices.MinFunc(s.quarantined().GetRequests(), func(a, b *messages.Quarantine) int {
+	earliest := slices.MinFunc(s.quarantineList().GetRequests(), func(a, b *messages.Quarantine) int {
 		return cmp.Or(cmp.Compare(a.GetUntilNs(), b.GetUntilNs()), cmp.Compare(a.GetRequest(), b.GetRequest()))
 	})
-	delete(s.quarantines, units.Fingerprint(first.GetRequest()))
+	delete(s.quarantines, units.Fingerprint(earliest.GetRequest()))
 }
 
-// quarantined returns all requests that are or were quarantined, in order.
-func (s *state) quarantined() *messages.Quarantines {
+// quarantineList returns all requests that are or were quarantined, sorted by fingerprint.
+func (s *state) quarantineList() *messages.Quarantines {
 	m := &messages.Quarantines{Number: s.quarantineNumber}
 	for _, request := range slices.Sorted(maps.Keys(s.quarantines)) {
 		m.Requests = append(m.Requests, s.quarantines[request])
@@ -74,8 +74,8 @@
 	return m
 }
 
-// applyRollout takes the next state of a roll-out. Of two orders that were given at the same
-// time the first one counts, and a roll-out that has ended does not begin again.
+// applyRollout applies the next state of a roll-out. Of two concurrent orders the first one
+// wins, and a roll-out that has ended is not restarted.
 func (s *state) applyRollout(next *messages.Rollout) {
 	if s.rollouts == nil {
 		s.rollouts = make(map[units.Service]*messages.Rollout)
@@ -112,12 +112,12 @@
 	return m
 }
 
-// The names of the parts of a snapshot.
+// The names of the entries of a snapshot; those that end with a slash are prefixes.
 const (
-	declarationPart = "declaration"
-	usagePart       = "usage/"
-	rolloutPart     = "rollout/"
-	quarantinePart  = "quarantines"
+	declarationKey   = "declaration"
+	usageKeyPrefix   = "usage/"
+	rolloutKeyPrefix = "rollout/"
+	quarantinesKey   = "quarantines"
 )
 
 // snapshot encodes the state.
@@ -132,49 +132,49 @@
 		return nil
 	}
 	if s.declaration != nil {
-		if err := add(declarationPart, s.declaration); err != nil {
+		if err := add(declarationKey, s.declaration); err != nil {
 			return nil, err
 		}
 	}
-	for _, r := range s.ledger.Fixed() {
-		if err := add(fmt.Sprintf("%s%020d", usagePart, r.Window), reportMessage(r)); err != nil {
+	for _, r := range s.ledger.Committed() {
+		if err := add(fmt.Sprintf("%s%020d", usageKeyPrefix, r.Window), reportMessage(r)); err != nil {
 			return nil, err
 		}
 	}
 	for service, rollout := range s.rollouts {
-		if err := add(rolloutPart+string(service), rollout); err != nil {
+		if err := add(rolloutKeyPrefix+string(service), rollout); err != nil {
 			return nil, err
 		}
 	}
 	if s.quarantineNumber > 0 {
-		if err := add(quarantinePart, s.quarantined()); err != nil {
+		if err := add(quarantinesKey, s.quarantineList()); err != nil {
 			return nil, err
 		}
 	}
 	return proto.Marshal(states)
 }
 
-// restore replaces the state by that of a snapshot.
+// restore merges the state of a snapshot, where it is later, into this one.
 func (s *state) restore(content []byte) error {
 	states := &messages.MachineStates{}
 	if err := proto.Unmarshal(content, states); err != nil {
 		return fmt.Errorf("decode a snapshot: %w; run the same version on every control instance", err)
 	}
-	for name, part := range states.GetStates() {
-		if name == declarationPart {
+	for name, encoded := range states.GetStates() {
+		if name == declarationKey {
 			d := &messages.Declaration{}
-			if err := proto.Unmarshal(part, d); err != nil {
+			if err := proto.Unmarshal(encoded, d); err != nil {
 				return fmt.Errorf("decode a snapshot's configuration: %w", err)
 			}
 			s.apply(&messages.Command{Change: &messages.Command_Declaration{Declaration: d}})
 		}
-		if name == quarantinePart {
-			if err := s.restoreQuarantines(part); err != nil {
+		if name == quarantinesKey {
+			if err := s.restoreQuarantines(encoded); err != nil {
 				return err
 			}
 		}
-		if strings.HasPrefix(name, rolloutPart) {
-			if err := s.restoreRollout(part); err != nil {
+		if strings.HasPrefix(name, rolloutKeyPrefix) {
+			if err := s.restoreRollout(encoded); err != nil {
 				return err
 			}
 		}
@@ -182,10 +182,10 @@
 	return s.restoreUsage(states)
 }
 
-// restoreQuarantines takes the quarantines unless later ones are known.
-func (s *state) restoreQuarantines(part []byte) error {
+// restoreQuarantines restores the quarantines unless later ones are known.
+func (s *state) restoreQuarantines(encoded []byte) error {
 	all := &messages.Quarantines{}
-	if err := proto.Unmarshal(part, all); err != nil {
+	if err := proto.Unmarshal(encoded, all); err != nil {
 		return fmt.Errorf("decode a snapshot's quarantines: %w", err)
 	}
 	if all.GetNumber() <= s.quarantineNumber {
@@ -199,10 +199,11 @@
 	return nil
 }
 
-// restoreRollout takes a roll-out unless a later state of it, or a later one, is known.
-func (s *state) restoreRollout(part []byte) error {
+// restoreRollout restores a roll-out unless a later state of it, or a later roll-out, is
+// known.
+func (s *state) restoreRollout(encoded []byte) error {
 	rollout := &messages.Rollout{}
-	if err := proto.Unmarshal(part, rollout); err != nil {
+	if err := proto.Unmarshal(encoded, rollout); err != nil {
 		return fmt.Errorf("decode a snapshot's roll-out: %w", err)
 	}
 	if s.rollouts == nil {
@@ -216,17 +217,17 @@
 	return nil
 }
 
-// restoreUsage takes the reports in the order of their windows.
+// restoreUsage restores the reports in the order of their windows.
 func (s *state) restoreUsage(states *messages.MachineStates) error {
 	for _, name := range slices.Sorted(maps.Keys(states.GetStates())) {
-		if !strings.HasPrefix(name, usagePart) {
+		if !strings.HasPrefix(name, usageKeyPrefix) {
 			continue
 		}
 		report := &messages.UsageReport{}
 		if err := proto.Unmarshal(states.GetStates()[name], report); err != nil {
 			return fmt.Errorf("decode a snapshot's usage: %w", err)
 		}
-		s.ledger.Fix(reportFrom(report))
+		s.ledger.Commit(reportFrom(report))
 	}
 	return nil
 }
--- a/src/governor/state_test.go
+++ b/src/governor/state_test.go
@@ -26,10 +26,10 @@
 	}
 }
 
-// Two operators send configurations at once, and their commands are committed in
-// any order, some of them twice. Every control instance must come to the highest
-// version, and keep the first content that it got; an instance that restores a
-// snapshot on the way must come to the same.
+// Two operators send configurations at the same time, and their commands are committed in any
+// order, some of them twice. Every control instance must end with the highest version and
+// keep the first content that it got for it; so must an instance that restores a snapshot in
+// between.
 func TestHighestVersionWinsInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		direct, restored := newState(), newState()
@@ -65,8 +65,8 @@
 	})
 }
 
-// The counts of a window stand in a snapshot, so that the next leader reports them
-// as they were.
+// A snapshot must hold the counts of reported windows, so that the next leader reports the
+// same ones.
 func TestSnapshotKeepsReports(t *testing.T) {
 	s := newState()
 	for window := range int64(3) {
@@ -83,49 +83,49 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	again := newState()
-	if err := again.restore(content); err != nil {
+	restored := newState()
+	if err := restored.restore(content); err != nil {
 		t.Fatal(err)
 	}
-	if got, want := len(again.ledger.Fixed()), 3; got != want {
+	if got, want := len(restored.ledger.Committed()), 3; got != want {
 		t.Fatalf("reports: got %d, want %d", got, want)
 	}
-	if got, want := again.ledger.Fixed()[2].Counts["a"], int64(2); got != want {
+	if got, want := restored.ledger.Committed()[2].Counts["a"], int64(2); got != want {
 		t.Errorf("counts: got %d, want %d", got, want)
 	}
-	if err := again.restore([]byte("garbage")); err == nil {
+	if err := restored.restore([]byte("garbage")); err == nil {
 		t.Error("a damaged snapshot: got no error")
 	}
 }
 
-// All processes lose power. The next life of control must know the upstreams at
-// once, and must not take them to have been heard just now: those that are gone
-// count as silent soon.
-func TestUpstreamsAreRecalled(t *testing.T) {
+// All processes lose power. After the restart control must know the upstreams at once, but
+// must not assume that their heartbeats were just received: upstreams that are gone must soon
+// count as silent.
+func TestUpstreamsAreRestoredAfterRestart(t *testing.T) {
 	const interval = time.Second
 	folder := t.TempDir()
 	now := time.Unix(1000, 0)
 	table := &enroller.Table{ID: 1, Interval: interval}
 	table.Hear(now, enroller.Registration{ID: "u1", Service: "s", Address: "x", State: enroller.Ready, Sequence: 3}, 0)
-	m := newMemory(folder)
-	if err := m.keep(now, table); err != nil {
+	file := newTableFile(folder)
+	if err := file.save(now, table); err != nil {
 		t.Fatal(err)
 	}
-	if err := <-m.ended; err != nil {
+	if err := <-file.saving; err != nil {
 		t.Fatal(err)
 	}
-	again := &enroller.Table{ID: 2, Interval: interval}
-	if count, err := newMemory(folder).load(now, again); err != nil || count != 1 {
-		t.Fatalf("recalled: got %d (%v), want 1", count, err)
+	restored := &enroller.Table{ID: 2, Interval: interval}
+	if count, err := newTableFile(folder).load(now, restored); err != nil || count != 1 {
+		t.Fatalf("loaded upstreams: got %d (%v), want 1", count, err)
 	}
-	if got := again.Entries()[0]; got.State != enroller.Ready || got.Silent {
+	if got := restored.Entries()[0]; got.State != enroller.Ready || got.Silent {
 		t.Errorf("upstream: got %v, silent %t, want it ready", got.State, got.Silent)
 	}
-	again.Expire(now.Add(2 * interval))
-	if !again.Entries()[0].Silent {
-		t.Error("upstream that sends no heartbeat: got it in use, want it silent")
+	restored.Expire(now.Add(2 * interval))
+	if !restored.Entries()[0].Silent {
+		t.Error("upstream without heartbeats: got silent false, want true")
 	}
-	if count, err := newMemory(t.TempDir()).load(now, again); err != nil || count != 0 {
-		t.Errorf("recalled from an empty folder: got %d (%v), want none", count, err)
+	if count, err := newTableFile(t.TempDir()).load(now, restored); err != nil || count != 0 {
+		t.Errorf("upstreams loaded from an empty folder: got %d (%v), want none", count, err)
 	}
 }
--- a/src/governor/voter.go
+++ b/src/governor/voter.go
@@ -11,69 +11,69 @@
 
 func (c *coordinator) step(e replicator.Event) error {
 	for _, action := range c.node.Step(timekeeper.Now(), e) {
-		if err := c.carryOut(action); err != nil {
+		if err := c.execute(action); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (c *coordinator) carryOut(action replicator.Action) error {
+func (c *coordinator) execute(action replicator.Action) error {
 	switch a := action.(type) {
 	case replicator.Persist:
-		// A voter that goes on after a failed sync would acknowledge what a
-		// crash takes back; it begins again from what its disk holds.
+		// A voter that continued after a failed sync would acknowledge records that a crash
+		// can undo. It restarts from the contents of its disk instead.
 		if err := c.keeper.Save(a.State, a.Records); err != nil {
-			return fmt.Errorf("keep log records: %w", err)
+			return fmt.Errorf("save log records: %w", err)
 		}
 	case replicator.PersistSnapshot:
 		if err := c.keeper.SaveSnapshot(a.State, a.Snapshot, a.Base, a.Records); err != nil {
-			return fmt.Errorf("keep a snapshot: %w", err)
+			return fmt.Errorf("save a snapshot: %w", err)
 		}
 	case replicator.TakeSnapshot:
 		return c.takeSnapshot(a)
 	case replicator.Restore:
 		return c.restore(a.Snapshot)
 	case replicator.MembershipChanged:
-		c.reportMembership(a.Membership)
+		c.logMembership(a.Membership)
 	case replicator.Halt:
 		return a.Err
 	case replicator.Send:
-		c.outbox.post(c.ctx, string(units.VoterID(a.Message.GetTo()).Instance()), parcel{log: a.Message})
+		c.outbox.enqueue(c.ctx, string(units.VoterID(a.Message.GetTo()).Instance()), peerMessage{log: a.Message})
 	case replicator.Apply:
 		c.apply(a.Records)
 	case replicator.Appended:
-		c.await(a)
+		c.trackProposal(a)
 	case replicator.Rejected:
-		c.reject(a)
+		c.rejectProposal(a)
 	case replicator.RoleChanged:
-		c.changeRole(a)
+		c.handleRoleChange(a)
 	}
 	return nil
 }
 
-func (c *coordinator) await(a replicator.Appended) {
-	reply, waiting := c.proposals[a.Token]
+func (c *coordinator) trackProposal(a replicator.Appended) {
+	reply, waiting := c.proposalsByToken[a.Token]
 	if !waiting {
 		return
 	}
-	delete(c.proposals, a.Token)
-	c.pending[a.Index] = pendingProposal{
+	delete(c.proposalsByToken, a.Token)
+	c.proposalsByIndex[a.Index] = pendingProposal{
 		term:  a.Term,
 		reply: reply,
 	}
 }
 
-func (c *coordinator) reject(a replicator.Rejected) {
-	reply, waiting := c.proposals[a.Token]
+func (c *coordinator) rejectProposal(a replicator.Rejected) {
+	reply, waiting := c.proposalsByToken[a.Token]
 	if !waiting {
 		return
 	}
-	delete(c.proposals, a.Token)
+	delete(c.proposalsByToken, a.Token)
 	reply <- declareReply{leader: string(a.Leader)}
 }
 
-func (c *coordinator) changeRole(a replicator.RoleChanged) {
+func (c *coordinator) handleRoleChange(a replicator.RoleChanged) {
 	c.role = a
 	c.log.Info().
 		Stringer("new-role", a.Role).
@@ -83,9 +83,9 @@
 	if a.Role == replicator.Leader {
 		return
 	}
-	for index, proposal := range c.pending {
+	for index, proposal := range c.proposalsByIndex {
 		proposal.reply <- declareReply{leader: string(a.Leader)}
-		delete(c.pending, index)
+		delete(c.proposalsByIndex, index)
 	}
 }
 
@@ -94,36 +94,36 @@
 	for _, record := range records {
 		c.state.apply(record.GetCommand())
 	}
-	// After a start all records come at once; only the last of many
-	// configurations is worth the millisecond that it takes to read.
+	// After a start all records are applied at once; of many configurations only the last is
+	// worth the millisecond that decoding takes.
 	if version := c.state.declaration.GetVersion(); version != before {
-		c.adopt(version)
+		c.loadConfiguration(version)
 	}
 	for _, record := range records {
 		index := units.Index(record.GetIndex())
-		proposal, waiting := c.pending[index]
+		proposal, waiting := c.proposalsByIndex[index]
 		if !waiting {
 			continue
 		}
-		delete(c.pending, index)
+		delete(c.proposalsByIndex, index)
 		proposal.reply <- declareReply{accepted: proposal.term == units.Term(record.GetTerm())}
 	}
 }
 
-// adopt reads the configuration that is in force now, for limits and orders.
-func (c *coordinator) adopt(version uint64) {
+// loadConfiguration decodes and compresses the configuration that is now in force.
+func (c *coordinator) loadConfiguration(version uint64) {
 	declaration, err := c.decode(c.state.declaration.GetDocument())
 	if err != nil {
 		c.log.Error().Err(err).Uint64("version", version).Msg("configuration-unreadable")
 		return
 	}
-	packed, err := pack(c.state.declaration)
+	compressed, err := compressConfiguration(c.state.declaration)
 	if err != nil {
 		c.log.Error().Err(err).Uint64("version", version).Msg("configuration-not-packed")
 		return
 	}
-	c.packed = packed
-	c.declared = declaration
+	c.compressed = compressed
+	c.configuration = declaration
 	c.log.Info().
 		Uint64("version", version).
 		Int("bytes", len(c.state.declaration.GetDocument())).
@@ -154,7 +154,7 @@
 		return err
 	}
 	if version := c.state.declaration.GetVersion(); version != before {
-		c.adopt(version)
+		c.loadConfiguration(version)
 	}
 	c.log.Info().
 		Uint64("index", snapshot.GetIndex()).
@@ -162,7 +162,7 @@
 	return nil
 }
 
-func (c *coordinator) reportMembership(membership *messages.Membership) {
+func (c *coordinator) logMembership(membership *messages.Membership) {
 	var voters, learners []string
 	for _, member := range membership.GetMembers() {
 		if member.GetLearner() {
--- a/src/tallier/counter.go
+++ b/src/tallier/counter.go
@@ -9,24 +9,24 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// Window numbers a span of true time since the start of 1970.
+// Window numbers consecutive windows of true time since the start of 1970.
 type Window int64
 
-// WindowAt returns the window of a moment of true time.
+// WindowAt returns the window that contains a moment of true time.
 func WindowAt(at time.Time, length time.Duration) Window {
 	return Window(at.UnixNano() / length.Nanoseconds())
 }
 
-// End returns when a window ends, in true time.
+// End returns the end of a window, in true time.
 func (w Window) End(length time.Duration) time.Time {
 	return time.Unix(0, (int64(w)+1)*length.Nanoseconds())
 }
 
-// keptWindows is how many windows an entry goes on telling, so that a leader
-// that was elected meanwhile learns them too.
-const keptWindows = 4
+// maxWindows is how many windows an entry reports, so that a leader elected meanwhile
+// receives their counts too.
+const maxWindows = 4
 
-// Counter counts at one entry; it may be used from several goroutines.
+// Counter counts the calls at one entry. It is safe for concurrent use.
 type Counter struct {
 	Length time.Duration
 
@@ -59,14 +59,14 @@
 	}]++
 }
 
-// Counts returns the counts of the last windows in a settled order.
+// Counts returns the counts of the last windows, sorted by window and account.
 func (c *Counter) Counts(at time.Time) []Count {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	current := WindowAt(at, c.Length)
 	var counts []Count
 	for k, calls := range c.counts {
-		if k.window <= current-keptWindows {
+		if k.window <= current-maxWindows {
 			delete(c.counts, k)
 			continue
 		}
--- a/src/tallier/ledger.go
+++ b/src/tallier/ledger.go
@@ -8,100 +8,100 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// settleTime is how long after a window's end its counts are taken as they are:
-// some twenty polls of each entry, and the duty's pause after an election still
-// leaves half of the ten seconds within which they are wanted.
-const settleTime = 3500 * time.Millisecond
+// settleDelay is how long after a window's end its counts are considered complete: about
+// twenty polls of each entry. Together with the duty delay after an election it still leaves
+// half of the ten seconds within which the report is due.
+const settleDelay = 3500 * time.Millisecond
 
-// keptReports is how many closed windows are remembered for a repeated report.
-const keptReports = 8
+// maxReports is how many committed windows are kept so that their reports can be repeated.
+const maxReports = 8
 
-// Life is one start of one entry, whose counts begin at zero.
-type Life struct {
+// EntryRun is one run of an entry's process, whose counts begin at zero.
+type EntryRun struct {
 	Entry       units.Instance
 	Incarnation units.Incarnation
 }
 
-// Report is the fixed counts of one window.
+// Report holds the final counts of one window.
 type Report struct {
 	Window Window
 	Counts map[units.Account]int64
 }
 
-// Ledger adds up what entries count; it is a state machine without a clock.
+// Ledger adds up the counts of entries. It is a state machine without a clock of its own.
 type Ledger struct {
 	Length time.Duration
-	// Patience is how long after its end a window waits for entries that may have
-	// counts of it and are not heard.
-	Patience time.Duration
-	// Serves is how long an entry goes on serving after it was last heard.
-	Serves time.Duration
+	// MaxWait is how long after its end a window waits for entries that may have counts for
+	// it and are not in contact.
+	MaxWait time.Duration
+	// MaxServing is how long an entry continues to serve after its last contact.
+	MaxServing time.Duration
 
-	// entries holds when each entry was last heard, in true time.
-	entries map[units.Instance]time.Time
-	heard   map[Window]map[Life]map[units.Account]int64
-	// fixed are the reports that stand in the log, by window.
-	fixed map[Window]Report
-	last  Window
+	// lastContact is when each entry last reported, in true time.
+	lastContact map[units.Instance]time.Time
+	received    map[Window]map[EntryRun]map[units.Account]int64
+	// committed holds the reports in the log by window.
+	committed     map[Window]Report
+	lastCommitted Window
 }
 
-// Hear takes the counts of one life of an entry; a lower one than before is old.
-func (l *Ledger) Hear(trueTime time.Time, from Life, counts []Count) {
-	if l.heard == nil {
-		l.heard = make(map[Window]map[Life]map[units.Account]int64)
-		l.entries = make(map[units.Instance]time.Time)
+// Record stores the counts of one run of an entry; a count lower than before is outdated.
+func (l *Ledger) Record(trueTime time.Time, run EntryRun, counts []Count) {
+	if l.received == nil {
+		l.received = make(map[Window]map[EntryRun]map[units.Account]int64)
+		l.lastContact = make(map[units.Instance]time.Time)
 	}
-	l.entries[from.Entry] = trueTime
+	l.lastContact[run.Entry] = trueTime
 	for _, c := range counts {
-		if c.Window <= l.last {
+		if c.Window <= l.lastCommitted {
 			continue
 		}
-		lives := l.heard[c.Window]
-		if lives == nil {
-			lives = make(map[Life]map[units.Account]int64)
-			l.heard[c.Window] = lives
+		runs := l.received[c.Window]
+		if runs == nil {
+			runs = make(map[EntryRun]map[units.Account]int64)
+			l.received[c.Window] = runs
 		}
-		accounts := lives[from]
+		accounts := runs[run]
 		if accounts == nil {
 			accounts = make(map[units.Account]int64)
-			lives[from] = accounts
+			runs[run] = accounts
 		}
 		accounts[c.Account] = max(accounts[c.Account], c.Calls)
 	}
 }
 
-// Due returns the next window whose counts are to be fixed, with their sums.
+// Due returns the next window whose counts are due to be committed, with their sums.
 func (l *Ledger) Due(trueTime time.Time) (Report, bool) {
-	next, found := l.next()
-	if !found || trueTime.Before(next.End(l.Length).Add(settleTime)) || l.waits(trueTime, next) {
+	nextWindow, found := l.nextWindow()
+	if !found || trueTime.Before(nextWindow.End(l.Length).Add(settleDelay)) || l.mustWait(trueTime, nextWindow) {
 		return Report{}, false
 	}
 	sums := make(map[units.Account]int64)
-	for _, accounts := range l.heard[next] {
+	for _, accounts := range l.received[nextWindow] {
 		for account, calls := range accounts {
 			sums[account] += calls
 		}
 	}
 	return Report{
-		Window: next,
+		Window: nextWindow,
 		Counts: sums,
 	}, true
 }
 
-// waits reports whether a window is held open for an entry that is not heard.
+// mustWait reports whether a window stays open for an entry that is not in contact.
 //
-// An entry that is cut off from control serves for some seconds on and tells its
-// counts when the cut is over. By then its window would be closed without them,
-// though they are back before the report is wanted.
-func (l *Ledger) waits(trueTime time.Time, w Window) bool {
+// An entry that is cut off from control continues to serve for some seconds and reports its
+// counts when it is back in contact. Without the wait its window would be closed by then,
+// although the counts arrive before the report is due.
+func (l *Ledger) mustWait(trueTime time.Time, w Window) bool {
 	end := w.End(l.Length)
-	if !trueTime.Before(end.Add(l.Patience)) {
+	if !trueTime.Before(end.Add(l.MaxWait)) {
 		return false
 	}
-	began := end.Add(-l.Length)
-	for entry, at := range l.entries {
-		if at.Add(l.Serves).Before(began) {
-			delete(l.entries, entry)
+	windowStart := end.Add(-l.Length)
+	for entry, at := range l.lastContact {
+		if at.Add(l.MaxServing).Before(windowStart) {
+			delete(l.lastContact, entry)
 			continue
 		}
 		if at.Before(end) {
@@ -111,46 +111,46 @@
 	return false
 }
 
-// next returns the first window that is not fixed: the one behind the last, or
-// the earliest heard of where none was.
-func (l *Ledger) next() (Window, bool) {
-	if l.last != 0 {
-		return l.last + 1, true
+// nextWindow returns the first window that is not committed: the one after the last
+// committed, or the earliest with counts where none is committed.
+func (l *Ledger) nextWindow() (Window, bool) {
+	if l.lastCommitted != 0 {
+		return l.lastCommitted + 1, true
 	}
-	windows := slices.Sorted(maps.Keys(l.heard))
+	windows := slices.Sorted(maps.Keys(l.received))
 	if len(windows) == 0 {
 		return 0, false
 	}
 	return windows[0], true
 }
 
-// Fix takes over a report from the log; a window that is fixed stays as it is.
-func (l *Ledger) Fix(r Report) {
-	if l.fixed == nil {
-		l.fixed = make(map[Window]Report)
+// Commit stores a report from the log; a committed window does not change any more.
+func (l *Ledger) Commit(r Report) {
+	if l.committed == nil {
+		l.committed = make(map[Window]Report)
 	}
-	if r.Window <= l.last {
+	if r.Window <= l.lastCommitted {
 		return
 	}
-	l.fixed[r.Window] = r
-	l.last = r.Window
-	for window := range l.fixed {
-		if window <= l.last-keptReports {
-			delete(l.fixed, window)
+	l.committed[r.Window] = r
+	l.lastCommitted = r.Window
+	for window := range l.committed {
+		if window <= l.lastCommitted-maxReports {
+			delete(l.committed, window)
 		}
 	}
-	for window := range l.heard {
-		if window <= l.last {
-			delete(l.heard, window)
+	for window := range l.received {
+		if window <= l.lastCommitted {
+			delete(l.received, window)
 		}
 	}
 }
 
-// Fixed returns the reports that stand in the log, the oldest first.
-func (l *Ledger) Fixed() []Report {
-	reports := make([]Report, 0, len(l.fixed))
-	for _, window := range slices.Sorted(maps.Keys(l.fixed)) {
-		reports = append(reports, l.fixed[window])
+// Committed returns the reports in the log, the oldest first.
+func (l *Ledger) Committed() []Report {
+	reports := make([]Report, 0, len(l.committed))
+	for _, window := range slices.Sorted(maps.Keys(l.committed)) {
+		reports = append(reports, l.committed[window])
 	}
 	return reports
 }
--- a/src/tallier/teller_test.go
+++ b/src/tallier/reporter_test.go
@@ -9,13 +9,14 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// Polls get lost, their answers too, and the ledger changes with its process. Whatever
-// is lost, a ledger that answers twice in a row has every count of the windows that the
-// entry still tells; a count that it lacks would be a call that nobody is charged for.
+// Polls and their responses get lost, and reports move to another control process with a
+// ledger of its own. Whatever is lost, a ledger that answers twice in a row must have every
+// count of the windows that the entry still reports; for each missing count, calls would not
+// be charged.
 func TestLedgerHasAllCountsAfterTwoAnswers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		counter := &Counter{Length: time.Second}
-		teller := &Teller{}
+		reporter := &Teller{}
 		now := time.Unix(100, 0)
 		ledgers := map[int]map[key]int64{1: {}, 2: {}}
 		last, inRow := 0, 0
@@ -25,7 +26,7 @@
 				counter.Add(now, units.Account(rapid.SampledFrom([]string{"a", "b"}).Draw(t, "account")))
 			}
 			all := counter.Counts(now)
-			fresh := teller.Fresh(all)
+			fresh := reporter.Fresh(all)
 			to := rapid.IntRange(1, 2).Draw(t, "to")
 			if rapid.IntRange(0, 4).Draw(t, "poll lost") == 0 {
 				continue
@@ -37,11 +38,11 @@
 				continue
 			}
 			if to != last {
-				teller.Reset()
+				reporter.Reset()
 				last, inRow = to, 1
 				continue
 			}
-			teller.Heard(fresh, all)
+			reporter.Heard(fresh, all)
 			if inRow++; inRow < 2 {
 				continue
 			}
