--- a/src/buyer/buyer.go
+++ b/src/buyer/buyer.go
@@ -221,7 +221,7 @@
 // the bill.
 func (b *Buyer) releaseOrphan(now time.Time, p *messages.Purchase) []Action {
 	for _, i := range b.listed.Instances {
-		if i.Token != p.GetToken() || i.Noticed || now.Sub(b.requestedAt[i.Token]) < b.Options.RetryInterval {
+		if i.Token != p.GetToken() || i.ReclaimNoticed || now.Sub(b.requestedAt[i.Token]) < b.Options.RetryInterval {
 			continue
 		}
 		b.requestedAt[i.Token] = now
@@ -237,7 +237,7 @@
 }
 
 func (b *Buyer) hasNotice(p *messages.Purchase) bool {
-	return slices.ContainsFunc(b.listed.Instances, func(i Instance) bool { return i.Token == p.GetToken() && i.Noticed })
+	return slices.ContainsFunc(b.listed.Instances, func(i Instance) bool { return i.Token == p.GetToken() && i.ReclaimNoticed })
 }
 
 func upstreamOf(p *messages.Purchase, upstreams []Upstream) *Upstream {
--- a/src/buyer/buyer_test.go
+++ b/src/buyer/buyer_test.go
@@ -113,7 +113,7 @@
 		s.lossRate = 0
 		s.soldOut = ""
 		s.run(3 * time.Minute)
-		if got, want := s.remainingSlots(), s.demand.Slots; got < want {
+		if got, want := s.remainingSlots(), s.demand.MinSlots; got < want {
 			t.Fatalf("slots without the largest data centre: got %d, want at least %d", got, want)
 		}
 		for _, i := range s.instances {
@@ -129,7 +129,7 @@
 // exactly those of one plan.
 func TestNothingIsBoughtTwice(t *testing.T) {
 	s := newSimulation(5)
-	planned := len(Plan(s.demand.Slots, nil, s.offers, s.demand.LoadTime))
+	planned := len(Plan(s.demand.MinSlots, nil, s.offers, s.demand.LoadTime))
 	for range 10 {
 		s.run(3 * time.Second)
 		s.elect()
@@ -149,7 +149,7 @@
 	s.notice = time.Minute
 	s.reclaim(0)
 	s.run(20 * time.Second)
-	if got, want := s.remainingSlots(), s.demand.Slots; got < want {
+	if got, want := s.remainingSlots(), s.demand.MinSlots; got < want {
 		t.Errorf("slots without the noticed instance and the largest data centre: got %d, want at least %d", got, want)
 	}
 	if got, want := s.instances[0].ended, false; got != want {
@@ -161,7 +161,7 @@
 // loading over and over: nothing may change after the first rise.
 func TestSwingingDemandChangesNothing(t *testing.T) {
 	s := newSimulation(7)
-	s.demand.Slots = 0
+	s.demand.MinSlots = 0
 	s.demand.UsedSlots = 60
 	s.run(2 * time.Minute)
 	before, releases := len(s.instances), s.released
@@ -178,7 +178,7 @@
 // cool-down, and never below what the remaining demand needs.
 func TestSurplusIsGivenBack(t *testing.T) {
 	s := newSimulation(8)
-	s.demand.Slots = 16
+	s.demand.MinSlots = 16
 	s.demand.UsedSlots = 90
 	s.run(2 * time.Minute)
 	before := s.remainingSlots()
@@ -198,7 +198,7 @@
 	s := newSimulation(9)
 	s.soldOut = "dc-0"
 	s.run(3 * time.Minute)
-	if got, want := s.remainingSlots(), s.demand.Slots; got < want {
+	if got, want := s.remainingSlots(), s.demand.MinSlots; got < want {
 		t.Errorf("slots without the largest data centre: got %d, want at least %d", got, want)
 	}
 	if got, want := s.refused, 12; got > want {
@@ -258,11 +258,11 @@
 		ledger: make(map[string]*messages.Purchase),
 		notice: 5 * time.Second,
 		demand: Demand{
-			Service:  "s",
-			Slots:    64,
-			OnDemand: 16,
-			Most:     24,
-			LoadTime: time.Minute,
+			Service:          "s",
+			MinSlots:         64,
+			MinOnDemandSlots: 16,
+			MaxInstances:     24,
+			LoadTime:         time.Minute,
 		},
 	}
 	for d := range 4 {
@@ -337,9 +337,9 @@
 			continue
 		}
 		listed.Instances = append(listed.Instances, Instance{
-			ID:      i.id,
-			Token:   i.token,
-			Noticed: !i.endsAt.IsZero(),
+			ID:             i.id,
+			Token:          i.token,
+			ReclaimNoticed: !i.endsAt.IsZero(),
 		})
 		if s.now.After(i.bootedAt) {
 			t.Upstreams = append(t.Upstreams, Upstream{
--- a/src/buyer/capacity.go
+++ b/src/buyer/capacity.go
@@ -40,7 +40,7 @@
 	}
 	var actions []Action
 	for _, offer := range wanted {
-		if s.instances >= demand.Most || s.starting >= e.MaxStarting {
+		if s.instances >= demand.MaxInstances || s.starting >= e.MaxStarting {
 			break
 		}
 		s.instances++
@@ -60,9 +60,9 @@
 		h = &demandState{}
 		b.demands[demand.Service] = h
 	}
-	wanted := max(demand.Slots, int(math.Ceil(float64(demand.UsedSlots)/targetUtilization)))
+	wanted := max(demand.MinSlots, int(math.Ceil(float64(demand.UsedSlots)/targetUtilization)))
 	switch {
-	case float64(wanted) > riseRatio*float64(h.need) || h.need < demand.Slots:
+	case float64(wanted) > riseRatio*float64(h.need) || h.need < demand.MinSlots:
 		h.need = wanted
 		h.lowSince = time.Time{}
 	case float64(wanted) >= fallRatio*float64(h.need):
@@ -158,7 +158,7 @@
 func floorOffers(s *inventory, demand Demand, offers []Offer) []Offer {
 	var wanted []Offer
 	perDataCentre := make(map[units.DataCentre]int)
-	for slots := s.onDemand; slots < demand.OnDemand; {
+	for slots := s.onDemand; slots < demand.MinOnDemandSlots; {
 		best := -1
 		for i, offer := range offers {
 			if !offer.OnDemand || offer.Slots == 0 {
@@ -210,7 +210,7 @@
 	price := 0.0
 	for _, p := range s.purchases {
 		slots := slotsOf(e.Offers, p)
-		if p.GetState() != messages.PurchaseState_PURCHASE_STATE_LAUNCHED || p.GetOnDemand() && s.onDemand-slots < demand.OnDemand {
+		if p.GetState() != messages.PurchaseState_PURCHASE_STATE_LAUNCHED || p.GetOnDemand() && s.onDemand-slots < demand.MinOnDemandSlots {
 			continue
 		}
 		rest := maps.Clone(s.capacity)
--- a/src/buyer/event.go
+++ b/src/buyer/event.go
@@ -21,11 +21,11 @@
 // Demand is the capacity that one service needs.
 type Demand struct {
 	Service units.Service
-	// Slots is the minimum capacity, Used the number of slots in use now.
-	Slots     int
-	UsedSlots int
-	OnDemand  int
-	Most      int
+	// MinSlots is the minimum capacity, Used the number of slots in use now.
+	MinSlots         int
+	UsedSlots        int
+	MinOnDemandSlots int
+	MaxInstances     int
 	// LoadTime is the time from the purchase until the instance serves.
 	LoadTime time.Duration
 }
@@ -34,8 +34,8 @@
 type Instance struct {
 	ID    string
 	Token string
-	// Noticed is set once the platform has given notice that it reclaims the instance.
-	Noticed bool
+	// ReclaimNoticed is set once the platform has given notice that it reclaims the instance.
+	ReclaimNoticed bool
 }
 
 // Upstream is an announced upstream.
--- a/src/control/cloud.go
+++ b/src/control/cloud.go
@@ -133,9 +133,9 @@
 	}
 	for _, instance := range list.Instances {
 		event.Instances = append(event.Instances, buyer.Instance{
-			ID:      instance.ID,
-			Token:   instance.Token,
-			Noticed: instance.Noticed,
+			ID:             instance.ID,
+			Token:          instance.Token,
+			ReclaimNoticed: instance.Noticed,
 		})
 	}
 	return event, nil
--- a/src/control/orders.go
+++ b/src/control/orders.go
@@ -106,8 +106,8 @@
 		Services:  services,
 		Upstreams: orderable(d.fleet.upstreams(now)),
 		StoreLimits: orderer.StoreLimits{
-			BytesPerSecond: configuration.Fleet.WeightStore.BytesPerSecond,
-			LoadsAtOnce:    configuration.Fleet.WeightStore.LoadsAtOnce,
+			BytesPerSecond:     configuration.Fleet.WeightStore.BytesPerSecond,
+			MaxConcurrentLoads: configuration.Fleet.WeightStore.LoadsAtOnce,
 		},
 	})
 	for _, send := range sends {
@@ -154,10 +154,10 @@
 			continue
 		}
 		service := orderer.Service{
-			Name:     s.Name,
-			Versions: []units.ModelVersion{s.ModelVersion},
-			Floor:    s.Fleet.Floor,
-			Bytes:    c.Fleet.Bytes(s.WantedVersion()),
+			Name:       s.Name,
+			Versions:   []units.ModelVersion{s.ModelVersion},
+			MinServing: s.Fleet.Floor,
+			Bytes:      c.Fleet.Bytes(s.WantedVersion()),
 			Wanted: &messages.Wanted{
 				Model:        string(s.Models[0]),
 				ModelVersion: string(s.WantedVersion()),
--- a/src/control/purchases.go
+++ b/src/control/purchases.go
@@ -186,12 +186,12 @@
 			load += time.Duration(float64(c.Fleet.Bytes(s.WantedVersion())) / float64(rate) * float64(time.Second))
 		}
 		demands = append(demands, buyer.Demand{
-			Service:   s.Name,
-			Slots:     s.Fleet.Slots,
-			UsedSlots: used[s.Name],
-			OnDemand:  s.Fleet.OnDemand,
-			Most:      s.Fleet.Most,
-			LoadTime:  load,
+			Service:          s.Name,
+			MinSlots:         s.Fleet.Slots,
+			UsedSlots:        used[s.Name],
+			MinOnDemandSlots: s.Fleet.OnDemand,
+			MaxInstances:     s.Fleet.Most,
+			LoadTime:         load,
 		})
 	}
 	return demands
--- a/src/gateway/exchange.go
+++ b/src/gateway/exchange.go
@@ -13,7 +13,7 @@
 	cursor  uint64
 	// whole says that the last answer brought the whole table.
 	whole bool
-	usage tallier.Teller
+	usage tallier.DeltaReporter
 	// counts are those of the poll under way, fresh the ones that it told.
 	counts []tallier.Count
 	fresh  []tallier.Count
@@ -28,7 +28,7 @@
 	known := r.GetTableId() == e.tableID
 	e.whole = !known || e.cursor == 0
 	if known {
-		e.usage.Heard(e.fresh, e.counts)
+		e.usage.Acknowledge(e.fresh, e.counts)
 	} else {
 		e.usage.Reset()
 	}
--- a/src/gateway/exchange_test.go
+++ b/src/gateway/exchange_test.go
@@ -119,7 +119,7 @@
 		fresh:  []tallier.Count{{Window: 1, Account: "a", Calls: 1}},
 	}
 	e.take(&messages.EntryPollResponse{})
-	if got, want := len(e.usage.Fresh(e.counts)), 1; got != want {
+	if got, want := len(e.usage.Unacknowledged(e.counts)), 1; got != want {
 		t.Errorf("counts to tell again: got %d, want %d", got, want)
 	}
 }
--- a/src/gateway/gateway.go
+++ b/src/gateway/gateway.go
@@ -94,7 +94,7 @@
 		Slack:  g.Settings.Retries.Slack,
 		Now:    timekeeper.Now,
 	}
-	g.counter = &tallier.Counter{Length: g.Settings.Usage.Window}
+	g.counter = &tallier.Counter{WindowLength: g.Settings.Usage.Window}
 	g.pool = &exchanger.Pool{
 		Most:   g.connections,
 		Opened: g.figures.connections,
--- a/src/gateway/poller.go
+++ b/src/gateway/poller.go
@@ -210,7 +210,7 @@
 		poll.TableDigest = p.table.Digest()
 	}
 	e.counts = g.counter.Counts(now.Add(p.world.trueOffset))
-	e.fresh = e.usage.Fresh(e.counts)
+	e.fresh = e.usage.Unacknowledged(e.counts)
 	for _, c := range e.fresh {
 		poll.Usage = append(poll.Usage, &messages.WindowUsage{
 			Window:  int64(c.Window),
@@ -332,7 +332,7 @@
 func (p *poller) upstreamsOf(r *messages.EntryPollResponse) []*messages.RegisteredUpstream {
 	changes := r.GetUpstreams()
 	for _, page := range r.GetPages() {
-		read, err := governor.Upstreams(page)
+		read, err := governor.DecodePage(page)
 		if err != nil {
 			p.gateway.Log.Error().Err(err).Str("leader", r.GetLeader()).Msg("upstreams-unreadable")
 			p.exchange(r.GetLeader()).cursor = 0
@@ -406,7 +406,7 @@
 	if d == nil || version <= p.version {
 		return false
 	}
-	document, err := governor.Unpack(d)
+	document, err := governor.DecompressConfiguration(d)
 	if err != nil {
 		p.gateway.Log.Error().Err(err).Uint64("version", uint64(version)).Msg("configuration-unreadable")
 		return false
--- a/src/governor/compress.go
+++ b/src/governor/compress.go
@@ -27,8 +27,8 @@
 	}, nil
 }
 
-// Unpack decompresses the document of a configuration received in a poll response.
-func Unpack(d *messages.Declaration) ([]byte, error) {
+// DecompressConfiguration decompresses the document of a configuration received in a poll response.
+func DecompressConfiguration(d *messages.Declaration) ([]byte, error) {
 	document, err := decompress(d.GetDocument())
 	if err != nil {
 		return nil, fmt.Errorf("decompress the configuration: %w", err)
--- a/src/governor/compress_test.go
+++ b/src/governor/compress_test.go
@@ -25,14 +25,14 @@
 	if got, maxSize := len(packed.GetDocument()), len(d.GetDocument())/6; got > maxSize {
 		t.Errorf("compressed size: got %d bytes, want at most %d", got, maxSize)
 	}
-	document, err := Unpack(packed)
+	document, err := DecompressConfiguration(packed)
 	if err != nil || !bytes.Equal(document, d.GetDocument()) || packed.GetVersion() != 9 {
 		t.Errorf("decompressed: got %d bytes of version %d (%v), want the document", len(document), packed.GetVersion(), err)
 	}
-	if _, err := Unpack(d); err == nil {
+	if _, err := DecompressConfiguration(d); err == nil {
 		t.Error("decompressing an uncompressed document: got no error")
 	}
-	if _, err := Unpack(&messages.Declaration{Document: packed.GetDocument()[:50]}); err == nil {
+	if _, err := DecompressConfiguration(&messages.Declaration{Document: packed.GetDocument()[:50]}); err == nil {
 		t.Error("decompressing a truncated document: got no error")
 	}
 }
--- a/src/governor/coordinator.go
+++ b/src/governor/coordinator.go
@@ -108,9 +108,9 @@
 		keeper:   storage,
 		state: &state{
 			ledger: &tallier.Ledger{
-				Length:     g.Settings.Usage.Window,
-				MaxWait:    time.Duration(reportWaitFraction * float64(g.Settings.Usage.Lateness)),
-				MaxServing: g.Settings.Revocation,
+				WindowLength: g.Settings.Usage.Window,
+				MaxWait:      time.Duration(reportWaitFraction * float64(g.Settings.Usage.Lateness)),
+				MaxServing:   g.Settings.Revocation,
 			},
 		},
 		outbox: &outbox{client: g.Client},
--- a/src/governor/duties.go
+++ b/src/governor/duties.go
@@ -25,19 +25,19 @@
 type Cloud interface {
 	// ReportUsage reports one window. A *FencedError means that this instance no longer holds
 	// the duty.
-	ReportUsage(ctx context.Context, holder Holder, report tallier.Report) error
+	ReportUsage(ctx context.Context, holder DutyHolder, report tallier.Report) error
 	// Scale orders upstreams. A *FencedError means that this instance no longer holds the
 	// duty, an *UnavailableError that none are available now.
-	Scale(ctx context.Context, holder Holder, order Order) error
+	Scale(ctx context.Context, holder DutyHolder, order Order) error
 }
 
-// UnavailableError is returned where the platform has no more upstreams of a kind now.
-type UnavailableError struct {
+// NoCapacityError is returned where the platform has no more upstreams of a kind now.
+type NoCapacityError struct {
 	Order Order
 }
 
 // Error states the cause and the remedy.
-func (e *UnavailableError) Error() string {
+func (e *NoCapacityError) Error() string {
 	return "the platform has no more upstreams of " + string(e.Order.Service) + " in " + string(e.Order.DataCentre) +
 		"; order them elsewhere or later"
 }
@@ -133,10 +133,10 @@
 
 var errLeadershipEnded = errors.New("this instance no longer leads")
 
-func (d *duties) holder(term units.Term) Holder {
-	return Holder{
-		Name:  d.coordinator.settings.Name,
-		Fence: term,
+func (d *duties) holder(term units.Term) DutyHolder {
+	return DutyHolder{
+		Name:         d.coordinator.settings.Name,
+		FencingToken: term,
 	}
 }
 
--- a/src/governor/event.go
+++ b/src/governor/event.go
@@ -163,11 +163,11 @@
 	scaler.Order
 }
 
-// Holder identifies the instance that holds the duties, and carries its fencing token.
-type Holder struct {
+// DutyHolder identifies the instance that holds the duties, and carries its fencing token.
+type DutyHolder struct {
 	Name units.Instance
-	// Fence is the fencing token, which increases with each new holder.
-	Fence units.Term
+	// FencingToken is the fencing token, which increases with each new holder.
+	FencingToken units.Term
 }
 
 // FencedError is returned where a holder with a higher fencing token has acted.
--- a/src/governor/governor.go
+++ b/src/governor/governor.go
@@ -31,13 +31,13 @@
 	callTimeout = 700 * time.Millisecond
 )
 
-// NotSureError is returned where this instance cannot give a definite answer now.
-type NotSureError struct {
+// UnconfirmedError is returned where this instance cannot give a definite answer now.
+type UnconfirmedError struct {
 	Leader string
 }
 
 // Error states the cause and the remedy.
-func (e *NotSureError) Error() string {
+func (e *UnconfirmedError) Error() string {
 	return fmt.Sprintf("this control instance cannot answer now (leader %q); ask again, or ask another one", e.Leader)
 }
 
@@ -286,42 +286,42 @@
 	defer cancel()
 	reply, err := g.declareLocally(ctx, d)
 	if err != nil {
-		return &NotSureError{}
+		return &UnconfirmedError{}
 	}
 	if reply.accepted {
 		return nil
 	}
 	if reply.leader == "" || reply.leader == g.Settings.OwnPeerAddress() {
-		return &NotSureError{Leader: reply.leader}
+		return &UnconfirmedError{Leader: reply.leader}
 	}
 	response := &messages.DeclareResponse{}
 	err = g.Client.Call(ctx, reply.leader, MethodDeclare, &messages.DeclareRequest{Declaration: d}, response)
 	if err != nil || !response.GetAccepted() {
 		g.Log.Warn().Err(err).Uint64("version", d.GetVersion()).Str("leader", reply.leader).Msg("configuration-not-handed-on")
-		return &NotSureError{Leader: reply.leader}
+		return &UnconfirmedError{Leader: reply.leader}
 	}
 	return nil
 }
 
-// Newest returns the newest committed configuration, or nil where there is none; a
+// LatestConfiguration returns the newest committed configuration, or nil where there is none; a
 // *NotSureError where a later one may exist.
-func (g *Governor) Newest(ctx context.Context) ([]byte, error) {
+func (g *Governor) LatestConfiguration(ctx context.Context) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	reply, err := g.readLocally(ctx)
 	if err != nil {
-		return nil, &NotSureError{}
+		return nil, &UnconfirmedError{}
 	}
 	if reply.authoritative {
 		return reply.declaration.GetDocument(), nil
 	}
 	if reply.leader == "" || reply.leader == g.Settings.OwnPeerAddress() {
-		return nil, &NotSureError{Leader: reply.leader}
+		return nil, &UnconfirmedError{Leader: reply.leader}
 	}
 	response := &messages.ReadDeclarationResponse{}
 	err = g.Client.Call(ctx, reply.leader, MethodReadDeclaration, &messages.ReadDeclarationRequest{}, response)
 	if err != nil || !response.GetSure() {
-		return nil, &NotSureError{Leader: reply.leader}
+		return nil, &UnconfirmedError{Leader: reply.leader}
 	}
 	return response.GetDeclaration().GetDocument(), nil
 }
@@ -331,8 +331,8 @@
 	return g.announce(ctx, announcement{registration: r})
 }
 
-// Leave handles an upstream's deregistration.
-func (g *Governor) Leave(ctx context.Context, id units.Upstream) error {
+// Deregister handles an upstream's deregistration.
+func (g *Governor) Deregister(ctx context.Context, id units.Upstream) error {
 	return g.announce(ctx, announcement{deregistered: id})
 }
 
@@ -344,13 +344,13 @@
 		return a
 	})
 	if err != nil {
-		return &NotSureError{}
+		return &UnconfirmedError{}
 	}
 	if !reply.leaderReached && reply.leader == "" && !reply.leaderSeenRecently {
 		// An instance that is cut off would accept heartbeats that reach no leader. But if
 		// heartbeats were refused during a short election, each upstream would try all
 		// instances in turn, and these would be busy with nothing else.
-		return &NotSureError{}
+		return &UnconfirmedError{}
 	}
 	if reply.mustReplicate == nil {
 		return nil
@@ -392,7 +392,7 @@
 		}
 	}
 	if !leaderReached || acknowledged < min(g.Settings.Voters()/2+1, len(change.peers)+1) {
-		return &NotSureError{Leader: change.leader}
+		return &UnconfirmedError{Leader: change.leader}
 	}
 	return nil
 }
--- a/src/governor/operator.go
+++ b/src/governor/operator.go
@@ -51,12 +51,12 @@
 	defer cancel()
 	response, err := g.startRolloutLocally(ctx, order)
 	if err != nil {
-		return &NotSureError{}
+		return &UnconfirmedError{}
 	}
 	if response.GetOutcome() == messages.RolloutOutcome_ROLLOUT_OUTCOME_UNSPECIFIED {
 		leader := response.GetLeader()
 		if leader == "" || leader == g.Settings.OwnPeerAddress() {
-			return &NotSureError{Leader: leader}
+			return &UnconfirmedError{Leader: leader}
 		}
 		response = &messages.StartRolloutResponse{}
 		request := &messages.StartRolloutRequest{
@@ -68,7 +68,7 @@
 		}
 		if err := g.Client.Call(ctx, leader, MethodStartRollout, request, response); err != nil {
 			g.Log.Warn().Err(err).Str("service", string(order.Service)).Str("leader", leader).Msg("rollout-not-handed-on")
-			return &NotSureError{Leader: leader}
+			return &UnconfirmedError{Leader: leader}
 		}
 	}
 	switch response.GetOutcome() {
@@ -80,7 +80,7 @@
 			Reason: response.GetDetail(),
 		}
 	}
-	return &NotSureError{Leader: response.GetLeader()}
+	return &UnconfirmedError{Leader: response.GetLeader()}
 }
 
 // startRolloutLocally passes an order to this instance's coordinator and waits until a
@@ -123,17 +123,17 @@
 	defer cancel()
 	state, err := g.readRolloutLocally(ctx, service)
 	if err != nil {
-		return nil, &NotSureError{}
+		return nil, &UnconfirmedError{}
 	}
 	rollout := state.rollout
 	if !state.authoritative {
 		if state.leader == "" || state.leader == g.Settings.OwnPeerAddress() {
-			return nil, &NotSureError{Leader: state.leader}
+			return nil, &UnconfirmedError{Leader: state.leader}
 		}
 		response := &messages.ReadRolloutResponse{}
 		err := g.Client.Call(ctx, state.leader, MethodReadRollout, &messages.ReadRolloutRequest{Service: string(service)}, response)
 		if err != nil || !response.GetSure() {
-			return nil, &NotSureError{Leader: state.leader}
+			return nil, &UnconfirmedError{Leader: state.leader}
 		}
 		rollout = response.GetRollout()
 	}
--- a/src/governor/orders.go
+++ b/src/governor/orders.go
@@ -162,7 +162,7 @@
 		return
 	}
 	var fenced *FencedError
-	var unavailable *UnavailableError
+	var unavailable *NoCapacityError
 	switch {
 	case errors.As(e.err, &fenced):
 		o.fenced[e.order.Service] = true
--- a/src/governor/pages.go
+++ b/src/governor/pages.go
@@ -96,8 +96,8 @@
 	return found, p.end, known
 }
 
-// Upstreams decodes the changes in a page.
-func Upstreams(m *messages.TablePage) ([]*messages.RegisteredUpstream, error) {
+// DecodePage decodes the changes in a page.
+func DecodePage(m *messages.TablePage) ([]*messages.RegisteredUpstream, error) {
 	content := m.GetContent()
 	if m.GetPacked() {
 		var err error
--- a/src/governor/pages_test.go
+++ b/src/governor/pages_test.go
@@ -34,7 +34,7 @@
 	c.addTableChanges(now, true, poll, response)
 	changes := response.GetUpstreams()
 	for _, page := range response.GetPages() {
-		read, err := Upstreams(page)
+		read, err := DecodePage(page)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/src/governor/rollout_test.go
+++ b/src/governor/rollout_test.go
@@ -127,7 +127,7 @@
 // whatever order records are committed.
 func TestRolloutsNeverGoBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := &state{ledger: &tallier.Ledger{Length: time.Second}}
+		s := &state{ledger: &tallier.Ledger{WindowLength: time.Second}}
 		var last *messages.Rollout
 		for range rapid.IntRange(1, 30).Draw(t, "records") {
 			s.apply(&messages.Command{Change: &messages.Command_Rollout{Rollout: &messages.Rollout{
@@ -150,7 +150,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		restored := &state{ledger: &tallier.Ledger{Length: time.Second}}
+		restored := &state{ledger: &tallier.Ledger{WindowLength: time.Second}}
 		if err := restored.restore(content); err != nil {
 			t.Fatal(err)
 		}
--- a/src/governor/state_test.go
+++ b/src/governor/state_test.go
@@ -12,7 +12,7 @@
 )
 
 func newState() *state {
-	return &state{ledger: &tallier.Ledger{Length: 5 * time.Second}}
+	return &state{ledger: &tallier.Ledger{WindowLength: 5 * time.Second}}
 }
 
 func declaration(version uint64, document string) *messages.Command {
--- a/src/orderer/event.go
+++ b/src/orderer/event.go
@@ -13,8 +13,8 @@
 	// Versions are the model versions that the service may use.
 	Versions []units.ModelVersion
 	Wanted   *messages.Wanted
-	// Floor is the minimum number of upstreams that must stay in service.
-	Floor int
+	// MinServing is the minimum number of upstreams that must stay in service.
+	MinServing int
 	// Bytes is the size of the wanted version in the weight store.
 	Bytes int64
 }
@@ -64,8 +64,8 @@
 
 // StoreLimits holds the limits of the weight store.
 type StoreLimits struct {
-	BytesPerSecond int64
-	LoadsAtOnce    int
+	BytesPerSecond     int64
+	MaxConcurrentLoads int
 }
 
 func (LeadershipGained) event() {}
--- a/src/orderer/orderer.go
+++ b/src/orderer/orderer.go
@@ -144,7 +144,7 @@
 
 // loads returns how many loads may begin now, and the weight store's rate.
 func (o *Orderer) loads(now time.Time, e Ticked, present map[units.Upstream]*Upstream) *budget {
-	freeLoads := e.StoreLimits.LoadsAtOnce
+	freeLoads := e.StoreLimits.MaxConcurrentLoads
 	for _, u := range present {
 		p := o.pending[u.Name]
 		if u.Loading != "" || p != nil && p.loads {
@@ -153,7 +153,7 @@
 	}
 	// How much an earlier leader's loads still take from the store is unknown; it is at most
 	// one more load.
-	if now.Before(o.QuietUntil()) && freeLoads < e.StoreLimits.LoadsAtOnce {
+	if now.Before(o.QuietUntil()) && freeLoads < e.StoreLimits.MaxConcurrentLoads {
 		o.nextLoad = now.Add(maxTransferTime(e))
 	}
 	if now.Before(o.nextLoad) {
@@ -240,7 +240,7 @@
 		// Each change takes its upstream out of service until it has loaded. Below the floor
 		// the others could not meet the latency target.
 		takesOut := o.isServing(now, service, u)
-		if takesOut && serving-1 < service.Floor {
+		if takesOut && serving-1 < service.MinServing {
 			continue
 		}
 		if takesOut {
--- a/src/orderer/orderer_test.go
+++ b/src/orderer/orderer_test.go
@@ -239,14 +239,14 @@
 func (s *simulation) tick() Ticked {
 	t := Ticked{
 		StoreLimits: StoreLimits{
-			BytesPerSecond: storeRate,
-			LoadsAtOnce:    2,
+			BytesPerSecond:     storeRate,
+			MaxConcurrentLoads: 2,
 		},
 		Services: []Service{{
-			Name:     "s",
-			Versions: []units.ModelVersion{"1", "2", "3"},
-			Floor:    s.floor,
-			Bytes:    modelBytes,
+			Name:       "s",
+			Versions:   []units.ModelVersion{"1", "2", "3"},
+			MinServing: s.floor,
+			Bytes:      modelBytes,
 			Wanted: &messages.Wanted{
 				ModelVersion: string(s.wanted),
 			},
@@ -392,7 +392,7 @@
 		for _, send := range s.orderer.Step(s.now, Ticked{
 			Services:    s.services(),
 			Upstreams:   []Upstream{s.engines[0].announce()},
-			StoreLimits: StoreLimits{LoadsAtOnce: 1},
+			StoreLimits: StoreLimits{MaxConcurrentLoads: 1},
 		}) {
 			if first == nil {
 				first = send.Order
--- a/src/tallier/counter.go
+++ b/src/tallier/counter.go
@@ -28,7 +28,7 @@
 
 // Counter counts the calls at one entry. It is safe for concurrent use.
 type Counter struct {
-	Length time.Duration
+	WindowLength time.Duration
 
 	mu     sync.Mutex
 	counts map[key]int64
@@ -54,7 +54,7 @@
 		c.counts = make(map[key]int64)
 	}
 	c.counts[key{
-		window:  WindowAt(at, c.Length),
+		window:  WindowAt(at, c.WindowLength),
 		account: account,
 	}]++
 }
@@ -63,7 +63,7 @@
 func (c *Counter) Counts(at time.Time) []Count {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	current := WindowAt(at, c.Length)
+	current := WindowAt(at, c.WindowLength)
 	var counts []Count
 	for k, calls := range c.counts {
 		if k.window <= current-maxWindows {
--- a/src/tallier/ledger.go
+++ b/src/tallier/ledger.go
@@ -30,7 +30,7 @@
 
 // Ledger adds up the counts of entries. It is a state machine without a clock of its own.
 type Ledger struct {
-	Length time.Duration
+	WindowLength time.Duration
 	// MaxWait is how long after its end a window waits for entries that may have counts for
 	// it and are not in contact.
 	MaxWait time.Duration
@@ -73,7 +73,7 @@
 // Due returns the next window whose counts are due to be committed, with their sums.
 func (l *Ledger) Due(trueTime time.Time) (Report, bool) {
 	nextWindow, found := l.nextWindow()
-	if !found || trueTime.Before(nextWindow.End(l.Length).Add(settleDelay)) || l.mustWait(trueTime, nextWindow) {
+	if !found || trueTime.Before(nextWindow.End(l.WindowLength).Add(settleDelay)) || l.mustWait(trueTime, nextWindow) {
 		return Report{}, false
 	}
 	sums := make(map[units.Account]int64)
@@ -94,11 +94,11 @@
 // counts when it is back in contact. Without the wait its window would be closed by then,
 // although the counts arrive before the report is due.
 func (l *Ledger) mustWait(trueTime time.Time, w Window) bool {
-	end := w.End(l.Length)
+	end := w.End(l.WindowLength)
 	if !trueTime.Before(end.Add(l.MaxWait)) {
 		return false
 	}
-	windowStart := end.Add(-l.Length)
+	windowStart := end.Add(-l.WindowLength)
 	for entry, at := range l.lastContact {
 		if at.Add(l.MaxServing).Before(windowStart) {
 			delete(l.lastContact, entry)
--- a/src/tallier/reporter.go
+++ b/src/tallier/reporter.go
@@ -1,16 +1,16 @@
 package tallier
 
-// Teller omits the counts that the ledger has already acknowledged from an entry's reports.
+// DeltaReporter omits the counts that the ledger has already acknowledged from an entry's reports.
 //
 // An entry counts some windows of each account and reports them repeatedly, so that lost
 // messages do no harm. Reported in full each time, the counts are most of what a leader of
 // hundreds of entries reads, and the leader knows nearly all of them already.
-type Teller struct {
+type DeltaReporter struct {
 	acknowledged map[key]int64
 }
 
-// Fresh returns the counts that are not acknowledged yet.
-func (t *Teller) Fresh(counts []Count) []Count {
+// Unacknowledged returns the counts that are not acknowledged yet.
+func (t *DeltaReporter) Unacknowledged(counts []Count) []Count {
 	var fresh []Count
 	for _, c := range counts {
 		if t.acknowledged[keyOf(c)] != c.Calls {
@@ -20,9 +20,9 @@
 	return fresh
 }
 
-// Heard records that the counts in fresh were acknowledged. all is the list that they were
+// Acknowledge records that the counts in fresh were acknowledged. all is the list that they were
 // taken from; counts that it no longer contains are forgotten.
-func (t *Teller) Heard(fresh, all []Count) {
+func (t *DeltaReporter) Acknowledge(fresh, all []Count) {
 	acknowledged := make(map[key]int64, len(all))
 	for _, c := range all {
 		if calls, known := t.acknowledged[keyOf(c)]; known {
@@ -36,7 +36,7 @@
 }
 
 // Reset marks all counts as unacknowledged, for another ledger.
-func (t *Teller) Reset() { t.acknowledged = nil }
+func (t *DeltaReporter) Reset() { t.acknowledged = nil }
 
 func keyOf(c Count) key {
 	return key{
--- a/src/tallier/reporter_test.go
+++ b/src/tallier/reporter_test.go
@@ -15,8 +15,8 @@
 // be charged.
 func TestLedgerHasAllCountsAfterTwoAnswers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		counter := &Counter{Length: time.Second}
-		reporter := &Teller{}
+		counter := &Counter{WindowLength: time.Second}
+		reporter := &DeltaReporter{}
 		now := time.Unix(100, 0)
 		ledgers := map[int]map[key]int64{1: {}, 2: {}}
 		last, inRow := 0, 0
@@ -26,7 +26,7 @@
 				counter.Add(now, units.Account(rapid.SampledFrom([]string{"a", "b"}).Draw(t, "account")))
 			}
 			all := counter.Counts(now)
-			fresh := reporter.Fresh(all)
+			fresh := reporter.Unacknowledged(all)
 			to := rapid.IntRange(1, 2).Draw(t, "to")
 			if rapid.IntRange(0, 4).Draw(t, "poll lost") == 0 {
 				continue
@@ -42,7 +42,7 @@
 				last, inRow = to, 1
 				continue
 			}
-			reporter.Heard(fresh, all)
+			reporter.Acknowledge(fresh, all)
 			if inRow++; inRow < 2 {
 				continue
 			}
--- a/src/tallier/tallier_test.go
+++ b/src/tallier/tallier_test.go
@@ -17,9 +17,9 @@
 // exactly once, in the window in which it began.
 func TestCallsCountOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		ledger := &Ledger{Length: windowLength}
+		ledger := &Ledger{WindowLength: windowLength}
 		want := make(map[Window]map[units.Account]int64)
-		counters := []*Counter{{Length: windowLength}, {Length: windowLength}}
+		counters := []*Counter{{WindowLength: windowLength}, {WindowLength: windowLength}}
 		incarnations := []units.Incarnation{1, 1}
 		sent := [][]Count{nil, nil}
 		now := start
@@ -43,7 +43,7 @@
 				ledger.Record(now, run, sent[i])
 			case 5:
 				ledger.Record(now, run, counters[i].Counts(now))
-				counters[i] = &Counter{Length: windowLength}
+				counters[i] = &Counter{WindowLength: windowLength}
 				sent[i] = nil
 				incarnations[i]++
 			}
@@ -71,7 +71,7 @@
 // delivered. The next leader has received more counts since; it must report the committed
 // ones.
 func TestCommittedCountsDoNotChange(t *testing.T) {
-	ledger := &Ledger{Length: windowLength}
+	ledger := &Ledger{WindowLength: windowLength}
 	window := WindowAt(start, windowLength)
 	ledger.Commit(Report{Window: window, Counts: map[units.Account]int64{"x": 3}})
 	ledger.Record(start, EntryRun{Entry: "a"}, []Count{{Window: window, Account: "x", Calls: 9}})
@@ -85,7 +85,7 @@
 }
 
 func TestWindowIsNotDueBeforeSettleDelay(t *testing.T) {
-	ledger := &Ledger{Length: windowLength}
+	ledger := &Ledger{WindowLength: windowLength}
 	window := WindowAt(start, windowLength)
 	ledger.Record(start, EntryRun{Entry: "a"}, []Count{{Window: window, Account: "x", Calls: 1}})
 	end := window.End(windowLength)
@@ -122,7 +122,7 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			ledger := &Ledger{Length: windowLength, MaxWait: maxWait, MaxServing: maxServing}
+			ledger := &Ledger{WindowLength: windowLength, MaxWait: maxWait, MaxServing: maxServing}
 			ledger.Record(end.Add(time.Second), EntryRun{Entry: "a"}, []Count{{Window: window, Account: "x", Calls: 2}})
 			counts := []Count{{Window: window, Account: "x", Calls: 3}}
 			if c.lastContact.Before(end) {
