--- a/src/configurator/snapshot.go
+++ b/src/configurator/snapshot.go
@@ -9,13 +9,13 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// Snapshot returns the whole state with the retained outcomes.
+// Snapshot returns the encoded state, including the retained outcomes.
 func (s *State) Snapshot() ([]byte, error) {
 	state := &messages.ConfigurationState{
 		Version:  uint64(s.version),
 		Document: s.document,
 	}
-	for _, version := range s.order {
+	for _, version := range s.acceptedOrder {
 		earlier := s.accepted[version]
 		state.Outcomes = append(state.Outcomes, &messages.AcceptedOutcome{
 			Version:     uint64(version),
@@ -30,7 +30,7 @@
 	return content, nil
 }
 
-// Restore replaces the whole state by one that Snapshot returned.
+// Restore replaces the state by one that Snapshot returned.
 func (s *State) Restore(content []byte) error {
 	state := &messages.ConfigurationState{}
 	if err := proto.Unmarshal(content, state); err != nil {
@@ -39,12 +39,12 @@
 	*s = State{
 		version:  units.Version(state.GetVersion()),
 		document: state.GetDocument(),
-		accepted: make(map[units.Version]outcome),
+		accepted: make(map[units.Version]acceptedOutcome),
 	}
 	for _, earlier := range state.GetOutcomes() {
 		version := units.Version(earlier.GetVersion())
-		s.order = append(s.order, version)
-		s.accepted[version] = outcome{
+		s.acceptedOrder = append(s.acceptedOrder, version)
+		s.accepted[version] = acceptedOutcome{
 			hash:     earlier.GetContentHash(),
 			operator: earlier.GetOperator(),
 		}
--- a/src/configurator/state.go
+++ b/src/configurator/state.go
@@ -9,19 +9,21 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// retainedOutcomes is how many accepted versions keep their outcome for resends.
+// retainedOutcomes bounds the accepted versions whose outcome is retained to answer
+// resends.
 const retainedOutcomes = 4096
 
-// State is the accepted configuration and the outcomes of earlier ones.
+// State is the accepted configuration and the outcomes of earlier submissions.
 type State struct {
 	version  units.Version
 	document []byte
-	accepted map[units.Version]outcome
-	order    []units.Version
+	accepted map[units.Version]acceptedOutcome
+	// acceptedOrder holds the versions in accepted, oldest first.
+	acceptedOrder []units.Version
 }
 
-// outcome is what is remembered of one accepted submission.
-type outcome struct {
+// acceptedOutcome is what is retained of one accepted submission.
+type acceptedOutcome struct {
 	hash     []byte
 	operator string
 }
@@ -35,13 +37,13 @@
 // Version returns the accepted version, 0 before the first.
 func (s *State) Version() units.Version { return s.version }
 
-// Document returns the accepted configuration as it was written.
+// Document returns the accepted configuration as it was submitted.
 func (s *State) Document() []byte { return s.document }
 
 // Submit applies one submission and returns its outcome.
 //
 // A resend of an accepted submission gets its first outcome again, so that an
-// operator who lost the answer learns the truth by asking once more.
+// operator who lost the answer can get it by submitting once more.
 func (s *State) Submit(submission *messages.Submission) *messages.SubmissionResult {
 	version := units.Version(submission.GetVersion())
 	earlier, known := s.accepted[version]
@@ -61,18 +63,18 @@
 
 func (s *State) accept(version units.Version, submission *messages.Submission) {
 	if s.accepted == nil {
-		s.accepted = make(map[units.Version]outcome)
+		s.accepted = make(map[units.Version]acceptedOutcome)
 	}
 	s.version = version
 	s.document = submission.GetDocument()
-	s.accepted[version] = outcome{
+	s.accepted[version] = acceptedOutcome{
 		hash:     submission.GetContentHash(),
 		operator: submission.GetOperator(),
 	}
-	s.order = append(s.order, version)
-	if len(s.order) > retainedOutcomes {
-		delete(s.accepted, s.order[0])
-		s.order = s.order[1:]
+	s.acceptedOrder = append(s.acceptedOrder, version)
+	if len(s.acceptedOrder) > retainedOutcomes {
+		delete(s.accepted, s.acceptedOrder[0])
+		s.acceptedOrder = s.acceptedOrder[1:]
 	}
 }
 
--- a/src/configurator/state_test.go
+++ b/src/configurator/state_test.go
@@ -13,7 +13,7 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// TestMain fixes the seed, unless another is asked for.
+// TestMain sets a fixed seed, unless the command line sets another.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if seed := flag.Lookup("rapid.seed"); seed.Value.String() == "0" {
@@ -32,12 +32,12 @@
 	}
 }
 
-// Operators race, send again and fall behind while voters start from snapshots at
-// different places of the log. Every voter must give each submission the same
-// outcome, the first answer must come again, and the version must never fall.
+// Operators race, resend and submit old versions while voters restart from snapshots
+// at different positions of the log. Every voter must give each submission the same
+// outcome, a resend must get the first outcome, and the version must never decrease.
 func TestVotersAgreeOverSnapshots(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		steady, restarted := &State{}, &State{}
+		uninterrupted, restarted := &State{}, &State{}
 		winners := make(map[uint64]string)
 		for range 250 {
 			next := submission(rapid.Uint64Range(1, 60).Draw(t, "version"),
@@ -45,13 +45,13 @@
 			if rapid.IntRange(0, 4).Draw(t, "snapshot") == 0 {
 				restarted = restored(t, restarted)
 			}
-			before := steady.Version()
-			got, other := steady.Submit(next), restarted.Submit(next)
+			before := uninterrupted.Version()
+			got, other := uninterrupted.Submit(next), restarted.Submit(next)
 			if !proto.Equal(got, other) {
 				t.Fatalf("outcome after a snapshot: got %v, want %v", other, got)
 			}
-			if steady.Version() < before {
-				t.Fatalf("version: got %d after %d, want no fall", steady.Version(), before)
+			if uninterrupted.Version() < before {
+				t.Fatalf("version: got %d after %d, want no decrease", uninterrupted.Version(), before)
 			}
 			checkOutcome(t, winners, next, got, before)
 		}
@@ -88,15 +88,15 @@
 	}
 }
 
-// Changes go on for years. Only a bounded number of outcomes is kept; an older
-// submission that is sent again is answered as stale and not as accepted anew.
+// Over years of changes only a bounded number of outcomes is retained. An older
+// submission that is resent must be answered as stale and not be accepted again.
 func TestOutcomesAreBounded(t *testing.T) {
 	state := &State{}
 	for version := uint64(1); version <= retainedOutcomes+10; version++ {
 		state.Submit(submission(version, "alice"))
 	}
 	if got, want := len(state.accepted), retainedOutcomes; got != want {
-		t.Errorf("outcomes kept: got %d, want %d", got, want)
+		t.Errorf("outcomes retained: got %d, want %d", got, want)
 	}
 	cases := map[uint64]messages.Outcome{
 		10: messages.Outcome_OUTCOME_STALE,
--- a/src/control/cloud.go
+++ b/src/control/cloud.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	cloudTimeout   = 2 * time.Second
-	cloudRequests  = 256
-	cloudAtOnce    = 8
-	maxCloudAnswer = 8 << 20
+	cloudTimeout        = 2 * time.Second
+	cloudQueueSize      = 256
+	cloudWorkers        = 8
+	maxCloudAnswerBytes = 8 << 20
 )
 
-// cloudAnswered is the platform's answer to a launch or its list of instances.
+// cloudAnswered carries the platform's answer to a launch or its list of instances.
 type cloudAnswered struct {
 	answer buyer.Event
 }
@@ -52,22 +52,22 @@
 	Noticed bool   `json:"noticed"`
 }
 
-// post queues a request; where the queue is full the buyer asks again later.
-func (d *purchaseDesk) post(request cloudRequest) {
+// enqueue queues a request and drops it if the queue is full; the buyer retries later.
+func (d *purchaser) enqueue(request cloudRequest) {
 	select {
 	case d.queue <- request:
 	default:
 	}
 }
 
-// run makes requests until ctx ends.
-func (d *purchaseDesk) run(ctx context.Context) {
-	for range cloudAtOnce {
-		go d.work(ctx)
+// run starts the workers that make requests until ctx ends.
+func (d *purchaser) run(ctx context.Context) {
+	for range cloudWorkers {
+		go d.runWorker(ctx)
 	}
 }
 
-func (d *purchaseDesk) work(ctx context.Context) {
+func (d *purchaser) runWorker(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -79,7 +79,7 @@
 				continue
 			}
 			select {
-			case d.box <- cloudAnswered{answer: answer}:
+			case d.events <- cloudAnswered{answer: answer}:
 			case <-ctx.Done():
 				return
 			}
@@ -87,10 +87,11 @@
 	}
 }
 
-// request makes one request; an error means that its outcome is not known.
-func (d *purchaseDesk) request(ctx context.Context, r cloudRequest) (buyer.Event, error) {
-	// The list tells of the moment before the request at the latest.
-	asked := time.Now()
+// request makes one request; an error means that its outcome is unknown.
+func (d *purchaser) request(ctx context.Context, r cloudRequest) (buyer.Event, error) {
+	// The list is dated by the time before the request: an instance that was
+	// launched later may be missing from it.
+	requestedAt := time.Now()
 	content, err := json.Marshal(r.body)
 	if err != nil {
 		return nil, fmt.Errorf("form a request to the cloud: %w", err)
@@ -102,34 +103,35 @@
 	request.Header.Set("Content-Type", jsonType)
 	response, err := d.client.Do(request)
 	if err != nil {
-		return nil, fmt.Errorf("ask the cloud: %w", err)
+		return nil, fmt.Errorf("send a request to the cloud: %w", err)
 	}
 	defer func() { _ = response.Body.Close() }()
-	answer, err := io.ReadAll(io.LimitReader(response.Body, maxCloudAnswer))
+	answer, err := io.ReadAll(io.LimitReader(response.Body, maxCloudAnswerBytes))
 	if err != nil {
 		return nil, fmt.Errorf("read the cloud's answer: %w", err)
 	}
 	switch r.method {
 	case http.MethodGet:
-		return listed(asked, response.StatusCode, answer)
+		return parseInstanceList(requestedAt, response.StatusCode, answer)
 	case http.MethodPost:
-		return launched(r.purchase.GetToken(), response.StatusCode, answer)
+		return parseLaunchAnswer(r.purchase.GetToken(), response.StatusCode, answer)
 	}
 	return nil, nil
 }
 
-func listed(asked time.Time, status int, answer []byte) (buyer.Event, error) {
+// parseInstanceList decodes the platform's list of instances.
+func parseInstanceList(requestedAt time.Time, status int, answer []byte) (buyer.Event, error) {
 	list := struct {
 		Instances []cloudInstance `json:"instances"`
 	}{}
 	if status != http.StatusOK {
-		return nil, fmt.Errorf("the cloud lists no instances (status %d); check fleet.cloud", status)
+		return nil, fmt.Errorf("the cloud did not list its instances (status %d); check fleet.cloud", status)
 	}
 	if err := json.Unmarshal(answer, &list); err != nil {
-		return nil, fmt.Errorf("read the cloud's instances: %w; check fleet.cloud", err)
+		return nil, fmt.Errorf("decode the cloud's instances: %w; check fleet.cloud", err)
 	}
 	event := buyer.Listed{
-		At: asked,
+		At: requestedAt,
 	}
 	for _, instance := range list.Instances {
 		event.Instances = append(event.Instances, buyer.Instance{
@@ -141,9 +143,9 @@
 	return event, nil
 }
 
-// launched reads the answer to a launch. Only a definite refusal is one; after
-// any other failure the instance may have been launched, and is asked for again.
-func launched(token string, status int, answer []byte) (buyer.Event, error) {
+// parseLaunchAnswer decodes the answer to a launch. Only status 409 is a refusal.
+// After any other failure the instance may have been launched, so the launch is retried.
+func parseLaunchAnswer(token string, status int, answer []byte) (buyer.Event, error) {
 	if status == http.StatusConflict {
 		return buyer.Answered{
 			Token:  token,
@@ -152,10 +154,10 @@
 	}
 	instance := cloudInstance{}
 	if err := json.Unmarshal(answer, &instance); err != nil {
-		return nil, fmt.Errorf("read the cloud's answer to a launch: %w; check fleet.cloud", err)
+		return nil, fmt.Errorf("decode the cloud's answer to a launch: %w; check fleet.cloud", err)
 	}
 	if instance.ID == "" {
-		return nil, fmt.Errorf("the cloud names no instance (status %d); check fleet.cloud", status)
+		return nil, fmt.Errorf("the cloud's answer to a launch names no instance (status %d); check fleet.cloud", status)
 	}
 	return buyer.Answered{
 		Token:    token,
--- a/src/control/configuration.go
+++ b/src/control/configuration.go
@@ -10,16 +10,16 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// configurationMachine is the machine of submitted configurations.
+// configurationMachine is the state machine of submitted configurations.
 type configurationMachine struct {
 	configurator.State
 	log zerolog.Logger
 }
 
-// Name returns the machine's key in snapshots.
+// Name returns the state machine's key in snapshots.
 func (*configurationMachine) Name() string { return "configuration" }
 
-// Apply decides about a submission.
+// Apply applies a submission and returns its outcome.
 func (m *configurationMachine) Apply(_ units.Index, command *messages.Command) proto.Message {
 	submission := command.GetSubmission()
 	if submission == nil {
--- a/src/control/control.go
+++ b/src/control/control.go
@@ -26,7 +26,7 @@
 	Settings *parser.Settings
 	Log      zerolog.Logger
 	Meter    *meter.Meter
-	// Peers and Operators are bound to the addresses in the settings.
+	// Peers and Operators listen on the addresses in the settings.
 	Peers     net.Listener
 	Operators net.Listener
 	Client    *connector.Client
@@ -36,11 +36,11 @@
 	coordinator *coordinator
 }
 
-// Run serves until ctx ends; an error means that the process must not go on.
+// Run serves until ctx ends; after an error the process must exit.
 func (c *Control) Run(ctx context.Context) error {
 	folder, kept, err := keeper.Open(c.Settings.DataFolder, c.Settings.Name)
 	if err != nil {
-		return fmt.Errorf("open the data folder: %w; see that it is on a disk with space that this process may write to", err)
+		return fmt.Errorf("open the data folder: %w; check that it is on a disk with free space that this process can write to", err)
 	}
 	defer func() { _ = folder.Close() }()
 	out := newOutbox(c.Client, c.Settings)
@@ -103,41 +103,41 @@
 }
 
 func (c *Control) onLog(ctx context.Context, peer connector.Peer, message *messages.LogMessage) (*messages.LogMessage, error) {
-	// A vote in another voter's name would let two leaders have a majority.
+	// A vote sent in another voter's name could give two leaders a majority.
 	if err := peer.Speaks(certifier.Control, string(units.VoterID(message.GetFrom()).Instance())); err != nil {
 		return nil, err
 	}
-	return &messages.LogMessage{}, c.post(ctx, arrived{message: message})
+	return &messages.LogMessage{}, c.postEvent(ctx, logMessageReceived{message: message})
 }
 
 func (c *Control) onSubmit(ctx context.Context, _ connector.Peer, submission *messages.Submission) (*messages.SubmissionResult, error) {
-	return c.submitHere(ctx, submission)
+	return c.submitLocally(ctx, submission)
 }
 
 func (c *Control) onHeartbeat(ctx context.Context, peer connector.Peer, heartbeat *messages.EntryHeartbeat) (*messages.EntryHeartbeatResponse, error) {
-	// A heartbeat in another entry's name would report a version in force that is not.
+	// A heartbeat sent in another entry's name could report a version as in force that is not.
 	if err := peer.Speaks(certifier.Entry, heartbeat.GetEntry()); err != nil {
 		return nil, err
 	}
 	reply := make(chan *messages.EntryHeartbeatResponse, 1)
-	if err := c.post(ctx, heard{heartbeat: heartbeat, reply: reply}); err != nil {
+	if err := c.postEvent(ctx, heartbeatReceived{heartbeat: heartbeat, reply: reply}); err != nil {
 		return nil, err
 	}
 	return await(ctx, reply)
 }
 
 func (c *Control) onStatus(ctx context.Context, _ connector.Peer, _ *messages.StatusRequest) (*messages.Status, error) {
-	return c.statusHere(ctx)
+	return c.localStatus(ctx)
 }
 
-func (c *Control) submitHere(ctx context.Context, submission *messages.Submission) (*messages.SubmissionResult, error) {
+func (c *Control) submitLocally(ctx context.Context, submission *messages.Submission) (*messages.SubmissionResult, error) {
 	reply := make(chan submitReply, 1)
 	command := &messages.Command{
 		Change: &messages.Command_Submission{
 			Submission: submission,
 		},
 	}
-	if err := c.post(ctx, submitted{command: command, reply: reply}); err != nil {
+	if err := c.postEvent(ctx, commandSubmitted{command: command, reply: reply}); err != nil {
 		return nil, err
 	}
 	answer, err := await(ctx, reply)
@@ -148,9 +148,9 @@
 	return result, answer.err
 }
 
-func (c *Control) statusHere(ctx context.Context) (*messages.Status, error) {
+func (c *Control) localStatus(ctx context.Context) (*messages.Status, error) {
 	reply := make(chan statusReply, 1)
-	if err := c.post(ctx, asked{reply: reply}); err != nil {
+	if err := c.postEvent(ctx, statusRequested{reply: reply}); err != nil {
 		return nil, err
 	}
 	answer, err := await(ctx, reply)
@@ -162,15 +162,15 @@
 
 func (c *Control) dump(ctx context.Context) (any, error) {
 	reply := make(chan *Dump, 1)
-	if err := c.post(ctx, dumped{reply: reply}); err != nil {
+	if err := c.postEvent(ctx, dumpRequested{reply: reply}); err != nil {
 		return nil, err
 	}
 	return await(ctx, reply)
 }
 
-func (c *Control) post(ctx context.Context, e event) error {
+func (c *Control) postEvent(ctx context.Context, e event) error {
 	select {
-	case c.coordinator.box <- e:
+	case c.coordinator.events <- e:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
--- a/src/control/coordinator.go
+++ b/src/control/coordinator.go
@@ -18,13 +18,15 @@
 )
 
 const (
-	boxSize = 1024
-	// snapshotRecords and snapshotBytes bound the log and the time of a restart.
+	eventQueueSize = 1024
+	// snapshotRecords and snapshotBytes bound the size of the log and the duration of
+	// a restart.
 	snapshotRecords = 256
 	snapshotBytes   = 8 << 20
 	tickInterval    = 10 * time.Millisecond
-	// goneAfter is how many fence periods an entry may be silent before it no longer counts.
-	goneAfter = 2
+	// entryExpiryPeriods is the number of fence periods without a heartbeat after which
+	// an entry may be forgotten.
+	entryExpiryPeriods = 2
 )
 
 // coordinator owns the state of one control process.
@@ -34,25 +36,25 @@
 	keeper   *keeper.Keeper
 	node     *replicator.Node
 	state    *configurationMachine
-	// machines hold the replicated state; each command goes to all of them.
-	machines []machine
-	duties   []duty
-	hearers  []hearer
-	led      bool
-	// ctx ends what the coordinator sends on its own account.
+	// stateMachines hold the replicated state; each command is applied to all of them.
+	stateMachines     []stateMachine
+	leaderTasks       []leaderTask
+	heartbeatHandlers []heartbeatHandler
+	leading           bool
+	// ctx bounds the requests that the coordinator itself sends.
 	ctx       context.Context
-	box       chan event
+	events    chan event
 	outbox    *outbox
 	proposals map[uint64]chan<- submitReply
 	nextToken uint64
-	// pending holds the proposals that stand in the log and are not committed.
+	// pending holds the proposals that are in the log and not committed yet.
 	pending      map[units.Index]pendingProposal
 	distribution *distribution
 	role         replicator.RoleChanged
 	registry     *registry
 	fleet        *fleet
-	orders       *orderDesk
-	purchases    *purchaseDesk
+	orders       *orderSender
+	purchases    *purchaser
 }
 
 type pendingProposal struct {
@@ -67,7 +69,7 @@
 		log: log,
 	}
 	registry := newRegistry(settings.Timing, log)
-	places := &distribution{
+	entryDistribution := &distribution{
 		state: configuration,
 		pusher: &distributor.Pusher{
 			Client: out.client,
@@ -78,27 +80,27 @@
 		entries: make(map[units.Instance]*entryState),
 	}
 	fleet := &fleet{}
-	box := make(chan event, boxSize)
-	orders := newOrderDesk(settings, log, configuration, fleet, box)
+	events := make(chan event, eventQueueSize)
+	orders := newOrderSender(settings, log, configuration, fleet, events)
 	ledger := &purchaseLedger{}
-	purchases := newPurchaseDesk(log, ledger, orders, box)
+	purchases := newPurchaser(log, ledger, orders, events)
 	c := &coordinator{
-		settings:     settings,
-		log:          log,
-		keeper:       folder,
-		state:        configuration,
-		machines:     []machine{configuration, registry, places, ledger},
-		duties:       []duty{registry, places, fleet, orders, purchases},
-		hearers:      []hearer{registry, fleet},
-		box:          box,
-		fleet:        fleet,
-		orders:       orders,
-		purchases:    purchases,
-		outbox:       out,
-		proposals:    make(map[uint64]chan<- submitReply),
-		pending:      make(map[units.Index]pendingProposal),
-		distribution: places,
-		registry:     registry,
+		settings:          settings,
+		log:               log,
+		keeper:            folder,
+		state:             configuration,
+		stateMachines:     []stateMachine{configuration, registry, entryDistribution, ledger},
+		leaderTasks:       []leaderTask{registry, entryDistribution, fleet, orders, purchases},
+		heartbeatHandlers: []heartbeatHandler{registry, fleet},
+		events:            events,
+		fleet:             fleet,
+		orders:            orders,
+		purchases:         purchases,
+		outbox:            out,
+		proposals:         make(map[uint64]chan<- submitReply),
+		pending:           make(map[units.Index]pendingProposal),
+		distribution:      entryDistribution,
+		registry:          registry,
 	}
 	if err := c.restore(kept.Snapshot); err != nil {
 		return nil, err
@@ -113,17 +115,17 @@
 }
 
 func options(settings *parser.Settings, id units.VoterID) replicator.Options {
-	places := make([]replicator.Place, 0, len(settings.Control))
-	for _, control := range settings.Control {
-		places = append(places, replicator.Place{
-			Instance:   control.Name,
-			DataCentre: control.DataCentre,
+	eligible := make([]replicator.Place, 0, len(settings.Control))
+	for _, instance := range settings.Control {
+		eligible = append(eligible, replicator.Place{
+			Instance:   instance.Name,
+			DataCentre: instance.DataCentre,
 		})
 	}
 	return replicator.Options{
 		ID:              id,
 		DataCentre:      settings.DataCentre,
-		Instances:       places,
+		Instances:       eligible,
 		Voters:          settings.Voters,
 		Heartbeat:       settings.Timing.Heartbeat,
 		Election:        settings.Timing.Election,
@@ -134,7 +136,7 @@
 	}
 }
 
-// run takes events until ctx ends or the disk fails.
+// run handles events until ctx ends or the disk fails.
 func (c *coordinator) run(ctx context.Context) error {
 	c.ctx = ctx
 	ticker := time.NewTicker(tickInterval)
@@ -146,8 +148,8 @@
 			return nil
 		case <-ticker.C:
 			err = c.tick()
-		case e := <-c.box:
-			err = c.take(e)
+		case e := <-c.events:
+			err = c.handleEvent(e)
 		}
 		if err != nil {
 			return err
@@ -159,22 +161,23 @@
 	if err := c.step(replicator.Ticked{}); err != nil {
 		return err
 	}
-	return c.lead(time.Now())
+	return c.runLeaderTasks(time.Now())
 }
 
-// lead lets the duties work while this instance leads.
-func (c *coordinator) lead(now time.Time) error {
-	leads := c.node.Lead(now)
-	if !leads && c.led {
-		for _, d := range c.duties {
-			d.Rest()
+// runLeaderTasks runs the leader tasks while this instance leads, and stops them once
+// when it no longer does.
+func (c *coordinator) runLeaderTasks(now time.Time) error {
+	isLeader := c.node.Lead(now)
+	if !isLeader && c.leading {
+		for _, d := range c.leaderTasks {
+			d.StopLeading()
 		}
 	}
-	c.led = leads
-	if !leads {
+	c.leading = isLeader
+	if !isLeader {
 		return nil
 	}
-	for _, d := range c.duties {
+	for _, d := range c.leaderTasks {
 		if err := c.proposeAll(d.Lead(now, c.node.Term())); err != nil {
 			return err
 		}
@@ -191,29 +194,29 @@
 	return nil
 }
 
-func (c *coordinator) take(e event) error {
+func (c *coordinator) handleEvent(e event) error {
 	switch e := e.(type) {
-	case arrived:
+	case logMessageReceived:
 		return c.step(replicator.Received{Message: e.message})
-	case submitted:
+	case commandSubmitted:
 		return c.propose(e)
-	case heard:
-		e.reply <- c.hear(e.heartbeat)
-	case asked:
+	case heartbeatReceived:
+		e.reply <- c.handleHeartbeat(e.heartbeat)
+	case statusRequested:
 		e.reply <- c.status()
-	case reported:
+	case reportReceived:
 		c.report(e)
 	case orderAnswered:
 		c.orders.answer(e)
 	case cloudAnswered:
 		return c.proposeAll(c.purchases.answer(e))
-	case dumped:
+	case dumpRequested:
 		e.reply <- c.dump()
 	}
 	return nil
 }
 
-func (c *coordinator) propose(e submitted) error {
+func (c *coordinator) propose(e commandSubmitted) error {
 	c.nextToken++
 	c.proposals[c.nextToken] = e.reply
 	return c.step(replicator.Proposed{
@@ -234,14 +237,14 @@
 func (c *coordinator) carryOut(action replicator.Action) error {
 	switch a := action.(type) {
 	case replicator.Persist:
-		// A voter that goes on after a failed sync would acknowledge what a
-		// crash takes back; it stops instead, and the majority goes on.
+		// A voter that continued after a failed sync would acknowledge records that
+		// a crash could lose. It stops instead, and the majority continues.
 		if err := c.keeper.Save(a.State, a.Records); err != nil {
-			return fmt.Errorf("keep log records: %w", err)
+			return fmt.Errorf("store log records: %w", err)
 		}
 	case replicator.PersistSnapshot:
 		if err := c.keeper.SaveSnapshot(a.State, a.Snapshot, a.Base, a.Records); err != nil {
-			return fmt.Errorf("keep a snapshot: %w", err)
+			return fmt.Errorf("store a snapshot: %w", err)
 		}
 	case replicator.TakeSnapshot:
 		return c.takeSnapshot(a)
@@ -252,11 +255,11 @@
 	case replicator.Halt:
 		return a.Err
 	case replicator.Send:
-		c.outbox.post(a.Message)
+		c.outbox.enqueue(a.Message)
 	case replicator.Apply:
 		c.apply(a.Records)
 	case replicator.Appended:
-		c.await(a)
+		c.trackProposal(a)
 	case replicator.Rejected:
 		c.reject(a)
 	case replicator.RoleChanged:
@@ -265,8 +268,9 @@
 	return nil
 }
 
-// await keeps the reply of a proposal; a duty's has none.
-func (c *coordinator) await(a replicator.Appended) {
+// trackProposal keeps the reply channel of an appended proposal until it is
+// committed. A leader task's proposal has none.
+func (c *coordinator) trackProposal(a replicator.Appended) {
 	reply, waiting := c.proposals[a.Token]
 	if !waiting {
 		return
@@ -319,15 +323,15 @@
 		proposal.reply <- submitReply{result: result}
 	}
 	before := c.distribution.source.Version()
-	c.distribution.refresh()
-	if c.led && c.distribution.source.Version() > before {
+	c.distribution.updateSource()
+	if c.leading && c.distribution.source.Version() > before {
 		c.distribution.push(c.ctx, time.Now())
 	}
 }
 
 func (c *coordinator) applyCommand(index units.Index, command *messages.Command) proto.Message {
 	var outcome proto.Message
-	for _, m := range c.machines {
+	for _, m := range c.stateMachines {
 		if result := m.Apply(index, command); result != nil {
 			outcome = result
 		}
@@ -335,7 +339,7 @@
 	return outcome
 }
 
-func (c *coordinator) hear(heartbeat *messages.EntryHeartbeat) *messages.EntryHeartbeatResponse {
+func (c *coordinator) handleHeartbeat(heartbeat *messages.EntryHeartbeat) *messages.EntryHeartbeatResponse {
 	now := time.Now()
 	response := &messages.EntryHeartbeatResponse{
 		Leader: string(c.node.LeaderID()),
@@ -346,22 +350,22 @@
 	response.IsLeader = true
 	response.AcceptedVersion = uint64(c.state.Version())
 	response.Update = c.distribution.source.Update(units.Version(heartbeat.GetVersionInForce()))
-	c.note(now, heartbeat, response)
+	c.recordHeartbeat(now, heartbeat, response)
 	for _, relayed := range heartbeat.GetRelayed() {
-		c.note(now, relayed, nil)
+		c.recordHeartbeat(now, relayed, nil)
 	}
 	return response
 }
 
-// note takes one entry's heartbeat; a relay gives the entry the rest itself, so
-// that response is nil for one that it brought.
-func (c *coordinator) note(now time.Time, heartbeat *messages.EntryHeartbeat, response *messages.EntryHeartbeatResponse) {
-	c.distribution.note(now, heartbeat, response != nil)
+// recordHeartbeat records one entry's heartbeat. The response is nil for a relayed
+// heartbeat, since the relay itself responds to the entry.
+func (c *coordinator) recordHeartbeat(now time.Time, heartbeat *messages.EntryHeartbeat, response *messages.EntryHeartbeatResponse) {
+	c.distribution.recordHeartbeat(now, heartbeat, response != nil)
 	if response == nil {
 		response = &messages.EntryHeartbeatResponse{}
 	}
-	for _, h := range c.hearers {
-		h.Hear(now, heartbeat, response)
+	for _, h := range c.heartbeatHandlers {
+		h.HandleHeartbeat(now, heartbeat, response)
 	}
 }
 
@@ -375,6 +379,6 @@
 		Term:            uint64(c.node.Term()),
 		AcceptedVersion: uint64(c.state.Version()),
 	}
-	c.distribution.report(now, status)
+	c.distribution.addToStatus(now, status)
 	return statusReply{status: status}
 }
--- a/src/control/distribution.go
+++ b/src/control/distribution.go
@@ -15,14 +15,17 @@
 )
 
 const (
-	// observeInterval is how often the leader looks who has the version in force.
+	// observeInterval is how often the leader checks which entries have the accepted
+	// version in force.
 	observeInterval = 100 * time.Millisecond
-	// directFor is how long after its last own heartbeat an entry gets pushes.
-	directFor = time.Second
+	// directExpiry is how long after an entry's last heartbeat without a relay the
+	// leader pushes new versions to it.
+	directExpiry = time.Second
 )
 
-// distribution brings the accepted configuration to the entries and knows where
-// it is in force. The last entry views are replicated; the rest is the leader's.
+// distribution distributes the accepted configuration to the entries and tracks where
+// it is in force. The last entry views are replicated; all other state is held by the
+// leader only.
 type distribution struct {
 	state  *configurationMachine
 	pusher *distributor.Pusher
@@ -35,24 +38,25 @@
 	observedAt time.Time
 }
 
-// entryState is what the leader last heard of an entry.
+// entryState is the leader's state of one entry.
 type entryState struct {
-	// heartbeat is nil for a member of a view that this leader has not heard.
-	heartbeat *messages.EntryHeartbeat
-	at        time.Time
+	// heartbeat is nil for a member of a view that has sent no heartbeat to this leader.
+	heartbeat       *messages.EntryHeartbeat
+	lastHeartbeatAt time.Time
 	// directAt is when the entry last reported without a relay.
 	directAt time.Time
-	// fencedSince is when the entry must have stopped, the zero time where that is
-	// not proved. It stays true until the entry is heard again or another view is
-	// committed, whose majority could agree with the entry's version.
+	// fencedSince is when the entry must have stopped, the zero time if that is not
+	// proved. It remains valid until the entry sends a heartbeat again or another view
+	// is committed, since the new view's majority could agree with the entry's version.
 	fencedSince time.Time
 	fencedView  uint64
 }
 
-// Name is the key in snapshots.
+// Name returns the state machine's key in snapshots.
 func (d *distribution) Name() string { return "entry-views" }
 
-// Apply keeps the last views, by the same rule as the registry's.
+// Apply stores a committed view if its number is the next, by the same rule as the
+// registry.
 func (d *distribution) Apply(_ units.Index, command *messages.Command) proto.Message {
 	view := command.GetEntryView()
 	if view != nil && view.GetNumber() == d.views.Newest().GetNumber()+1 {
@@ -61,7 +65,7 @@
 	return nil
 }
 
-// Snapshot returns the views.
+// Snapshot returns the encoded views.
 func (d *distribution) Snapshot() ([]byte, error) {
 	return proto.Marshal(&messages.EntryViews{
 		Views: d.views,
@@ -72,61 +76,61 @@
 func (d *distribution) Restore(content []byte) error {
 	views := &messages.EntryViews{}
 	if err := proto.Unmarshal(content, views); err != nil {
-		return fmt.Errorf("read the entry views of a snapshot: %w", err)
+		return fmt.Errorf("decode the entry views of a snapshot: %w", err)
 	}
 	d.views = views.GetViews()
 	return nil
 }
 
-// refresh takes over a newly accepted configuration.
-func (d *distribution) refresh() {
+// updateSource adopts a newly accepted configuration.
+func (d *distribution) updateSource() {
 	if d.state.Version() > d.source.Version() {
 		d.source = d.source.With(d.state.Version(), d.state.Document())
 	}
 }
 
-// push sends a new version to the entries that report to this leader.
+// push sends a new version to the entries that report to this leader without a relay.
 func (d *distribution) push(ctx context.Context, now time.Time) {
 	for _, e := range d.entries {
-		if now.Sub(e.directAt) < directFor {
+		if now.Sub(e.directAt) < directExpiry {
 			d.pusher.Push(ctx, e.heartbeat.GetPeerAddress(), d.source.Update(units.Version(e.heartbeat.GetVersionInForce())))
 		}
 	}
 }
 
-// note takes one entry's heartbeat, its own or brought by a relay.
-func (d *distribution) note(now time.Time, heartbeat *messages.EntryHeartbeat, direct bool) {
+// recordHeartbeat records one entry's heartbeat, sent directly or by a relay.
+func (d *distribution) recordHeartbeat(now time.Time, heartbeat *messages.EntryHeartbeat, direct bool) {
 	name := units.Instance(heartbeat.GetEntry())
 	e := d.entries[name]
 	if e == nil {
 		e = &entryState{}
 		d.entries[name] = e
 	}
-	if !overtaken(heartbeat, e.heartbeat) {
+	if !isOutdated(heartbeat, e.heartbeat) {
 		e.heartbeat = heartbeat
 	}
-	e.at = now
+	e.lastHeartbeatAt = now
 	e.fencedSince = time.Time{}
 	if direct {
 		e.directAt = now
 	}
 }
 
-// overtaken reports whether a heartbeat tells less than the last one, since a
-// relay brought it after the entry had reported by another way.
-func overtaken(heartbeat, last *messages.EntryHeartbeat) bool {
+// isOutdated reports whether a heartbeat is older than the last one. That happens if a
+// relay delivers it after the entry has sent a newer one by another way.
+func isOutdated(heartbeat, last *messages.EntryHeartbeat) bool {
 	if heartbeat.GetIncarnation() != last.GetIncarnation() {
 		return heartbeat.GetIncarnation() < last.GetIncarnation()
 	}
 	return heartbeat.GetVersionInForce() < last.GetVersionInForce()
 }
 
-// Lead looks who has the accepted version and which entries must have stopped.
+// Lead determines which entries have the accepted version and which must have stopped.
 func (d *distribution) Lead(now time.Time, _ units.Term) []*messages.Command {
 	if !d.leading {
 		d.leading = true
 		d.proof.Reset()
-		d.expect(now)
+		d.addViewMembers(now)
 	}
 	if now.Sub(d.observedAt) < observeInterval {
 		return nil
@@ -134,37 +138,38 @@
 	d.observedAt = now
 	accepted := d.state.Version()
 	d.proof.Observe(now, accepted, d.views, func(member *messages.EntryMember) bool {
-		return d.has(member, accepted)
+		return d.hasVersion(member, accepted)
 	})
 	for name, e := range d.entries {
-		d.settle(now, name, e)
+		d.updateEntry(now, name, e)
 	}
 	return nil
 }
 
-// Rest forgets what only a leader may claim.
-func (d *distribution) Rest() {
+// StopLeading drops the state that is valid only at the leader.
+func (d *distribution) StopLeading() {
 	d.leading = false
 	d.proof.Reset()
 	d.entries = make(map[units.Instance]*entryState)
 }
 
-// expect makes a new leader count the members of the last views before it has
-// heard them; one that is cut off would not be missed otherwise.
-func (d *distribution) expect(now time.Time) {
+// addViewMembers makes a new leader track the members of the last views before their
+// first heartbeat. Otherwise an entry that cannot reach the leader would not be
+// reported as missing.
+func (d *distribution) addViewMembers(now time.Time) {
 	for _, view := range d.views {
 		for _, member := range view.GetMembers() {
 			name := units.Instance(member.GetEntry())
 			if d.entries[name] == nil {
-				d.entries[name] = &entryState{at: now}
+				d.entries[name] = &entryState{lastHeartbeatAt: now}
 			}
 		}
 	}
 }
 
-// has reports whether a life of an entry has the version, or can agree with
-// nobody any more since the entry has started again.
-func (d *distribution) has(member *messages.EntryMember, version units.Version) bool {
+// hasVersion reports whether an incarnation of an entry has the version, or has ended
+// because the entry has restarted, so that it can no longer agree with others.
+func (d *distribution) hasVersion(member *messages.EntryMember, version units.Version) bool {
 	e := d.entries[units.Instance(member.GetEntry())]
 	if e == nil || e.heartbeat == nil {
 		return false
@@ -176,8 +181,8 @@
 		units.Version(e.heartbeat.GetVersionInForce()) >= version
 }
 
-// settle notes an entry that must have stopped, and forgets one that has left.
-func (d *distribution) settle(now time.Time, name units.Instance, e *entryState) {
+// updateEntry records whether an entry must have stopped, and forgets one that has left.
+func (d *distribution) updateEntry(now time.Time, name units.Instance, e *entryState) {
 	newest := d.views.Newest().GetNumber()
 	if e.fencedView != newest {
 		e.fencedSince = time.Time{}
@@ -190,59 +195,61 @@
 			e.fencedView = newest
 		}
 	}
-	silent := now.Sub(e.at) > goneAfter*d.proof.Fence
-	left := e.heartbeat.GetStopping() || !e.fencedSince.IsZero() || d.current(e)
-	if silent && left && !d.inView(name) {
+	silent := now.Sub(e.lastHeartbeatAt) > entryExpiryPeriods*d.proof.Fence
+	canBeForgotten := e.heartbeat.GetStopping() || !e.fencedSince.IsZero() || d.isCurrent(e)
+	if silent && canBeForgotten && !d.isInNewestView(name) {
 		delete(d.entries, name)
 	}
 }
 
-func (d *distribution) current(e *entryState) bool {
+// isCurrent reports whether an entry has the accepted version in force.
+func (d *distribution) isCurrent(e *entryState) bool {
 	return e.heartbeat != nil && units.Version(e.heartbeat.GetVersionInForce()) == d.state.Version()
 }
 
-func (d *distribution) inView(name units.Instance) bool {
+func (d *distribution) isInNewestView(name units.Instance) bool {
 	return slices.ContainsFunc(d.views.Newest().GetMembers(), func(member *messages.EntryMember) bool {
 		return member.GetEntry() == string(name)
 	})
 }
 
-// report adds to a status where the accepted version is in force and who is missing.
-func (d *distribution) report(now time.Time, status *messages.Status) {
+// addToStatus adds to a status how many entries have the accepted version in force and
+// which do not.
+func (d *distribution) addToStatus(now time.Time, status *messages.Status) {
 	for _, name := range slices.Sorted(maps.Keys(d.entries)) {
 		e := d.entries[name]
 		fenced := !e.fencedSince.IsZero() || e.heartbeat.GetStopping()
-		// An entry that has left and can serve nothing older is not missed.
-		if !d.inView(name) && (fenced || d.current(e)) && now.Sub(e.at) > d.proof.Fence {
+		// An entry that has left and cannot serve an older version is not missing.
+		if !d.isInNewestView(name) && (fenced || d.isCurrent(e)) && now.Sub(e.lastHeartbeatAt) > d.proof.Fence {
 			continue
 		}
 		status.Entries++
-		if d.current(e) || fenced {
+		if d.isCurrent(e) || fenced {
 			status.InForce++
 		}
-		if !d.current(e) {
-			status.Missing = append(status.Missing, d.missing(now, name, e))
+		if !d.isCurrent(e) {
+			status.Missing = append(status.Missing, d.missingStatus(now, name, e))
 		}
 	}
 }
 
-// missing says why an entry lacks the accepted version.
-func (d *distribution) missing(now time.Time, name units.Instance, e *entryState) *messages.EntryStatus {
-	reason := fmt.Sprintf("behind at version %d, heard %s ago", e.heartbeat.GetVersionInForce(), rounded(now.Sub(e.at)))
+// missingStatus returns why an entry lacks the accepted version.
+func (d *distribution) missingStatus(now time.Time, name units.Instance, e *entryState) *messages.EntryStatus {
+	reason := fmt.Sprintf("behind at version %d, heard %s ago", e.heartbeat.GetVersionInForce(), roundForStatus(now.Sub(e.lastHeartbeatAt)))
 	switch {
 	case units.Version(e.heartbeat.GetVersionInForce()) > d.state.Version():
-		// Only a log that began anew on empty disks knows less than an entry.
+		// Only a log that was started again on empty disks is behind an entry.
 		reason = fmt.Sprintf("ahead at version %d: control has lost what it accepted; submit the configuration with a higher version",
 			e.heartbeat.GetVersionInForce())
 	case e.heartbeat == nil:
-		reason = fmt.Sprintf("not heard since this leader began %s ago", rounded(now.Sub(e.at)))
+		reason = fmt.Sprintf("not heard since this leader began %s ago", roundForStatus(now.Sub(e.lastHeartbeatAt)))
 	case e.heartbeat.GetStopping():
 		reason = "stopping, takes no new calls"
-	case now.Sub(e.at) > directFor:
-		reason = fmt.Sprintf("behind at version %d, silent since %s", e.heartbeat.GetVersionInForce(), rounded(now.Sub(e.at)))
+	case now.Sub(e.lastHeartbeatAt) > directExpiry:
+		reason = fmt.Sprintf("behind at version %d, silent since %s", e.heartbeat.GetVersionInForce(), roundForStatus(now.Sub(e.lastHeartbeatAt)))
 	}
 	if !e.fencedSince.IsZero() {
-		reason += fmt.Sprintf(", fenced since %s at least", rounded(now.Sub(e.fencedSince)))
+		reason += fmt.Sprintf(", fenced since %s at least", roundForStatus(now.Sub(e.fencedSince)))
 	}
 	return &messages.EntryStatus{
 		Entry:          string(name),
@@ -252,4 +259,4 @@
 	}
 }
 
-func rounded(d time.Duration) time.Duration { return d.Round(100 * time.Millisecond) }
+func roundForStatus(d time.Duration) time.Duration { return d.Round(100 * time.Millisecond) }
--- a/src/control/distribution_test.go
+++ b/src/control/distribution_test.go
@@ -13,7 +13,8 @@
 
 const testFence = 3 * time.Second
 
-// newTestDistribution returns one that leads, with version 5 accepted and three entries in the view.
+// newTestDistribution returns a leader's distribution with version 5 accepted and three
+// entries in the view.
 func newTestDistribution(now time.Time) *distribution {
 	d := &distribution{
 		state:   &configurationMachine{},
@@ -38,7 +39,7 @@
 	return d
 }
 
-func beat(entry string, incarnation, version uint64) *messages.EntryHeartbeat {
+func newHeartbeat(entry string, incarnation, version uint64) *messages.EntryHeartbeat {
 	return &messages.EntryHeartbeat{
 		Entry:          entry,
 		Incarnation:    incarnation,
@@ -47,38 +48,38 @@
 	}
 }
 
-// Two entries have the accepted version and the third one is in trouble. The
-// operator must see how many have it, who is missing and why; and an entry counts
-// without the version only once it must have stopped.
-func TestStatusTellsWhoIsMissingAndWhy(t *testing.T) {
+// Two entries have the accepted version, and the third may be behind, silent or ahead.
+// The operator must see how many have the version, which do not and why. An entry
+// without the version is counted as having it only once it must have stopped.
+func TestStatusReportsWhoIsMissingAndWhy(t *testing.T) {
 	cases := map[string]struct {
-		third  *messages.EntryHeartbeat
-		after  time.Duration
-		force  uint32
-		reason string
+		third   *messages.EntryHeartbeat
+		after   time.Duration
+		inForce uint32
+		reason  string
 	}{
-		"has it":                  {third: beat("e3", 1, 5), after: time.Second, force: 3},
-		"behind":                  {third: beat("e3", 1, 4), after: 500 * time.Millisecond, force: 2, reason: "behind at version 4, heard"},
-		"silent":                  {third: beat("e3", 1, 4), after: 2 * time.Second, force: 2, reason: "behind at version 4, silent since 2s"},
-		"silent beyond the fence": {third: beat("e3", 1, 4), after: 4 * time.Second, force: 3, reason: "fenced since"},
-		"never heard":             {after: time.Second, force: 2, reason: "not heard since this leader began"},
-		"ahead of control":        {third: beat("e3", 1, 6), after: 4 * time.Second, force: 2, reason: "ahead at version 6"},
+		"has it":                  {third: newHeartbeat("e3", 1, 5), after: time.Second, inForce: 3},
+		"behind":                  {third: newHeartbeat("e3", 1, 4), after: 500 * time.Millisecond, inForce: 2, reason: "behind at version 4, heard"},
+		"silent":                  {third: newHeartbeat("e3", 1, 4), after: 2 * time.Second, inForce: 2, reason: "behind at version 4, silent since 2s"},
+		"silent beyond the fence": {third: newHeartbeat("e3", 1, 4), after: 4 * time.Second, inForce: 3, reason: "fenced since"},
+		"never heard":             {after: time.Second, inForce: 2, reason: "not heard since this leader began"},
+		"ahead of control":        {third: newHeartbeat("e3", 1, 6), after: 4 * time.Second, inForce: 2, reason: "ahead at version 6"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
 			d := newTestDistribution(now)
-			d.note(now, beat("e1", 1, 5), true)
-			d.note(now, beat("e2", 1, 5), true)
+			d.recordHeartbeat(now, newHeartbeat("e1", 1, 5), true)
+			d.recordHeartbeat(now, newHeartbeat("e2", 1, 5), true)
 			if c.third != nil {
-				d.note(now, c.third, true)
+				d.recordHeartbeat(now, c.third, true)
 			}
 			d.Lead(now.Add(observeInterval), 1)
 			now = now.Add(c.after)
 			d.Lead(now, 1)
 			status := &messages.Status{}
-			d.report(now, status)
-			if got, want := status.GetInForce(), c.force; got != want {
+			d.addToStatus(now, status)
+			if got, want := status.GetInForce(), c.inForce; got != want {
 				t.Errorf("in force: got %d, want %d", got, want)
 			}
 			if got, want := status.GetEntries(), uint32(3); got != want {
@@ -95,40 +96,41 @@
 	}
 }
 
-// Only one of three entries has the accepted version and the others are silent.
-// They may serve on among themselves, so that they never count.
+// Only one of three entries has the accepted version and the others are silent. Those
+// two are a majority that may continue to serve an older version, so they must never
+// be counted as having the accepted one.
 func TestSilentMajorityNeverCountsAsInForce(t *testing.T) {
 	now := time.Unix(1000, 0)
 	d := newTestDistribution(now)
-	d.note(now, beat("e1", 1, 5), true)
-	d.note(now, beat("e2", 1, 4), true)
-	d.note(now, beat("e3", 1, 4), true)
+	d.recordHeartbeat(now, newHeartbeat("e1", 1, 5), true)
+	d.recordHeartbeat(now, newHeartbeat("e2", 1, 4), true)
+	d.recordHeartbeat(now, newHeartbeat("e3", 1, 4), true)
 	for range 600 {
 		now = now.Add(observeInterval)
-		d.note(now, beat("e1", 1, 5), true)
+		d.recordHeartbeat(now, newHeartbeat("e1", 1, 5), true)
 		d.Lead(now, 1)
 	}
 	status := &messages.Status{}
-	d.report(now, status)
+	d.addToStatus(now, status)
 	if got, want := status.GetInForce(), uint32(1); got != want {
 		t.Errorf("in force: got %d, want %d", got, want)
 	}
 }
 
-// An entry reports by itself after its relay has failed, and then the relay brings
-// an older heartbeat of it. The entry must not look as if it had gone back.
+// An entry sends its heartbeat directly after its relay has failed, and then the relay
+// delivers an older heartbeat of it. The older one must not replace the newer one.
 func TestLateRelayedHeartbeatChangesNothing(t *testing.T) {
 	cases := map[string]*messages.EntryHeartbeat{
-		"older version":      beat("e1", 2, 4),
-		"earlier life":       beat("e1", 1, 9),
-		"earlier life, same": beat("e1", 1, 5),
+		"older version":      newHeartbeat("e1", 2, 4),
+		"earlier life":       newHeartbeat("e1", 1, 9),
+		"earlier life, same": newHeartbeat("e1", 1, 5),
 	}
 	for name, late := range cases {
 		t.Run(name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
 			d := newTestDistribution(now)
-			d.note(now, beat("e1", 2, 5), true)
-			d.note(now, late, false)
+			d.recordHeartbeat(now, newHeartbeat("e1", 2, 5), true)
+			d.recordHeartbeat(now, late, false)
 			held := d.entries["e1"].heartbeat
 			if got, want := held.GetIncarnation(), uint64(2); got != want {
 				t.Errorf("incarnation: got %d, want %d", got, want)
@@ -140,20 +142,20 @@
 	}
 }
 
-// An entry is counted as stopped, and then a view is committed in which it could
-// agree with itself alone. The operator must not go on hearing that it has stopped.
+// An entry is counted as stopped, and then a view is committed of which it is the only
+// member, so that it could serve again. The status must no longer report it as stopped.
 func TestAnotherViewWithdrawsTheProof(t *testing.T) {
 	now := time.Unix(1000, 0)
 	d := newTestDistribution(now)
-	d.note(now, beat("e1", 1, 5), true)
-	d.note(now, beat("e2", 1, 5), true)
-	d.note(now, beat("e3", 1, 4), true)
+	d.recordHeartbeat(now, newHeartbeat("e1", 1, 5), true)
+	d.recordHeartbeat(now, newHeartbeat("e2", 1, 5), true)
+	d.recordHeartbeat(now, newHeartbeat("e3", 1, 4), true)
 	for range 50 {
 		now = now.Add(observeInterval)
 		d.Lead(now, 1)
 	}
 	status := &messages.Status{}
-	d.report(now, status)
+	d.addToStatus(now, status)
 	if got, want := status.GetInForce(), uint32(3); got != want {
 		t.Fatalf("in force under the first view: got %d, want %d", got, want)
 	}
@@ -168,7 +170,7 @@
 		d.Lead(now, 1)
 	}
 	status = &messages.Status{}
-	d.report(now, status)
+	d.addToStatus(now, status)
 	if got, want := status.GetInForce(), uint32(0); got != want {
 		t.Errorf("in force under the second view: got %d, want %d", got, want)
 	}
--- a/src/control/doc.go
+++ b/src/control/doc.go
@@ -1,5 +1,6 @@
-// Package control is the process that carries the replicated log, on an instance with a disk.
+// Package control is the control process, which runs a voter of the replicated log on
+// an instance with a disk.
 //
-// One goroutine, the coordinator, owns all state; the others bring events to
-// its box and carry out what leaves the process.
+// One goroutine, the coordinator, owns all state. The others queue events for it and
+// do the network I/O.
 package control
--- a/src/control/dump.go
+++ b/src/control/dump.go
@@ -34,12 +34,12 @@
 	Learner    bool             `yaml:"learner"`
 }
 
-// EntryDump is what the leader knows of one entry.
+// EntryDump is the leader's state of one entry.
 type EntryDump struct {
 	Name           units.Instance `yaml:"name"`
 	VersionInForce units.Version  `yaml:"version-in-force"`
 	Fenced         bool           `yaml:"fenced"`
-	// Direct says that the entry reports without a relay.
+	// Direct reports that the entry sends its heartbeats without a relay.
 	Direct  bool          `yaml:"direct"`
 	Silence time.Duration `yaml:"silence"`
 }
@@ -74,8 +74,8 @@
 			Name:           name,
 			VersionInForce: units.Version(entry.heartbeat.GetVersionInForce()),
 			Fenced:         !entry.fencedSince.IsZero(),
-			Direct:         time.Since(entry.directAt) < directFor,
-			Silence:        time.Since(entry.at),
+			Direct:         time.Since(entry.directAt) < directExpiry,
+			Silence:        time.Since(entry.lastHeartbeatAt),
 		})
 	}
 	return dump
--- a/src/control/event.go
+++ b/src/control/event.go
@@ -7,7 +7,7 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// Methods between control processes and from entries.
+// Methods that control processes call on each other and that entries call.
 const (
 	MethodLog       = "log/message"
 	MethodSubmit    = "control/submit"
@@ -15,35 +15,36 @@
 	MethodStatus    = "control/status"
 )
 
-// event is something the coordinator takes from its box.
+// event is an input to the coordinator.
 type event interface{ event() }
 
-// arrived is a log message from another voter.
-type arrived struct {
+// logMessageReceived carries a log message from another voter.
+type logMessageReceived struct {
 	message *messages.LogMessage
 }
 
-// submitted asks for a command to be committed.
-type submitted struct {
+// commandSubmitted requests that a command be committed.
+type commandSubmitted struct {
 	command *messages.Command
 	reply   chan<- submitReply
 }
 
-// submitReply is the end of a submitted command; one of its fields is set.
+// submitReply is the result of a submitted command, or the error in its place.
 type submitReply struct {
-	// result is what the command's machine returned, or nil.
+	// result is the outcome that the command's state machine returned, or nil.
 	result proto.Message
 	err    error
 }
 
-// heard is an entry's heartbeat.
-type heard struct {
+// heartbeatReceived carries an entry's heartbeat.
+type heartbeatReceived struct {
 	heartbeat *messages.EntryHeartbeat
 	reply     chan<- *messages.EntryHeartbeatResponse
 }
 
-// asked wants the status; the reply is an error where this voter may not speak for the fleet.
-type asked struct {
+// statusRequested requests the status of the fleet; the reply is an error if this
+// voter is not the leader.
+type statusRequested struct {
 	reply chan<- statusReply
 }
 
@@ -52,23 +53,23 @@
 	err    error
 }
 
-// dumped wants the process's state.
-type dumped struct {
+// dumpRequested requests a dump of the process's state.
+type dumpRequested struct {
 	reply chan<- *Dump
 }
 
-func (arrived) event()   {}
-func (submitted) event() {}
-func (heard) event()     {}
-func (asked) event()     {}
-func (dumped) event()    {}
+func (logMessageReceived) event() {}
+func (commandSubmitted) event()   {}
+func (heartbeatReceived) event()  {}
+func (statusRequested) event()    {}
+func (dumpRequested) event()      {}
 
-// NotLeaderError says that another voter must be asked.
+// NotLeaderError reports that this voter is not the leader, which must be asked instead.
 type NotLeaderError struct {
 	Leader units.Instance
 }
 
-// Error names the leader where one is known.
+// Error returns the remedy, with the leader's name if it is known.
 func (e *NotLeaderError) Error() string {
 	if e.Leader == "" {
 		return "no leader is known; ask again in a second, and check that a majority of the control instances runs"
@@ -76,10 +77,11 @@
 	return "this instance does not lead; ask " + string(e.Leader)
 }
 
-// LostLeadershipError says that a command's fate is not known to this voter.
+// LostLeadershipError reports that this voter lost its leadership before a command was
+// committed, so that the command's outcome is unknown.
 type LostLeadershipError struct{}
 
-// Error names the remedy.
+// Error returns the cause and its remedy.
 func (e *LostLeadershipError) Error() string {
 	return "leadership changed before the answer; submit the same file again to learn the outcome"
 }
--- a/src/control/fleet.go
+++ b/src/control/fleet.go
@@ -12,38 +12,40 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// MethodReport tells the leader of the upstreams that an entry hears.
+// MethodReport reports the upstreams that an entry knows to the leader.
 const MethodReport = "control/report"
 
-// reportExpiry is how long an entry's report counts after its last heartbeat.
+// reportExpiry is how long after the entry's last heartbeat its report is used.
 const reportExpiry = 5 * time.Second
 
-// reported is an entry's report of its upstreams.
-type reported struct {
+// reportReceived carries an entry's report of its upstreams.
+type reportReceived struct {
 	report *messages.FleetReport
 	reply  chan<- *messages.FleetReportResponse
 }
 
-func (reported) event() {}
+func (reportReceived) event() {}
 
-// fleet is what the leader knows of the upstreams, from the entries' reports.
+// fleet is the leader's state of the upstreams, from the entries' reports.
 //
-// Its memory ends with the leadership: a new leader has whole reports from all
-// entries within a heartbeat, and must not act on what it heard in an earlier term.
+// It is dropped when the leadership ends: a new leader gets full reports from all
+// entries within a heartbeat interval, and must not act on reports of an earlier term.
 type fleet struct {
-	reports map[units.Instance]*entryReport
-	ledAt   time.Time
+	reports     map[units.Instance]*entryReport
+	leaderSince time.Time
 }
 
-// entryReport is what one entry hears.
+// entryReport is the upstreams that one entry has reported.
 type entryReport struct {
 	incarnation uint64
 	number      uint64
-	at          time.Time
+	refreshedAt time.Time
 	upstreams   map[string]*messages.Rumour
 }
 
-func (f *fleet) take(now time.Time, report *messages.FleetReport) *messages.FleetReportResponse {
+// applyReport applies a full report, or a change that follows the last report. For any
+// other change the response requests a full report.
+func (f *fleet) applyReport(now time.Time, report *messages.FleetReport) *messages.FleetReportResponse {
 	response := &messages.FleetReportResponse{IsLeader: true}
 	name := units.Instance(report.GetEntry())
 	known := f.reports[name]
@@ -63,7 +65,7 @@
 		f.reports[name] = known
 	}
 	known.number = report.GetNumber()
-	known.at = now
+	known.refreshedAt = now
 	for _, rumour := range report.GetChanged() {
 		known.upstreams[rumour.GetAnnouncement().GetUpstream()] = rumour
 	}
@@ -73,25 +75,26 @@
 	return response
 }
 
-// Hear keeps an entry's report alive, since an entry without news sends none.
-func (f *fleet) Hear(now time.Time, heartbeat *messages.EntryHeartbeat, _ *messages.EntryHeartbeatResponse) {
+// HandleHeartbeat extends the expiry of an entry's report, since an entry without
+// changes sends no report.
+func (f *fleet) HandleHeartbeat(now time.Time, heartbeat *messages.EntryHeartbeat, _ *messages.EntryHeartbeatResponse) {
 	known := f.reports[units.Instance(heartbeat.GetEntry())]
 	if known != nil && known.incarnation == heartbeat.GetIncarnation() {
-		known.at = now
+		known.refreshedAt = now
 	}
 }
 
-// upstreams returns the newest that any entry reports of each upstream.
+// upstreams returns the newest report of each upstream from any entry.
 func (f *fleet) upstreams(now time.Time) map[units.Upstream]*messages.Rumour {
 	newest := make(map[units.Upstream]*messages.Rumour)
 	for entry, report := range f.reports {
-		if now.Sub(report.at) >= reportExpiry {
+		if now.Sub(report.refreshedAt) >= reportExpiry {
 			delete(f.reports, entry)
 			continue
 		}
 		for name, rumour := range report.upstreams {
 			known := newest[units.Upstream(name)]
-			if known == nil || reportsLater(known, rumour) {
+			if known == nil || isNewer(known, rumour) {
 				newest[units.Upstream(name)] = rumour
 			}
 		}
@@ -99,8 +102,8 @@
 	return newest
 }
 
-// reportsLater reports whether next tells of a later moment than known.
-func reportsLater(known, next *messages.Rumour) bool {
+// isNewer reports whether next describes a later state of an upstream than known.
+func isNewer(known, next *messages.Rumour) bool {
 	a, b := known.GetAnnouncement(), next.GetAnnouncement()
 	if a.GetIncarnation() != b.GetIncarnation() {
 		return b.GetIncarnation() > a.GetIncarnation()
@@ -114,7 +117,7 @@
 	return next.GetState() < known.GetState()
 }
 
-// FleetDump counts what the leader knows of a service's upstreams.
+// FleetDump counts a service's upstreams by state, as known to the leader.
 type FleetDump struct {
 	Service   units.Service `yaml:"service"`
 	Announced int           `yaml:"announced"`
@@ -145,18 +148,18 @@
 	return dump
 }
 
-// Lead notes when the leadership began.
+// Lead records when the leadership started.
 func (f *fleet) Lead(now time.Time, _ units.Term) []*messages.Command {
-	if f.ledAt.IsZero() {
-		f.ledAt = now
+	if f.leaderSince.IsZero() {
+		f.leaderSince = now
 	}
 	return nil
 }
 
-// Rest forgets what was heard.
-func (f *fleet) Rest() {
+// StopLeading drops all reports.
+func (f *fleet) StopLeading() {
 	f.reports = nil
-	f.ledAt = time.Time{}
+	f.leaderSince = time.Time{}
 }
 
 func (c *Control) onReport(ctx context.Context, peer connector.Peer, report *messages.FleetReport) (*messages.FleetReportResponse, error) {
@@ -164,17 +167,17 @@
 		return nil, err
 	}
 	reply := make(chan *messages.FleetReportResponse, 1)
-	if err := c.post(ctx, reported{report: report, reply: reply}); err != nil {
+	if err := c.postEvent(ctx, reportReceived{report: report, reply: reply}); err != nil {
 		return nil, err
 	}
 	return await(ctx, reply)
 }
 
-func (c *coordinator) report(e reported) {
+func (c *coordinator) report(e reportReceived) {
 	now := time.Now()
 	if !c.node.Lead(now) {
 		e.reply <- &messages.FleetReportResponse{}
 		return
 	}
-	e.reply <- c.fleet.take(now, e.report)
+	e.reply <- c.fleet.applyReport(now, e.report)
 }
--- a/src/control/ledger.go
+++ b/src/control/ledger.go
@@ -12,20 +12,21 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// purchasesRetained is how many finished purchases are remembered.
-const purchasesRetained = 1024
+// maxFinishedPurchases bounds the finished purchases that are retained.
+const maxFinishedPurchases = 1024
 
 // purchaseLedger is the replicated state of all purchases.
 type purchaseLedger struct {
 	purchases map[string]*messages.Purchase
-	// finished are tokens in the order of their end; the oldest are forgotten.
+	// finished holds the tokens of finished purchases in the order in which they
+	// finished; the oldest are dropped.
 	finished []string
 }
 
-// Name is the ledger's key in snapshots.
+// Name returns the ledger's key in snapshots.
 func (l *purchaseLedger) Name() string { return "purchases" }
 
-// Apply takes one purchase's next state where it follows the one known.
+// Apply stores a purchase's next state if it may follow the current one.
 func (l *purchaseLedger) Apply(_ units.Index, command *messages.Command) proto.Message {
 	p := command.GetPurchase()
 	if p == nil || !buyer.CanReplace(l.purchases[p.GetToken()], p) {
@@ -44,33 +45,34 @@
 		return
 	}
 	l.finished = append(l.finished, p.GetToken())
-	if len(l.finished) > purchasesRetained {
+	if len(l.finished) > maxFinishedPurchases {
 		delete(l.purchases, l.finished[0])
 		l.finished = l.finished[1:]
 	}
 }
 
-// list returns all purchases, the finished ones first and in their order.
+// list returns all purchases, the finished ones first and in the order in which they
+// finished.
 func (l *purchaseLedger) list() []*messages.Purchase {
 	list := make([]*messages.Purchase, 0, len(l.purchases))
 	for _, token := range l.finished {
 		list = append(list, l.purchases[token])
 	}
-	return append(list, l.open()...)
+	return append(list, l.unfinished()...)
 }
 
-// open returns the purchases that have not ended.
-func (l *purchaseLedger) open() []*messages.Purchase {
-	var open []*messages.Purchase
+// unfinished returns the purchases that have not finished, sorted by token.
+func (l *purchaseLedger) unfinished() []*messages.Purchase {
+	var unfinished []*messages.Purchase
 	for _, token := range slices.Sorted(maps.Keys(l.purchases)) {
 		if l.purchases[token].GetState() < messages.PurchaseState_PURCHASE_STATE_REFUSED {
-			open = append(open, l.purchases[token])
+			unfinished = append(unfinished, l.purchases[token])
 		}
 	}
-	return open
+	return unfinished
 }
 
-// Snapshot returns all purchases.
+// Snapshot returns all purchases, encoded.
 func (l *purchaseLedger) Snapshot() ([]byte, error) {
 	return proto.MarshalOptions{Deterministic: true}.Marshal(&messages.PurchaseLedger{Purchases: l.list()})
 }
@@ -79,7 +81,7 @@
 func (l *purchaseLedger) Restore(content []byte) error {
 	ledger := &messages.PurchaseLedger{}
 	if err := proto.Unmarshal(content, ledger); err != nil {
-		return fmt.Errorf("read the purchases of a snapshot: %w", err)
+		return fmt.Errorf("decode the purchases of a snapshot: %w", err)
 	}
 	l.purchases = nil
 	l.finished = nil
--- a/src/control/ledger_test.go
+++ b/src/control/ledger_test.go
@@ -8,9 +8,9 @@
 	"github.com/rosecroft/rosecroft/src/messages"
 )
 
-// A voter that missed many commands restores the ledger from a snapshot. If a
-// purchase were lost or stood in another state, its instance would be bought
-// again or never given back.
+// A voter that missed many commands restores the ledger from a snapshot. If a purchase
+// were lost or in a different state, its instance would be bought again or never
+// released.
 func TestLedgerSurvivesItsSnapshot(t *testing.T) {
 	ledger := &purchaseLedger{}
 	for _, state := range []messages.PurchaseState{1, 2, 3, 5} {
--- a/src/control/orders.go
+++ b/src/control/orders.go
@@ -18,20 +18,24 @@
 )
 
 const (
-	orderTick    = 200 * time.Millisecond
-	orderTimeout = time.Second
-	// clockDrift is by how much two clocks may differ over one lease.
-	clockDrift     = 200 * time.Millisecond
-	orderObserve   = 2 * time.Second
-	orderResend    = 2 * time.Second
-	mostResend     = 30 * time.Second
-	ordersQueued   = 256
-	ordersAtOnce   = 16
-	ordersRetained = 32
-	maxOrderResult = 64 << 10
+	orderInterval = 200 * time.Millisecond
+	orderTimeout  = time.Second
+	// clockDrift bounds by how much two clocks may drift apart during one lease.
+	clockDrift = 200 * time.Millisecond
+	// orderObservePeriod is how long a change at an upstream takes to be announced here.
+	orderObservePeriod = 2 * time.Second
+	// orderResendInterval is the time before an order without effect is resent; it
+	// doubles with each resend, up to maxOrderResendInterval.
+	orderResendInterval    = 2 * time.Second
+	maxOrderResendInterval = 30 * time.Second
+	orderQueueSize         = 256
+	orderWorkers           = 16
+	maxRecentDumps         = 32
+	maxOrderResultBytes    = 64 << 10
 )
 
-// orderAnswered is an upstream's answer to an order.
+// orderAnswered carries an upstream's answer to an order; the result is nil if there
+// was none.
 type orderAnswered struct {
 	send   orderer.Send
 	result *messages.OrderResult
@@ -39,14 +43,14 @@
 
 func (orderAnswered) event() {}
 
-// orderDesk is the leader's duty to give orders.
-type orderDesk struct {
+// orderSender is the leader task that sends orders to upstreams.
+type orderSender struct {
 	log     zerolog.Logger
 	state   *configurationMachine
 	fleet   *fleet
 	orderer *orderer.Orderer
 	queue   chan orderer.Send
-	box     chan<- event
+	events  chan<- event
 	client  *http.Client
 
 	leading  bool
@@ -55,7 +59,7 @@
 	recent   []OrderDump
 }
 
-// OrderDump is one order that this leader gave.
+// OrderDump is one order that this leader has issued.
 type OrderDump struct {
 	Upstream units.Upstream     `yaml:"upstream"`
 	Fencing  units.Term         `yaml:"fencing"`
@@ -63,34 +67,35 @@
 	Reason   string             `yaml:"reason"`
 }
 
-func newOrderDesk(settings *parser.Settings, log zerolog.Logger, state *configurationMachine, fleet *fleet, box chan<- event) *orderDesk {
-	return &orderDesk{
+func newOrderSender(settings *parser.Settings, log zerolog.Logger, state *configurationMachine, fleet *fleet, events chan<- event) *orderSender {
+	return &orderSender{
 		log:    log,
 		state:  state,
 		fleet:  fleet,
-		box:    box,
-		queue:  make(chan orderer.Send, ordersQueued),
+		events: events,
+		queue:  make(chan orderer.Send, orderQueueSize),
 		client: &http.Client{},
 		orderer: &orderer.Orderer{
 			Options: orderer.Options{
 				Lease:             settings.Timing.Election,
 				MaxClockDrift:     clockDrift,
 				Timeout:           orderTimeout,
-				AnnounceDelay:     orderObserve,
-				ResendInterval:    orderResend,
-				MaxResendInterval: mostResend,
+				AnnounceDelay:     orderObservePeriod,
+				ResendInterval:    orderResendInterval,
+				MaxResendInterval: maxOrderResendInterval,
 			},
 		},
 	}
 }
 
-// Lead gives the orders that are due; they are no commands of the log.
-func (d *orderDesk) Lead(now time.Time, term units.Term) []*messages.Command {
+// Lead sends the orders that are due. Orders are not commands of the log, so it
+// returns none.
+func (d *orderSender) Lead(now time.Time, term units.Term) []*messages.Command {
 	if !d.leading {
 		d.leading = true
 		d.orderer.Step(now, orderer.LeadershipGained{Term: term})
 	}
-	if now.Sub(d.tickedAt) < orderTick {
+	if now.Sub(d.tickedAt) < orderInterval {
 		return nil
 	}
 	d.tickedAt = now
@@ -104,20 +109,20 @@
 	}
 	sends := d.orderer.Step(now, orderer.Ticked{
 		Services:  services,
-		Upstreams: orderable(d.fleet.upstreams(now)),
+		Upstreams: orderUpstreams(d.fleet.upstreams(now)),
 		StoreLimits: orderer.StoreLimits{
 			BytesPerSecond:     configuration.Fleet.WeightStore.BytesPerSecond,
 			MaxConcurrentLoads: configuration.Fleet.WeightStore.LoadsAtOnce,
 		},
 	})
 	for _, send := range sends {
-		d.post(send)
+		d.enqueue(send)
 	}
 	return nil
 }
 
-// Rest ends the leadership; what waits in the queue is not sent any more.
-func (d *orderDesk) Rest() {
+// StopLeading ends the leadership and discards the queued orders.
+func (d *orderSender) StopLeading() {
 	d.leading = false
 	d.orderer.Step(time.Time{}, orderer.LeadershipLost{})
 	for {
@@ -130,7 +135,7 @@
 }
 
 // configuration returns the accepted configuration, parsed once for each version.
-func (d *orderDesk) configuration() *parser.Configuration {
+func (d *orderSender) configuration() *parser.Configuration {
 	if d.state.Version() == 0 {
 		return nil
 	}
@@ -146,6 +151,7 @@
 	return parsed
 }
 
+// wantedServices returns the services that receive orders, with their wanted state.
 func wantedServices(c *parser.Configuration) []orderer.Service {
 	var services []orderer.Service
 	for i := range c.Services {
@@ -173,7 +179,7 @@
 	return services
 }
 
-func orderable(rumours map[units.Upstream]*messages.Rumour) []orderer.Upstream {
+func orderUpstreams(rumours map[units.Upstream]*messages.Rumour) []orderer.Upstream {
 	upstreams := make([]orderer.Upstream, 0, len(rumours))
 	for name, rumour := range rumours {
 		a := rumour.GetAnnouncement()
@@ -195,14 +201,15 @@
 	return upstreams
 }
 
-func (d *orderDesk) post(send orderer.Send) {
+// enqueue logs an order and queues it, and drops it if the queue is full.
+func (d *orderSender) enqueue(send orderer.Send) {
 	d.recent = append(d.recent, OrderDump{
 		Upstream: units.Upstream(send.Order.GetUpstream()),
 		Fencing:  units.Term(send.Order.GetFencing()),
 		Version:  units.ModelVersion(send.Order.GetWanted().GetModelVersion()),
 		Reason:   send.Reason,
 	})
-	d.recent = d.recent[max(0, len(d.recent)-ordersRetained):]
+	d.recent = d.recent[max(0, len(d.recent)-maxRecentDumps):]
 	d.log.Info().
 		Str("upstream", send.Order.GetUpstream()).
 		Uint64("fencing", send.Order.GetFencing()).
@@ -215,14 +222,14 @@
 	}
 }
 
-// run sends orders until ctx ends.
-func (d *orderDesk) run(ctx context.Context) {
-	for range ordersAtOnce {
-		go d.work(ctx)
+// run starts the workers that send orders until ctx ends.
+func (d *orderSender) run(ctx context.Context) {
+	for range orderWorkers {
+		go d.runWorker(ctx)
 	}
 }
 
-func (d *orderDesk) work(ctx context.Context) {
+func (d *orderSender) runWorker(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -233,7 +240,7 @@
 				d.log.Warn().Err(err).Str("upstream", send.Order.GetUpstream()).Msg("order-unanswered")
 			}
 			select {
-			case d.box <- orderAnswered{send: send, result: result}:
+			case d.events <- orderAnswered{send: send, result: result}:
 			case <-ctx.Done():
 				return
 			}
@@ -241,7 +248,7 @@
 	}
 }
 
-func (d *orderDesk) send(ctx context.Context, send orderer.Send) (*messages.OrderResult, error) {
+func (d *orderSender) send(ctx context.Context, send orderer.Send) (*messages.OrderResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	content, err := protojson.Marshal(send.Order)
@@ -258,18 +265,18 @@
 		return nil, fmt.Errorf("send an order: %w", err)
 	}
 	defer func() { _ = response.Body.Close() }()
-	answer, err := io.ReadAll(io.LimitReader(response.Body, maxOrderResult))
+	answer, err := io.ReadAll(io.LimitReader(response.Body, maxOrderResultBytes))
 	if err != nil {
 		return nil, fmt.Errorf("read the answer to an order: %w", err)
 	}
 	result := &messages.OrderResult{}
 	if err := protojson.Unmarshal(answer, result); err != nil {
-		return nil, fmt.Errorf("read the answer to an order (%s): %w; let the upstream take orders or turn them off", response.Status, err)
+		return nil, fmt.Errorf("decode the answer to an order (%s): %w; enable orders at the upstream or disable them for its service", response.Status, err)
 	}
 	return result, nil
 }
 
-func (d *orderDesk) answer(e orderAnswered) {
+func (d *orderSender) answer(e orderAnswered) {
 	name := units.Upstream(e.send.Order.GetUpstream())
 	d.orderer.Step(time.Now(), orderer.Answered{
 		Upstream: name,
--- a/src/control/outbox.go
+++ b/src/control/outbox.go
@@ -10,14 +10,14 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-const queueSize = 256
+const outboxQueueSize = 256
 
-// outbox sends log messages, one queue and goroutine for each other instance, so
-// that a silent one holds up no other.
+// outbox sends log messages. Each other instance has a queue and a goroutine of its
+// own, so that an unresponsive one does not delay the others.
 type outbox struct {
 	client *connector.Client
 	queues map[units.Instance]chan *messages.LogMessage
-	// Instances are the other control instances.
+	// instances are the other control instances.
 	instances []parser.ControlAddress
 	timeout   time.Duration
 }
@@ -33,30 +33,30 @@
 			continue
 		}
 		o.instances = append(o.instances, instance)
-		o.queues[instance.Name] = make(chan *messages.LogMessage, queueSize)
+		o.queues[instance.Name] = make(chan *messages.LogMessage, outboxQueueSize)
 	}
 	return o
 }
 
-// post queues a message and drops it where the queue is full; the log's
-// heartbeats send again what is missing.
-func (o *outbox) post(message *messages.LogMessage) {
+// enqueue queues a message and drops it if the queue is full; the log's heartbeats
+// cause missing records to be resent.
+func (o *outbox) enqueue(message *messages.LogMessage) {
 	select {
 	case o.queues[units.VoterID(message.GetTo()).Instance()] <- message:
 	default:
 	}
 }
 
-// run sends until ctx ends.
+// run starts the goroutines that send messages until ctx ends.
 func (o *outbox) run(ctx context.Context) {
 	for _, instance := range o.instances {
 		go o.deliver(ctx, instance)
 	}
 }
 
-// deliver waits for the receipt of each message. Without one, a connection that
-// both ends believe in and that carries nothing would take messages until the
-// system gives it up after minutes, and the voter would be cut off as long.
+// deliver waits for each message's acknowledgement. Without that, a connection that
+// is broken but considered open at both ends would accept messages until the operating
+// system closes it after minutes, and the voter would be unreachable for that time.
 func (o *outbox) deliver(ctx context.Context, instance parser.ControlAddress) {
 	queue := o.queues[instance.Name]
 	for {
@@ -68,15 +68,15 @@
 			err := o.client.Call(receiptContext, instance.Address, MethodLog, message, &messages.LogMessage{})
 			cancel()
 			if err != nil {
-				discard(queue)
+				discardQueued(queue)
 			}
 		}
 	}
 }
 
-// discard drops what has waited while the other end was silent; the newest
-// messages matter, and heartbeats bring back what is missing.
-func discard(queue <-chan *messages.LogMessage) {
+// discardQueued drops the messages that were queued while the receiver did not answer.
+// Newer messages supersede them, and heartbeats cause missing records to be resent.
+func discardQueued(queue <-chan *messages.LogMessage) {
 	for range len(queue) {
 		<-queue
 	}
--- a/src/control/purchases.go
+++ b/src/control/purchases.go
@@ -13,27 +13,33 @@
 )
 
 const (
-	purchaseTick    = 200 * time.Millisecond
-	purchaseSettle  = 3 * time.Second
-	purchaseRetry   = 2 * time.Second
-	refusalBackoff  = 5 * time.Second
-	mostBackoff     = 5 * time.Minute
+	purchaseInterval = 200 * time.Millisecond
+	// purchaseSettlePeriod is how long a new leader collects reports before it plans.
+	purchaseSettlePeriod  = 3 * time.Second
+	purchaseRetryInterval = 2 * time.Second
+	// refusalBackoff is how long an offer is skipped after a refusal; it doubles up to
+	// maxRefusalBackoff.
+	refusalBackoff    = 5 * time.Second
+	maxRefusalBackoff = 5 * time.Minute
+	// surplusCoolDown is how long there must be surplus capacity before it is released.
 	surplusCoolDown = 10 * time.Minute
-	startLimit      = 5 * time.Minute
-	// bootTime is what an instance takes besides its weights.
+	// startTimeout is how long a launched instance may take to announce itself.
+	startTimeout = 5 * time.Minute
+	// bootTime is how long an instance takes to start, without loading its weights.
 	bootTime = time.Minute
-	// startingPerLoad bounds the instances that wait for the weight store.
+	// startingPerLoad bounds the starting instances per concurrent load of the weight
+	// store, and so those that wait for it.
 	startingPerLoad = 4
 )
 
-// purchaseDesk is the leader's duty to buy instances and give them back.
-type purchaseDesk struct {
+// purchaser is the leader task that buys and releases instances.
+type purchaser struct {
 	log    zerolog.Logger
 	ledger *purchaseLedger
-	orders *orderDesk
+	orders *orderSender
 	buyer  *buyer.Buyer
 	queue  chan cloudRequest
-	box    chan<- event
+	events chan<- event
 	client *http.Client
 
 	leading  bool
@@ -41,7 +47,7 @@
 	recent   []PurchaseDump
 }
 
-// PurchaseDump is one decision of this leader.
+// PurchaseDump is one purchase that this leader has proposed, in its state then.
 type PurchaseDump struct {
 	Token      string           `yaml:"token"`
 	State      string           `yaml:"state"`
@@ -50,41 +56,41 @@
 	Reason     string           `yaml:"reason"`
 }
 
-func newPurchaseDesk(log zerolog.Logger, ledger *purchaseLedger, orders *orderDesk, box chan<- event) *purchaseDesk {
-	return &purchaseDesk{
+func newPurchaser(log zerolog.Logger, ledger *purchaseLedger, orders *orderSender, events chan<- event) *purchaser {
+	return &purchaser{
 		log:    log,
 		ledger: ledger,
 		orders: orders,
-		box:    box,
-		queue:  make(chan cloudRequest, cloudRequests),
+		events: events,
+		queue:  make(chan cloudRequest, cloudQueueSize),
 		client: &http.Client{
 			Timeout: cloudTimeout,
 		},
 		buyer: &buyer.Buyer{
 			Options: buyer.Options{
-				WarmUp:          purchaseSettle,
-				RetryInterval:   purchaseRetry,
+				WarmUp:          purchaseSettlePeriod,
+				RetryInterval:   purchaseRetryInterval,
 				Backoff:         refusalBackoff,
-				MaxBackoff:      mostBackoff,
+				MaxBackoff:      maxRefusalBackoff,
 				CoolDown:        surplusCoolDown,
-				AnnounceTimeout: startLimit,
+				AnnounceTimeout: startTimeout,
 			},
 		},
 	}
 }
 
-// Lead returns the purchases to commit and makes the requests for committed ones.
-func (d *purchaseDesk) Lead(now time.Time, term units.Term) []*messages.Command {
+// Lead returns the purchases to commit and queues the requests for committed ones.
+func (d *purchaser) Lead(now time.Time, term units.Term) []*messages.Command {
 	if !d.leading {
 		d.leading = true
 		d.buyer.Step(now, buyer.LeadershipGained{Term: term})
 	}
 	configuration := d.orders.configuration()
-	if now.Sub(d.tickedAt) < purchaseTick || configuration == nil || configuration.Fleet.Cloud == "" {
+	if now.Sub(d.tickedAt) < purchaseInterval || configuration == nil || configuration.Fleet.Cloud == "" {
 		return nil
 	}
 	d.tickedAt = now
-	d.post(cloudRequest{
+	d.enqueue(cloudRequest{
 		method:  http.MethodGet,
 		address: configuration.Fleet.Cloud + "/v1/instances",
 	})
@@ -97,27 +103,27 @@
 	}))
 }
 
-// Rest ends the leadership.
-func (d *purchaseDesk) Rest() {
+// StopLeading ends the leadership.
+func (d *purchaser) StopLeading() {
 	d.leading = false
 	d.buyer.Step(time.Time{}, buyer.LeadershipLost{})
 }
 
-func (d *purchaseDesk) carryOut(configuration *parser.Configuration, actions []buyer.Action) []*messages.Command {
+func (d *purchaser) carryOut(configuration *parser.Configuration, actions []buyer.Action) []*messages.Command {
 	var commands []*messages.Command
 	for _, action := range actions {
 		switch a := action.(type) {
 		case buyer.Commit:
-			d.note(a.Purchase)
+			d.recordPurchase(a.Purchase)
 			commands = append(commands, &messages.Command{
 				Change: &messages.Command_Purchase{
 					Purchase: a.Purchase,
 				},
 			})
 		case buyer.Launch:
-			d.post(launchOf(configuration, a.Purchase))
+			d.enqueue(launchOf(configuration, a.Purchase))
 		case buyer.Release:
-			d.post(cloudRequest{
+			d.enqueue(cloudRequest{
 				method:  http.MethodDelete,
 				address: configuration.Fleet.Cloud + "/v1/instances/" + a.Purchase.GetInstance(),
 			})
@@ -169,7 +175,7 @@
 	return offers
 }
 
-func (d *purchaseDesk) demands(now time.Time, c *parser.Configuration) []buyer.Demand {
+func (d *purchaser) demands(now time.Time, c *parser.Configuration) []buyer.Demand {
 	used := make(map[units.Service]int)
 	for _, rumour := range d.orders.fleet.upstreams(now) {
 		load := rumour.GetAnnouncement().GetLoad()
@@ -197,7 +203,7 @@
 	return demands
 }
 
-func (d *purchaseDesk) upstreams(now time.Time) []buyer.Upstream {
+func (d *purchaser) upstreams(now time.Time) []buyer.Upstream {
 	var upstreams []buyer.Upstream
 	for _, rumour := range d.orders.fleet.upstreams(now) {
 		a := rumour.GetAnnouncement()
@@ -214,7 +220,7 @@
 	return upstreams
 }
 
-func (d *purchaseDesk) note(p *messages.Purchase) {
+func (d *purchaser) recordPurchase(p *messages.Purchase) {
 	d.recent = append(d.recent, PurchaseDump{
 		Token:      p.GetToken(),
 		State:      p.GetState().String(),
@@ -222,7 +228,7 @@
 		Instance:   p.GetInstance(),
 		Reason:     p.GetReason(),
 	})
-	d.recent = d.recent[max(0, len(d.recent)-ordersRetained):]
+	d.recent = d.recent[max(0, len(d.recent)-maxRecentDumps):]
 	d.log.Info().
 		Str("token", p.GetToken()).
 		Stringer("state", p.GetState()).
@@ -235,8 +241,8 @@
 		Msg("purchase-proposed")
 }
 
-// answer brings the platform's answer to the buyer and returns what to commit.
-func (d *purchaseDesk) answer(e cloudAnswered) []*messages.Command {
+// answer handles the platform's answer and returns the commands to propose.
+func (d *purchaser) answer(e cloudAnswered) []*messages.Command {
 	if !d.leading {
 		return nil
 	}
--- a/src/control/recovery.go
+++ b/src/control/recovery.go
@@ -21,24 +21,24 @@
 	probeTimeout = time.Second
 )
 
-// Recovery makes a stopped instance the only voter of a log that continues its
-// records, after a majority of the voters has been lost for ever. Changes that
-// only the lost voters held are gone. Its fields are set before Run.
+// Recovery makes a stopped instance the only voter of a new log that continues its
+// records, after a majority of the voters has been permanently lost. Changes that
+// only the lost voters held are lost. Its fields are set before Run.
 type Recovery struct {
 	Settings *parser.Settings
-	// Log is the id of the log, as a dump of this instance showed it.
+	// Log is the id of the old log, as shown in a dump of this instance.
 	Log string
-	// Lost names the voters that are lost.
+	// Lost names the permanently lost voters.
 	Lost []units.Instance
 }
 
-// RecoveryError says why a recovery would do harm.
+// RecoveryError reports why a recovery is refused.
 type RecoveryError struct {
 	Reason string
 	Remedy string
 }
 
-// Error names the remedy.
+// Error returns the reason and its remedy.
 func (e *RecoveryError) Error() string { return e.Reason + "; " + e.Remedy }
 
 // Run rewrites the data folder and returns the id of the new log.
@@ -52,13 +52,13 @@
 	if err := r.check(kept, membership); err != nil {
 		return "", err
 	}
-	if err := r.probe(ctx); err != nil {
+	if err := r.checkOthersStopped(ctx); err != nil {
 		return "", err
 	}
-	return r.write(folder, kept, membership)
+	return r.writeNewLog(folder, kept, membership)
 }
 
-// check refuses a recovery that is not needed or not meant for this log.
+// check returns an error if the recovery is not needed or is for another log.
 func (r *Recovery) check(kept *keeper.Kept, membership *messages.Membership) error {
 	if kept.Snapshot == nil || kept.Snapshot.GetLogId() != r.Log {
 		return &RecoveryError{
@@ -94,9 +94,9 @@
 	return nil
 }
 
-// probe refuses while any other control instance runs: it could be a part of the
-// old log, and two logs would accept changes beside each other.
-func (r *Recovery) probe(ctx context.Context) error {
+// checkOthersStopped returns an error if any other control instance runs: it could
+// belong to the old log, and two logs would accept changes at the same time.
+func (r *Recovery) checkOthersStopped(ctx context.Context) error {
 	for _, other := range r.Settings.Control {
 		if other.Name == r.Settings.Name {
 			continue
@@ -115,7 +115,9 @@
 	return nil
 }
 
-func (r *Recovery) write(folder *keeper.Keeper, kept *keeper.Kept, membership *messages.Membership) (string, error) {
+// writeNewLog stores the folder's records under a new log id and in a new term, with an
+// additional membership of this voter alone.
+func (r *Recovery) writeNewLog(folder *keeper.Keeper, kept *keeper.Kept, membership *messages.Membership) (string, error) {
 	random := make([]byte, logIDBytes)
 	_, _ = rand.Read(random)
 	logID := hex.EncodeToString(random)
--- a/src/control/routes.go
+++ b/src/control/routes.go
@@ -18,9 +18,9 @@
 )
 
 const (
-	maxSubmission  = 8 << 20
-	jsonType       = "application/json"
-	operatorHeader = "Rosecroft-Operator"
+	maxSubmissionBytes = 8 << 20
+	jsonType           = "application/json"
+	operatorHeader     = "Rosecroft-Operator"
 )
 
 func (c *Control) operatorRoutes() *restful.WebService {
@@ -34,7 +34,7 @@
 func (c *Control) putConfiguration(request *restful.Request, response *restful.Response) {
 	ctx, cancel := context.WithTimeout(request.Request.Context(), requestTimeout)
 	defer cancel()
-	document, err := io.ReadAll(http.MaxBytesReader(response, request.Request.Body, maxSubmission))
+	document, err := io.ReadAll(http.MaxBytesReader(response, request.Request.Body, maxSubmissionBytes))
 	if err != nil {
 		_ = response.WriteError(http.StatusRequestEntityTooLarge, err)
 		return
@@ -47,7 +47,7 @@
 		})
 		return
 	}
-	result, err := c.submitAnywhere(ctx, &messages.Submission{
+	result, err := c.submitAtLeader(ctx, &messages.Submission{
 		Version:     uint64(configuration.Version),
 		Operator:    operatorOf(request),
 		Document:    document,
@@ -60,7 +60,8 @@
 	writeMessage(response, statusOf(result.GetOutcome()), result)
 }
 
-// operatorOf returns who submits: the certificate's name goes before what the request says.
+// operatorOf returns the operator's name, from the certificate if there is one and
+// otherwise from the request header.
 func operatorOf(request *restful.Request) string {
 	identity, err := certifier.PeerOf(request.Request.TLS)
 	if err != nil {
@@ -72,7 +73,7 @@
 func (c *Control) getStatus(request *restful.Request, response *restful.Response) {
 	ctx, cancel := context.WithTimeout(request.Request.Context(), requestTimeout)
 	defer cancel()
-	status, err := c.statusAnywhere(ctx)
+	status, err := c.leaderStatus(ctx)
 	if err != nil {
 		_ = response.WriteError(http.StatusServiceUnavailable, err)
 		return
@@ -80,28 +81,30 @@
 	writeMessage(response, http.StatusOK, status)
 }
 
-// submitAnywhere submits at the leader, here or elsewhere.
-func (c *Control) submitAnywhere(ctx context.Context, submission *messages.Submission) (*messages.SubmissionResult, error) {
-	result, err := c.submitHere(ctx, submission)
-	address, elsewhere := c.leaderElsewhere(err)
-	if !elsewhere {
+// submitAtLeader submits at the leader, which is this instance or another.
+func (c *Control) submitAtLeader(ctx context.Context, submission *messages.Submission) (*messages.SubmissionResult, error) {
+	result, err := c.submitLocally(ctx, submission)
+	address, isOther := c.otherLeaderAddress(err)
+	if !isOther {
 		return result, err
 	}
 	result = &messages.SubmissionResult{}
 	return result, c.Client.Call(ctx, address, MethodSubmit, submission, result)
 }
 
-func (c *Control) statusAnywhere(ctx context.Context) (*messages.Status, error) {
-	status, err := c.statusHere(ctx)
-	address, elsewhere := c.leaderElsewhere(err)
-	if !elsewhere {
+func (c *Control) leaderStatus(ctx context.Context) (*messages.Status, error) {
+	status, err := c.localStatus(ctx)
+	address, isOther := c.otherLeaderAddress(err)
+	if !isOther {
 		return status, err
 	}
 	status = &messages.Status{}
 	return status, c.Client.Call(ctx, address, MethodStatus, &messages.StatusRequest{}, status)
 }
 
-func (c *Control) leaderElsewhere(err error) (string, bool) {
+// otherLeaderAddress returns the leader's address if err reports that another known
+// instance leads.
+func (c *Control) otherLeaderAddress(err error) (string, bool) {
 	var notLeader *NotLeaderError
 	if !errors.As(err, &notLeader) || notLeader.Leader == "" || notLeader.Leader == c.Settings.Name {
 		return "", false
--- a/src/control/snapshot.go
+++ b/src/control/snapshot.go
@@ -10,12 +10,12 @@
 	"github.com/rosecroft/rosecroft/src/replicator"
 )
 
-// takeSnapshot hands the state of all machines to the log.
+// takeSnapshot passes the encoded state of all state machines to the log.
 func (c *coordinator) takeSnapshot(a replicator.TakeSnapshot) error {
 	states := &messages.MachineStates{
 		States: make(map[string][]byte),
 	}
-	for _, m := range c.machines {
+	for _, m := range c.stateMachines {
 		content, err := m.Snapshot()
 		if err != nil {
 			return fmt.Errorf("take a snapshot of %s: %w", m.Name(), err)
@@ -36,8 +36,8 @@
 	})
 }
 
-// restore replaces the state of all machines; a machine that the snapshot does
-// not know starts empty, as it stood when the snapshot was taken.
+// restore replaces the state of all state machines. One that is not in the snapshot
+// keeps its empty state, since it did not exist when the snapshot was taken.
 func (c *coordinator) restore(snapshot *messages.LogSnapshot) error {
 	if len(snapshot.GetContent()) == 0 {
 		return nil
@@ -46,7 +46,7 @@
 	if err := proto.Unmarshal(snapshot.GetContent(), states); err != nil {
 		return fmt.Errorf("decode a snapshot: %w; run the same version on every control instance", err)
 	}
-	for _, m := range c.machines {
+	for _, m := range c.stateMachines {
 		content, known := states.GetStates()[m.Name()]
 		if !known {
 			continue
@@ -55,7 +55,7 @@
 			return fmt.Errorf("restore %s: %w; run the same version on every control instance", m.Name(), err)
 		}
 	}
-	c.distribution.refresh()
+	c.distribution.updateSource()
 	c.log.Info().
 		Uint64("index", snapshot.GetIndex()).
 		Msg("snapshot-restored")
--- a/src/control/view.go
+++ b/src/control/view.go
@@ -14,29 +14,34 @@
 )
 
 const (
-	// viewTick is how often the leader looks for a change of the view.
-	viewTick = 100 * time.Millisecond
-	// afterFence is how much longer than the fence a silent entry stays in the
-	// view: it has fenced itself before its records get new owners.
-	afterFence      = time.Second
-	steadyFor       = 600 * time.Millisecond
-	steadyGap       = 1500 * time.Millisecond
-	viewSettle      = 200 * time.Millisecond
-	betweenViews    = time.Second
-	holdMajority    = 30 * time.Second
-	changesRetained = 32
+	// viewInterval is how often the leader checks whether the view must change.
+	viewInterval = 100 * time.Millisecond
+	// fenceMargin is how much longer than the fence period a silent entry stays in the
+	// view, so that it has fenced itself before its records get new owners.
+	fenceMargin = time.Second
+	// steadyPeriod is how long an entry must send heartbeats without a gap of more than
+	// maxHeartbeatGap before it joins the view.
+	steadyPeriod    = 600 * time.Millisecond
+	maxHeartbeatGap = 1500 * time.Millisecond
+	// viewSettlePeriod is how long a change waits for others to be included in the same view.
+	viewSettlePeriod = 200 * time.Millisecond
+	minViewInterval  = time.Second
+	// majorityHoldPeriod is how long silent entries stay in the view if half of it or more is silent.
+	majorityHoldPeriod = 30 * time.Second
+	maxRecentChanges   = 32
 )
 
-// registry is the entry view of the log and, at the leader, its registrar.
+// registry is the replicated entry view and, at the leader, the registrar that
+// proposes its changes.
 type registry struct {
 	log       zerolog.Logger
 	view      *messages.EntryView
 	registrar *registrar.Registrar
 	tickedAt  time.Time
 	leading   bool
-	// told is the number of the view that the registrar knows.
-	told uint64
-	// changes are the last proposals with their reasons, the newest last.
+	// registrarView is the number of the last view that was passed to the registrar.
+	registrarView uint64
+	// changes are the last proposed changes with their reasons, newest last.
 	changes []ViewChange
 }
 
@@ -59,22 +64,22 @@
 		log: log,
 		registrar: &registrar.Registrar{
 			Options: registrar.Options{
-				Suspicion: timing.Fence + afterFence,
-				Steady:    steadyFor,
-				Gap:       steadyGap,
-				Settle:    viewSettle,
-				Between:   betweenViews,
-				Hold:      holdMajority,
+				Suspicion: timing.Fence + fenceMargin,
+				Steady:    steadyPeriod,
+				Gap:       maxHeartbeatGap,
+				Settle:    viewSettlePeriod,
+				Between:   minViewInterval,
+				Hold:      majorityHoldPeriod,
 			},
 		},
 	}
 }
 
-// Name is the view's key in snapshots.
+// Name returns the view's key in snapshots.
 func (r *registry) Name() string { return "entry-view" }
 
-// Apply takes a committed view; one whose number is not the next changes
-// nothing, so that a proposal made twice counts once.
+// Apply stores a committed view. One whose number is not the next changes nothing, so
+// that a repeated proposal has no further effect.
 func (r *registry) Apply(_ units.Index, command *messages.Command) proto.Message {
 	view := command.GetEntryView()
 	if view == nil || view.GetNumber() != r.view.GetNumber()+1 {
@@ -88,7 +93,7 @@
 	return nil
 }
 
-// Snapshot returns the view.
+// Snapshot returns the encoded view.
 func (r *registry) Snapshot() ([]byte, error) {
 	return proto.Marshal(r.view)
 }
@@ -97,15 +102,16 @@
 func (r *registry) Restore(content []byte) error {
 	view := &messages.EntryView{}
 	if err := proto.Unmarshal(content, view); err != nil {
-		return fmt.Errorf("read the entry view of a snapshot: %w", err)
+		return fmt.Errorf("decode the entry view of a snapshot: %w", err)
 	}
 	r.view = view
 	return nil
 }
 
-// Hear tells the registrar of an entry and gives the entry a newer view.
-func (r *registry) Hear(now time.Time, heartbeat *messages.EntryHeartbeat, response *messages.EntryHeartbeatResponse) {
-	r.lead(now)
+// HandleHeartbeat reports an entry to the registrar and sends the entry a newer view
+// if there is one.
+func (r *registry) HandleHeartbeat(now time.Time, heartbeat *messages.EntryHeartbeat, response *messages.EntryHeartbeatResponse) {
+	r.updateRegistrar(now)
 	r.registrar.Step(now, registrar.Heard{
 		Member: &messages.EntryMember{
 			Entry:       heartbeat.GetEntry(),
@@ -122,11 +128,11 @@
 
 // Lead returns the proposal for the next view when one is due.
 func (r *registry) Lead(now time.Time, _ units.Term) []*messages.Command {
-	if now.Sub(r.tickedAt) < viewTick {
+	if now.Sub(r.tickedAt) < viewInterval {
 		return nil
 	}
 	r.tickedAt = now
-	r.lead(now)
+	r.updateRegistrar(now)
 	var commands []*messages.Command
 	for _, action := range r.registrar.Step(now, registrar.Ticked{}) {
 		switch a := action.(type) {
@@ -142,22 +148,22 @@
 	return commands
 }
 
-// Rest ends the registrar's leadership.
-func (r *registry) Rest() {
+// StopLeading notifies the registrar that the leadership has ended.
+func (r *registry) StopLeading() {
 	r.leading = false
 	r.registrar.Step(time.Time{}, registrar.Lost{})
 }
 
-// lead tells the registrar of a new leadership or a newly applied view.
-func (r *registry) lead(now time.Time) {
+// updateRegistrar notifies the registrar of a new leadership or a newly applied view.
+func (r *registry) updateRegistrar(now time.Time) {
 	switch {
 	case !r.leading:
 		r.registrar.Step(now, registrar.Led{View: r.view})
-	case r.view.GetNumber() != r.told:
+	case r.view.GetNumber() != r.registrarView:
 		r.registrar.Step(now, registrar.Applied{View: r.view})
 	}
 	r.leading = true
-	r.told = r.view.GetNumber()
+	r.registrarView = r.view.GetNumber()
 }
 
 func (r *registry) propose(proposal registrar.Propose) *messages.Command {
@@ -173,7 +179,7 @@
 			Str("reason", string(change.Reason)).
 			Msg("entry-view-proposed")
 	}
-	r.changes = r.changes[max(0, len(r.changes)-changesRetained):]
+	r.changes = r.changes[max(0, len(r.changes)-maxRecentChanges):]
 	return &messages.Command{
 		Change: &messages.Command_EntryView{
 			EntryView: proposal.View,
--- a/src/keeper/doc.go
+++ b/src/keeper/doc.go
@@ -1,10 +1,10 @@
-// Package keeper keeps a voter's state, snapshot and records on disk.
+// Package keeper stores a voter's state, snapshot and records on disk.
 //
-// A record counts as kept once its sync has returned. Each frame on disk
-// carries its length, kind and a checksum. A seal frame follows each synced
-// batch of records: all before a seal was synced, so that a bad frame before
-// one is damage and is refused; a bad frame behind the last one is a write that
-// a crash cut short, which nobody was told of, and is cut off.
+// A record is durable once its sync has returned. Each frame on disk carries its
+// length, kind and a checksum. A seal frame follows each synced batch of records.
+// Everything before a seal was synced, so an invalid frame before one is damage, and
+// the folder is refused. An invalid frame after the last seal is a write that a crash
+// interrupted; it was not acknowledged to anyone and is truncated.
 //
 // The folder belongs to one instance: it holds the instance's name and a random
 // identity, and it is locked by the process that uses it.
--- a/src/keeper/folder.go
+++ b/src/keeper/folder.go
@@ -29,8 +29,8 @@
 	folderMode    = 0o700
 )
 
-// lock takes the folder for this process. Two processes on one folder would
-// each overwrite what the other has acknowledged; the lock ends with its process.
+// lock locks the folder for this process. Two processes on one folder would each
+// overwrite what the other has acknowledged. The lock ends with its process.
 func lock(folder string) (*os.File, error) {
 	file, err := os.OpenFile(filepath.Join(folder, lockFile), os.O_RDWR|os.O_CREATE, fileMode)
 	if err != nil {
@@ -49,8 +49,9 @@
 	return file, nil
 }
 
-// readIdentity returns the folder's identity, or nil for a folder that is new.
-func readIdentity(folder string, instance units.Instance, numbered bool) (*messages.FolderIdentity, error) {
+// readIdentity returns the folder's identity, or nil for a new folder. The identity
+// file's inode is checked only if stableInodes is set.
+func readIdentity(folder string, instance units.Instance, stableInodes bool) (*messages.FolderIdentity, error) {
 	path := filepath.Join(folder, identityFile)
 	identity := &messages.FolderIdentity{}
 	found, err := readFile(path, kindIdentity, identity)
@@ -68,10 +69,10 @@
 	if err != nil {
 		return nil, err
 	}
-	// A copy lacks what the original acknowledged after it was made. A voter
-	// that started from one would vote and count as if it still held that, and
-	// a committed change could be lost.
-	if identity.GetInstance() != string(instance) || numbered && identity.GetInode() != inode {
+	// A copy lacks what the original acknowledged after the copy was made. A voter
+	// started from a copy would vote and acknowledge as if it still held that, and a
+	// committed change could be lost.
+	if identity.GetInstance() != string(instance) || stableInodes && identity.GetInode() != inode {
 		return nil, &CopiedError{
 			Folder:   folder,
 			Instance: instance,
@@ -81,19 +82,19 @@
 	return identity, nil
 }
 
-// refuseRemains refuses a folder without identity that holds a voter's files:
-// the voter may have acknowledged more than what is left.
-func refuseRemains(folder string) error {
+// checkNoLeftovers returns a DamageError for a folder without identity that holds a
+// voter's files: the voter may have acknowledged more than what is left.
+func checkNoLeftovers(folder string) error {
 	state := &messages.HardState{}
 	if _, err := readFile(filepath.Join(folder, stateFile), kindState, state); err != nil {
 		return err
 	}
-	remains := !proto.Equal(state, &messages.HardState{})
+	hasLeftovers := !proto.Equal(state, &messages.HardState{})
 	for _, name := range []string{snapshotFile, recordsFile} {
 		_, err := os.Stat(filepath.Join(folder, name))
-		remains = remains || err == nil
+		hasLeftovers = hasLeftovers || err == nil
 	}
-	if remains {
+	if hasLeftovers {
 		return &DamageError{
 			Path:   filepath.Join(folder, identityFile),
 			Reason: "it is missing beside a voter's files",
@@ -116,7 +117,7 @@
 			return nil, err
 		}
 		identity.Inode = inode
-		return frame(nil, kindIdentity, identity)
+		return appendFrame(nil, kindIdentity, identity)
 	})
 	return identity, err
 }
@@ -124,11 +125,11 @@
 func inodeOf(path string) (uint64, error) {
 	info, err := os.Stat(path)
 	if err != nil {
-		return 0, fmt.Errorf("look at %s: %w", path, err)
+		return 0, fmt.Errorf("stat %s: %w", path, err)
 	}
 	status, known := info.Sys().(*syscall.Stat_t)
 	if !known {
-		return 0, fmt.Errorf("look at %s: the file system shows no inode; use a local disk", path)
+		return 0, fmt.Errorf("stat %s: the file system reports no inode number; use a local disk", path)
 	}
 	return status.Ino, nil
 }
@@ -142,7 +143,7 @@
 	if err != nil {
 		return false, fmt.Errorf("read %s: %w", path, err)
 	}
-	size, reason := unframeMessage(content, kind, message)
+	size, reason := readMessage(content, kind, message)
 	if reason == "" && size != len(content) {
 		reason = "bytes follow the frame"
 	}
@@ -155,14 +156,15 @@
 	return true, nil
 }
 
-// replaceFile swaps in new content so that a crash leaves the old or the new, never a mixture.
-func replaceFile(path string, form func(*os.File) ([]byte, error)) error {
+// replaceFile replaces a file's content atomically: a crash leaves the old content or
+// the new, never a mixture.
+func replaceFile(path string, makeContent func(*os.File) ([]byte, error)) error {
 	next := path + nextSuffix
 	file, err := os.OpenFile(next, os.O_WRONLY|os.O_CREATE|os.O_TRUNC, fileMode)
 	if err != nil {
 		return err
 	}
-	content, err := form(file)
+	content, err := makeContent(file)
 	if err == nil {
 		_, err = file.Write(content)
 	}
@@ -178,15 +180,15 @@
 	return syncFolder(filepath.Dir(path))
 }
 
-// replaceMessage is replaceFile for one framed message.
+// replaceMessage replaces a file's content by one framed message, like replaceFile.
 func replaceMessage(path string, kind frameKind, message proto.Message) error {
 	return replaceFile(path, func(*os.File) ([]byte, error) {
-		return frame(nil, kind, message)
+		return appendFrame(nil, kind, message)
 	})
 }
 
-// syncFolder makes a rename last; without it a crash could bring back the old
-// file, and the voter would vote twice in a term.
+// syncFolder makes a rename durable. Without it a crash could bring back the old
+// file, and the voter could vote twice in a term.
 func syncFolder(path string) error {
 	folder, err := os.Open(path)
 	if err != nil {
--- a/src/keeper/frame.go
+++ b/src/keeper/frame.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	frameHeader = 16
-	maxFrame    = 256 << 20
-	sealPayload = 8
-	sealSize    = frameHeader + sealPayload
+	frameHeaderSize = 16
+	maxPayloadSize  = 256 << 20
+	sealPayloadSize = 8
+	sealSize        = frameHeaderSize + sealPayloadSize
 )
 
-// frameKind says what a frame holds; it is covered by the checksum.
+// frameKind is the type of a frame's content; it is covered by the checksum.
 type frameKind uint32
 
 const (
@@ -26,16 +26,16 @@
 	kindIdentity frameKind = 0x72680006
 )
 
-// frame appends a message with its length, kind and checksum to buffer.
-func frame(buffer []byte, kind frameKind, message proto.Message) ([]byte, error) {
+// appendFrame appends a message to buffer, preceded by its length, kind and checksum.
+func appendFrame(buffer []byte, kind frameKind, message proto.Message) ([]byte, error) {
 	payload, err := proto.Marshal(message)
 	if err != nil {
 		return nil, err
 	}
-	return framePayload(buffer, kind, payload), nil
+	return appendPayload(buffer, kind, payload), nil
 }
 
-func framePayload(buffer []byte, kind frameKind, payload []byte) []byte {
+func appendPayload(buffer []byte, kind frameKind, payload []byte) []byte {
 	start := len(buffer)
 	buffer = binary.LittleEndian.AppendUint32(buffer, uint32(len(payload)))
 	buffer = binary.LittleEndian.AppendUint32(buffer, uint32(kind))
@@ -43,36 +43,38 @@
 	return append(buffer, payload...)
 }
 
-func checksum(head, payload []byte) uint64 {
+func checksum(header, payload []byte) uint64 {
 	digest := xxhash.New()
-	_, _ = digest.Write(head)
+	_, _ = digest.Write(header)
 	_, _ = digest.Write(payload)
 	return digest.Sum64()
 }
 
-// unframe returns the first frame's kind, payload and size, or why there is none.
-func unframe(content []byte) (kind frameKind, payload []byte, size int, reason string) {
-	if len(content) < frameHeader {
+// readFrame returns the first frame's kind, payload and size, or the reason why
+// content does not start with a valid frame.
+func readFrame(content []byte) (kind frameKind, payload []byte, size int, reason string) {
+	if len(content) < frameHeaderSize {
 		return 0, nil, 0, "a frame is cut short"
 	}
 	length := int(binary.LittleEndian.Uint32(content))
-	if length > maxFrame {
+	if length > maxPayloadSize {
 		return 0, nil, 0, "a frame's length is impossible"
 	}
-	size = frameHeader + length
+	size = frameHeaderSize + length
 	if len(content) < size {
 		return 0, nil, 0, "a frame is cut short"
 	}
-	payload = content[frameHeader:size]
+	payload = content[frameHeaderSize:size]
 	if checksum(content[:8], payload) != binary.LittleEndian.Uint64(content[8:]) {
 		return 0, nil, 0, "a checksum does not match"
 	}
 	return frameKind(binary.LittleEndian.Uint32(content[4:])), payload, size, ""
 }
 
-// unframeMessage decodes a frame of one kind, or returns why it cannot.
-func unframeMessage(content []byte, kind frameKind, message proto.Message) (size int, reason string) {
-	found, payload, size, reason := unframe(content)
+// readMessage decodes the first frame, which must be of the given kind, and returns
+// its size, or the reason why it cannot be decoded.
+func readMessage(content []byte, kind frameKind, message proto.Message) (size int, reason string) {
+	found, payload, size, reason := readFrame(content)
 	if reason != "" {
 		return 0, reason
 	}
@@ -85,19 +87,20 @@
 	return size, ""
 }
 
-// seal appends a frame that names its own place in the file.
-func seal(buffer []byte, offset int64) []byte {
-	return framePayload(buffer, kindSeal, binary.LittleEndian.AppendUint64(nil, uint64(offset)))
+// appendSeal appends a seal frame, which holds its own offset in the file.
+func appendSeal(buffer []byte, offset int64) []byte {
+	return appendPayload(buffer, kindSeal, binary.LittleEndian.AppendUint64(nil, uint64(offset)))
 }
 
-// sealedBehind reports whether a seal stands anywhere in content, which begins at offset in its file.
-func sealedBehind(content []byte, offset int64) bool {
+// hasSeal reports whether there is a valid seal anywhere in content, which starts at
+// offset in its file.
+func hasSeal(content []byte, offset int64) bool {
 	for i := 0; i+sealSize <= len(content); i++ {
 		if frameKind(binary.LittleEndian.Uint32(content[i+4:])) != kindSeal {
 			continue
 		}
-		kind, payload, _, reason := unframe(content[i : i+sealSize])
-		if reason == "" && kind == kindSeal && len(payload) == sealPayload &&
+		kind, payload, _, reason := readFrame(content[i : i+sealSize])
+		if reason == "" && kind == kindSeal && len(payload) == sealPayloadSize &&
 			binary.LittleEndian.Uint64(payload) == uint64(offset)+uint64(i) {
 			return true
 		}
--- a/src/keeper/keeper.go
+++ b/src/keeper/keeper.go
@@ -11,14 +11,14 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// Keeper owns one data folder.
+// Keeper reads and writes one data folder, which it holds locked.
 type Keeper struct {
 	folder string
-	// numbered says that a file keeps its number for its life.
-	numbered bool
-	lock     *os.File
-	records  *recordFile
-	state    *messages.HardState
+	// stableInodes reports that a file keeps its inode number for as long as it exists.
+	stableInodes bool
+	lock         *os.File
+	records      *recordFile
+	state        *messages.HardState
 }
 
 // Kept is what a data folder holds.
@@ -28,25 +28,25 @@
 	State *messages.HardState
 	// Snapshot is nil in a folder that belongs to no log yet.
 	Snapshot *messages.LogSnapshot
-	// Base is the place in the log behind which Records begin.
+	// Base is the index and term of the log after which Records start.
 	Base    *messages.RecordsHeader
 	Records []*messages.LogRecord
 }
 
-// Open takes the data folder for an instance and returns what was kept in it.
-// A new folder gets a random identity.
+// Open locks the data folder for an instance and returns what it holds. A new folder
+// gets a random identity.
 func Open(folder string, instance units.Instance) (*Keeper, *Kept, error) {
 	return openFolder(folder, instance, true)
 }
 
-// OpenUnnumbered is Open on storage that numbers its files anew at each start, as
-// some platforms' virtual disks do. Copies cannot be told from originals there, so
-// that the folder must not be copied.
+// OpenUnnumbered is Open for storage whose inode numbers change at each start, as on
+// some platforms' virtual disks. A copy cannot be distinguished from the original
+// there, so the folder must not be copied.
 func OpenUnnumbered(folder string, instance units.Instance) (*Keeper, *Kept, error) {
 	return openFolder(folder, instance, false)
 }
 
-func openFolder(folder string, instance units.Instance, numbered bool) (*Keeper, *Kept, error) {
+func openFolder(folder string, instance units.Instance, stableInodes bool) (*Keeper, *Kept, error) {
 	if err := os.MkdirAll(folder, folderMode); err != nil {
 		return nil, nil, &WriteError{
 			Folder: folder,
@@ -58,9 +58,9 @@
 		return nil, nil, err
 	}
 	k := &Keeper{
-		folder:   folder,
-		numbered: numbered,
-		lock:     held,
+		folder:       folder,
+		stableInodes: stableInodes,
+		lock:         held,
 	}
 	kept, err := k.open(instance)
 	if err != nil {
@@ -69,7 +69,7 @@
 	return k, kept, nil
 }
 
-// Close releases the data folder.
+// Close closes the files and unlocks the data folder.
 func (k *Keeper) Close() error {
 	var err error
 	if k.records != nil {
@@ -79,7 +79,7 @@
 }
 
 func (k *Keeper) open(instance units.Instance) (*Kept, error) {
-	identity, err := readIdentity(k.folder, instance, k.numbered)
+	identity, err := readIdentity(k.folder, instance, k.stableInodes)
 	if err != nil {
 		return nil, err
 	}
@@ -95,18 +95,18 @@
 	return kept, k.read(kept)
 }
 
-// create prepares a new folder. The identity comes last, so that a folder with
-// one has a state too, and a missing state is damage.
+// create initializes a new folder. The identity is written last, so that a folder
+// with an identity also has a state, and a missing state is damage.
 func (k *Keeper) create(instance units.Instance) (*messages.FolderIdentity, error) {
-	if err := refuseRemains(k.folder); err != nil {
+	if err := checkNoLeftovers(k.folder); err != nil {
 		return nil, err
 	}
 	if err := replaceMessage(filepath.Join(k.folder, stateFile), kindState, &messages.HardState{}); err != nil {
-		return nil, k.failed(err)
+		return nil, k.writeError(err)
 	}
 	identity, err := createIdentity(k.folder, instance)
 	if err != nil {
-		return nil, k.failed(err)
+		return nil, k.writeError(err)
 	}
 	return identity, nil
 }
@@ -119,7 +119,7 @@
 		return err
 	}
 	if !found {
-		return k.missing(stateFile)
+		return k.missingFileError(stateFile)
 	}
 	k.state = kept.State
 	if !kept.State.GetFounded() {
@@ -131,98 +131,98 @@
 		return err
 	}
 	if !found {
-		return k.missing(snapshotFile)
+		return k.missingFileError(snapshotFile)
 	}
 	k.records, kept.Base, kept.Records, err = openRecords(k.folder)
 	if errors.Is(err, os.ErrNotExist) {
-		return k.missing(recordsFile)
+		return k.missingFileError(recordsFile)
 	}
 	if err != nil {
 		return err
 	}
-	return k.join(kept)
+	return k.dropReplacedRecords(kept)
 }
 
-// missing refuses a folder that lacks a file which nothing ever removes: with
-// it went what this voter promised and acknowledged.
-func (k *Keeper) missing(name string) error {
+// missingFileError returns a DamageError for a file that is never removed but is
+// missing: with it, this voter's vote or acknowledged records are lost.
+func (k *Keeper) missingFileError(name string) error {
 	return &DamageError{
 		Path:   filepath.Join(k.folder, name),
 		Reason: "it is missing",
 	}
 }
 
-// join drops records that the snapshot has replaced, which a crash between the
-// writing of the two files leaves behind.
-func (k *Keeper) join(kept *Kept) error {
+// dropReplacedRecords drops the records if the snapshot has replaced them, which is the
+// case after a crash between the writes of the two files.
+func (k *Keeper) dropReplacedRecords(kept *Kept) error {
 	index, term := kept.Snapshot.GetIndex(), kept.Snapshot.GetTerm()
 	base := kept.Base
 	if base.GetBaseIndex() > index {
-		return k.records.damage("the records begin behind the snapshot")
+		return k.records.damageError("the records begin behind the snapshot")
 	}
-	held := base.GetBaseTerm()
-	place := index - base.GetBaseIndex()
+	heldTerm := base.GetBaseTerm()
+	position := index - base.GetBaseIndex()
 	switch {
-	case place > uint64(len(kept.Records)):
-		return k.startRecords(kept)
-	case place > 0:
-		held = kept.Records[place-1].GetTerm()
+	case position > uint64(len(kept.Records)):
+		return k.resetRecords(kept)
+	case position > 0:
+		heldTerm = kept.Records[position-1].GetTerm()
 	}
-	if held != term {
-		return k.startRecords(kept)
+	if heldTerm != term {
+		return k.resetRecords(kept)
 	}
 	return nil
 }
 
-func (k *Keeper) startRecords(kept *Kept) error {
+func (k *Keeper) resetRecords(kept *Kept) error {
 	kept.Records = nil
 	kept.Base = &messages.RecordsHeader{
 		BaseIndex: kept.Snapshot.GetIndex(),
 		BaseTerm:  kept.Snapshot.GetTerm(),
 	}
-	return k.replace(kept.Base, nil)
+	return k.replaceRecordFile(kept.Base, nil)
 }
 
-// Save keeps the state and the records and returns once both are synced.
-// The records replace all that stand from the first one's index on.
+// Save stores the state and the records and returns once both are synced.
+// The records replace all stored records from the first one's index on.
 func (k *Keeper) Save(state *messages.HardState, records []*messages.LogRecord) error {
 	if err := k.saveState(state); err != nil {
-		return k.failed(err)
+		return k.writeError(err)
 	}
 	if len(records) == 0 {
 		return nil
 	}
 	if err := k.records.save(records); err != nil {
-		return k.failed(err)
+		return k.writeError(err)
 	}
 	return nil
 }
 
-// SaveSnapshot keeps a snapshot with the records that remain behind base.
+// SaveSnapshot stores a snapshot with the records that remain after base.
 func (k *Keeper) SaveSnapshot(state *messages.HardState, snapshot *messages.LogSnapshot,
 	base *messages.RecordsHeader, records []*messages.LogRecord,
 ) error {
 	if err := replaceMessage(filepath.Join(k.folder, snapshotFile), kindSnapshot, snapshot); err != nil {
-		return k.failed(err)
+		return k.writeError(err)
 	}
-	if err := k.replace(base, records); err != nil {
-		return k.failed(err)
+	if err := k.replaceRecordFile(base, records); err != nil {
+		return k.writeError(err)
 	}
-	// The state comes last: once it says that the voter belongs to a log, the
-	// other files are there, and a missing one is damage.
+	// The state is written last: once it says that the voter belongs to a log, the
+	// other files exist, and a missing one is damage.
 	if err := k.saveState(state); err != nil {
-		return k.failed(err)
+		return k.writeError(err)
 	}
 	return nil
 }
 
-func (k *Keeper) replace(base *messages.RecordsHeader, records []*messages.LogRecord) error {
-	fresh, err := replaceRecords(k.folder, base, records)
+func (k *Keeper) replaceRecordFile(base *messages.RecordsHeader, records []*messages.LogRecord) error {
+	replacement, err := replaceRecords(k.folder, base, records)
 	if err != nil {
 		return err
 	}
 	old := k.records
-	k.records = fresh
+	k.records = replacement
 	if old == nil {
 		return nil
 	}
@@ -240,7 +240,7 @@
 	return nil
 }
 
-func (k *Keeper) failed(err error) error {
+func (k *Keeper) writeError(err error) error {
 	return &WriteError{
 		Folder: k.folder,
 		Err:    err,
--- a/src/keeper/keeper_test.go
+++ b/src/keeper/keeper_test.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// filled returns a closed folder that holds a snapshot of index 2 and records 3 to 6.
-func filled(t *testing.T) string {
+// newFilledFolder returns a closed folder that holds a snapshot at index 2 and records 3 to 6.
+func newFilledFolder(t *testing.T) string {
 	t.Helper()
 	folder := filepath.Join(t.TempDir(), "data")
 	k, _ := open(t, folder)
@@ -76,45 +76,45 @@
 	return folder
 }
 
-// A write that a crash cut short leaves the beginning of a frame behind the last
-// seal. Nobody was told of it, so that the voter goes on without it; it must
-// keep every record before it.
-func TestTornTailIsCut(t *testing.T) {
-	whole, err := os.ReadFile(filepath.Join(filled(t), recordsFile))
+// A write that a crash interrupted leaves the start of a frame after the last seal. It
+// was not acknowledged, so the voter continues without it, but it must keep every
+// record before it.
+func TestTornTailIsTruncated(t *testing.T) {
+	records, err := os.ReadFile(filepath.Join(newFilledFolder(t), recordsFile))
 	if err != nil {
 		t.Fatal(err)
 	}
-	next, err := frame(nil, kindRecord, record(7, 1))
+	next, err := appendFrame(nil, kindRecord, record(7, 1))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for length := range len(next) {
-		folder := filled(t)
-		if err := os.WriteFile(filepath.Join(folder, recordsFile), append(bytes.Clone(whole), next[:length]...), fileMode); err != nil {
+		folder := newFilledFolder(t)
+		if err := os.WriteFile(filepath.Join(folder, recordsFile), append(bytes.Clone(records), next[:length]...), fileMode); err != nil {
 			t.Fatal(err)
 		}
 		k, kept := open(t, folder)
 		if got, want := len(kept.Records), 4; got != want {
-			t.Errorf("records after %d torn bytes: got %d, want %d", length, got, want)
+			t.Errorf("records after an interrupted write of %d bytes: got %d, want %d", length, got, want)
 		}
 		if err := k.Save(state(1), []*messages.LogRecord{record(7, 2)}); err != nil {
-			t.Errorf("save after %d torn bytes: %v", length, err)
+			t.Errorf("save after an interrupted write of %d bytes: %v", length, err)
 		}
 		_ = k.Close()
 		k, kept = open(t, folder)
 		if got, want := len(kept.Records), 5; got != want {
-			t.Errorf("records after a save behind %d torn bytes: got %d, want %d", length, got, want)
+			t.Errorf("records after an interrupted write of %d bytes and a save: got %d, want %d", length, got, want)
 		}
 		_ = k.Close()
 	}
 }
 
-// A disk gives back a byte that was not written. If the voter dropped the record
-// in silence, it would count as holding what it acknowledged and lost, and a
-// committed change could vanish. Each byte of each file is damaged in turn: the
-// folder is refused, or all that was acknowledged is still there.
+// A disk returns a byte other than the one written. If the voter silently dropped the
+// record, it would still be counted as holding what it acknowledged, and a committed
+// change could be lost. Each byte of each file is damaged in turn: the folder must be
+// refused, or everything acknowledged must still be there.
 func TestDamageIsRefusedOrHarmless(t *testing.T) {
-	folder := filled(t)
+	folder := newFilledFolder(t)
 	k, want := open(t, folder)
 	_ = k.Close()
 	for _, name := range []string{identityFile, stateFile, snapshotFile, recordsFile} {
@@ -123,14 +123,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		for at := range content {
+		for offset := range content {
 			damaged := bytes.Clone(content)
-			damaged[at] ^= 0x10
+			damaged[offset] ^= 0x10
 			// Written in place, since a new file would have another inode.
 			if err := os.WriteFile(path, damaged, fileMode); err != nil {
 				t.Fatal(err)
 			}
-			checkDamage(t, folder, name, at, want)
+			checkDamage(t, folder, name, offset, want)
 			if err := os.WriteFile(path, content, fileMode); err != nil {
 				t.Fatal(err)
 			}
@@ -138,7 +138,7 @@
 	}
 }
 
-func checkDamage(t *testing.T, folder, name string, at int, want *Kept) {
+func checkDamage(t *testing.T, folder, name string, offset int, want *Kept) {
 	t.Helper()
 	k, kept, err := Open(folder, testInstance)
 	var damage *DamageError
@@ -146,28 +146,28 @@
 		return
 	}
 	if err != nil {
-		t.Fatalf("%s with byte %d damaged: got %v, want a DamageError", name, at, err)
+		t.Fatalf("%s with byte %d damaged: got %v, want a DamageError", name, offset, err)
 	}
 	defer func() { _ = k.Close() }()
 	if got, want := len(kept.Records), len(want.Records); got != want {
-		t.Fatalf("%s with byte %d damaged: got %d records, want %d", name, at, got, want)
+		t.Fatalf("%s with byte %d damaged: got %d records, want %d", name, offset, got, want)
 	}
 	for i, record := range kept.Records {
 		if !proto.Equal(record, want.Records[i]) {
-			t.Errorf("%s with byte %d damaged: record %d is another", name, at, record.GetIndex())
+			t.Errorf("%s with byte %d damaged: record %d differs", name, offset, record.GetIndex())
 		}
 	}
 	if !proto.Equal(kept.State, want.State) || !proto.Equal(kept.Snapshot, want.Snapshot) {
-		t.Errorf("%s with byte %d damaged: state or snapshot is another", name, at)
+		t.Errorf("%s with byte %d damaged: state or snapshot differs", name, offset)
 	}
 }
 
-// A file vanishes from a voter's folder, and with it what the voter promised. It
-// must not start as if it had promised nothing.
+// A file is missing from a voter's folder, and with it the voter's vote or
+// acknowledged records. The voter must not start as if there had been none.
 func TestMissingFileIsRefused(t *testing.T) {
 	for _, name := range []string{identityFile, stateFile, snapshotFile, recordsFile} {
 		t.Run(name, func(t *testing.T) {
-			folder := filled(t)
+			folder := newFilledFolder(t)
 			if err := os.Remove(filepath.Join(folder, name)); err != nil {
 				t.Fatal(err)
 			}
@@ -180,9 +180,10 @@
 	}
 }
 
-// An operator starts an instance on the folder of another one, on a copy of its
-// own folder, on a folder that is in use, or one that a newer program wrote. A
-// voter that started there would break what the folder's owner promised.
+// An operator starts an instance on the folder of another one, on a copy of its own
+// folder, on a folder that is in use, or on one that a newer program version wrote. A
+// voter started there would contradict the votes and acknowledgements of the folder's
+// owner.
 func TestFolderOfAnotherIsRefused(t *testing.T) {
 	cases := map[string]struct {
 		prepare  func(t *testing.T, folder string) string
@@ -222,7 +223,7 @@
 					t.Fatal(err)
 				}
 				identity.Format = formatVersion + 1
-				content, err := frame(nil, kindIdentity, identity)
+				content, err := appendFrame(nil, kindIdentity, identity)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -237,7 +238,7 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			folder := c.prepare(t, filled(t))
+			folder := c.prepare(t, newFilledFolder(t))
 			_, _, err := Open(folder, c.instance)
 			if !errors.As(err, c.want) {
 				t.Errorf("open: got %v, want %T", err, c.want)
@@ -246,10 +247,11 @@
 	}
 }
 
-// A lost disk means an empty folder: the instance starts, as another voter than
-// before, so that nobody takes it for the one that made the promises.
+// After the loss of its disk an instance starts on an empty folder. It must be a
+// different voter than before, so that the earlier votes and acknowledgements are not
+// attributed to it.
 func TestEmptyFolderGivesAnotherIdentity(t *testing.T) {
-	folder := filled(t)
+	folder := newFilledFolder(t)
 	k, before := open(t, folder)
 	_ = k.Close()
 	if err := os.RemoveAll(folder); err != nil {
@@ -262,10 +264,10 @@
 	}
 }
 
-// The disk is full when a record or a state is written. The voter must hear of
-// it before anyone is told that the record is kept.
+// The disk is full when the state is written. The caller must get the error, or it
+// would acknowledge a write that is not on disk.
 func TestFullDiskIsReported(t *testing.T) {
-	folder := filled(t)
+	folder := newFilledFolder(t)
 	k, _ := open(t, folder)
 	defer func() { _ = k.Close() }()
 	if err := os.Symlink("/dev/full", filepath.Join(folder, stateFile+nextSuffix)); err != nil {
@@ -278,10 +280,10 @@
 	}
 }
 
-// A new leader replaces records that were never committed. After a restart the
-// new ones must stand alone, with the later ones of the old leader gone.
+// A new leader replaces records that were never committed. After a restart the new
+// ones must be there, without the later ones of the old leader.
 func TestReplacedRecordsStayReplaced(t *testing.T) {
-	folder := filled(t)
+	folder := newFilledFolder(t)
 	k, _ := open(t, folder)
 	if err := k.Save(state(2), []*messages.LogRecord{record(4, 2)}); err != nil {
 		t.Fatal(err)
@@ -297,9 +299,8 @@
 	}
 }
 
-// A crash comes between the writing of a snapshot and that of the records behind
-// it. The old records then end before the snapshot, or contradict it, and must
-// not count behind it.
+// A crash happens between the write of a snapshot and that of the records after it.
+// If the old records end before the snapshot or contradict it, they must be dropped.
 func TestRecordsOlderThanSnapshotAreDropped(t *testing.T) {
 	cases := map[string]struct {
 		index, term uint64
@@ -311,7 +312,7 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			folder := filled(t)
+			folder := newFilledFolder(t)
 			err := replaceMessage(filepath.Join(folder, snapshotFile), kindSnapshot, &messages.LogSnapshot{
 				Index: c.index,
 				Term:  c.term,
@@ -328,10 +329,10 @@
 	}
 }
 
-// A virtual disk numbers its files anew at each start. A voter that took its own
-// folder for a copy would never come back, and with all of them the log would be
-// gone; a folder of another instance must be refused all the same.
-func TestUnnumberedFolderIsOpenedAgain(t *testing.T) {
+// A virtual disk changes its inode numbers at each start. A voter that considered its
+// own folder a copy could never restart, and if all voters did, the log would be lost.
+// A folder of another instance must still be refused.
+func TestFolderWithoutStableInodesIsOpenedAgain(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "data")
 	k, kept, err := OpenUnnumbered(folder, "c1")
 	if err != nil {
@@ -340,7 +341,7 @@
 	if err := k.Close(); err != nil {
 		t.Fatal(err)
 	}
-	// Another file in its place has another number.
+	// A new file at the same path has another inode number.
 	path := filepath.Join(folder, identityFile)
 	content, err := os.ReadFile(path)
 	if err != nil {
@@ -354,16 +355,16 @@
 	}
 	var copied *CopiedError
 	if _, _, err := Open(folder, "c1"); !errors.As(err, &copied) {
-		t.Errorf("numbered: got %v, want a *CopiedError", err)
+		t.Errorf("with inode check: got %v, want a *CopiedError", err)
 	}
-	again, keptAgain, err := OpenUnnumbered(folder, "c1")
+	reopened, keptReopened, err := OpenUnnumbered(folder, "c1")
 	if err != nil {
-		t.Fatalf("unnumbered: got %v, want none", err)
+		t.Fatalf("without inode check: got error %v, want none", err)
 	}
-	if got, want := keptAgain.ID, kept.ID; got != want {
+	if got, want := keptReopened.ID, kept.ID; got != want {
 		t.Errorf("voter: got %s, want %s", got, want)
 	}
-	if err := again.Close(); err != nil {
+	if err := reopened.Close(); err != nil {
 		t.Fatal(err)
 	}
 	if _, _, err := OpenUnnumbered(folder, "c2"); !errors.As(err, &copied) {
--- a/src/keeper/records.go
+++ b/src/keeper/records.go
@@ -9,16 +9,17 @@
 	"github.com/rosecroft/rosecroft/src/messages"
 )
 
-// recordFile is the file of records behind a base index.
+// recordFile is the file of the records after a base index.
 type recordFile struct {
 	file *os.File
 	base uint64
-	// offsets holds where each record begins, from the one behind base.
+	// offsets holds the offset of each record, starting with the one after base.
 	offsets []int64
 	end     int64
 }
 
-// openRecords reads the records; found is false for a folder without the file.
+// openRecords opens the record file and reads its records. The error wraps
+// os.ErrNotExist for a folder without the file.
 func openRecords(folder string) (r *recordFile, header *messages.RecordsHeader, records []*messages.LogRecord, err error) {
 	file, err := os.OpenFile(filepath.Join(folder, recordsFile), os.O_RDWR, fileMode)
 	if err != nil {
@@ -32,9 +33,9 @@
 		return nil, nil, nil, fmt.Errorf("read the records: %w", err)
 	}
 	header = &messages.RecordsHeader{}
-	size, reason := unframeMessage(content, kindHeader, header)
+	size, reason := readMessage(content, kindHeader, header)
 	if reason != "" {
-		return nil, nil, nil, r.damage(reason)
+		return nil, nil, nil, r.damageError(reason)
 	}
 	r.base = header.GetBaseIndex()
 	r.end = int64(size)
@@ -45,20 +46,20 @@
 func (r *recordFile) read(content []byte) ([]*messages.LogRecord, error) {
 	var records []*messages.LogRecord
 	for int(r.end) < len(content) {
-		kind, _, size, reason := unframe(content[r.end:])
+		kind, _, size, reason := readFrame(content[r.end:])
 		if reason == "" && kind == kindSeal {
 			r.end += int64(size)
 			continue
 		}
 		record := &messages.LogRecord{}
 		if reason == "" {
-			_, reason = unframeMessage(content[r.end:], kindRecord, record)
+			_, reason = readMessage(content[r.end:], kindRecord, record)
 		}
 		if reason != "" {
-			return records, r.cutTail(content, reason)
+			return records, r.truncateTail(content, reason)
 		}
 		if want := r.base + uint64(len(records)) + 1; record.GetIndex() != want {
-			return nil, r.damage(fmt.Sprintf("record %d stands where %d belongs", record.GetIndex(), want))
+			return nil, r.damageError(fmt.Sprintf("record %d stands where %d belongs", record.GetIndex(), want))
 		}
 		r.offsets = append(r.offsets, r.end)
 		r.end += int64(size)
@@ -67,21 +68,21 @@
 	return records, nil
 }
 
-// cutTail drops what a crash left unfinished behind the last seal. Nothing was
-// acknowledged on it, since its sync never returned. Damage with a seal behind
-// it hits records that were acknowledged; without them this voter could help
-// to elect a leader that lacks a committed change, so it is refused.
-func (r *recordFile) cutTail(content []byte, reason string) error {
-	if sealedBehind(content[r.end:], r.end) {
-		return r.damage(reason)
+// truncateTail removes a write that a crash interrupted after the last seal. It was
+// not acknowledged, since its sync never returned. Damage before a seal affects
+// records that were acknowledged; without them this voter could help to elect a
+// leader that lacks a committed change, so it is returned as a DamageError.
+func (r *recordFile) truncateTail(content []byte, reason string) error {
+	if hasSeal(content[r.end:], r.end) {
+		return r.damageError(reason)
 	}
 	if err := r.file.Truncate(r.end); err != nil {
-		return fmt.Errorf("cut the torn tail of the records: %w", err)
+		return fmt.Errorf("truncate an incomplete write at the end of the records: %w", err)
 	}
 	return r.file.Sync()
 }
 
-func (r *recordFile) damage(reason string) error {
+func (r *recordFile) damageError(reason string) error {
 	return &DamageError{
 		Path:   r.file.Name(),
 		Offset: r.end,
@@ -89,18 +90,19 @@
 	}
 }
 
-// save appends records, in the place of those that stand from the first one's index on.
+// save writes records and returns once they are synced. They replace all stored
+// records from the first one's index on.
 func (r *recordFile) save(records []*messages.LogRecord) error {
 	first := records[0].GetIndex()
 	if first <= r.base || first > r.base+uint64(len(r.offsets))+1 {
-		return fmt.Errorf("record %d does not follow %d records behind %d", first, len(r.offsets), r.base)
+		return fmt.Errorf("record %d does not follow the %d records after index %d", first, len(r.offsets), r.base)
 	}
 	if kept := int(first - r.base - 1); kept < len(r.offsets) {
-		if err := r.cut(kept); err != nil {
+		if err := r.truncate(kept); err != nil {
 			return err
 		}
 	}
-	buffer, offsets, err := formRecords(nil, r.end, records)
+	buffer, offsets, err := frameRecords(nil, r.end, records)
 	if err != nil {
 		return err
 	}
@@ -112,12 +114,13 @@
 	}
 	r.offsets = append(r.offsets, offsets...)
 	r.end += int64(len(buffer))
-	return r.seal()
+	return r.appendSeal()
 }
 
-// cut is synced before anything is written in its place: otherwise a crash
-// could leave new frames before old seals, which looks like damage.
-func (r *recordFile) cut(kept int) error {
+// truncate removes the records after the first kept ones. It syncs before anything
+// else is written: otherwise a crash could leave incomplete new frames before old
+// seals, which looks like damage.
+func (r *recordFile) truncate(kept int) error {
 	r.end = r.offsets[kept]
 	r.offsets = r.offsets[:kept]
 	if err := r.file.Truncate(r.end); err != nil {
@@ -126,23 +129,24 @@
 	return r.file.Sync()
 }
 
-// seal marks all before it as synced. The seal itself is synced with the next
-// batch; until then a crash of the machine may lose it, which does no harm.
-func (r *recordFile) seal() error {
-	mark := seal(nil, r.end)
-	if _, err := r.file.WriteAt(mark, r.end); err != nil {
+// appendSeal marks everything before it as synced. The seal itself is synced with the
+// next batch; losing it in a crash of the machine until then is harmless.
+func (r *recordFile) appendSeal() error {
+	content := appendSeal(nil, r.end)
+	if _, err := r.file.WriteAt(content, r.end); err != nil {
 		return err
 	}
-	r.end += int64(len(mark))
+	r.end += int64(len(content))
 	return nil
 }
 
-// formRecords appends framed records to buffer and returns where in the file each begins.
-func formRecords(buffer []byte, at int64, records []*messages.LogRecord) (content []byte, offsets []int64, err error) {
+// frameRecords appends framed records to buffer, whose end is at offset in the file,
+// and returns the offset of each record in the file.
+func frameRecords(buffer []byte, offset int64, records []*messages.LogRecord) (content []byte, offsets []int64, err error) {
 	start := len(buffer)
 	for _, record := range records {
-		offsets = append(offsets, at+int64(len(buffer)-start))
-		buffer, err = frame(buffer, kindRecord, record)
+		offsets = append(offsets, offset+int64(len(buffer)-start))
+		buffer, err = appendFrame(buffer, kindRecord, record)
 		if err != nil {
 			return nil, nil, err
 		}
@@ -150,22 +154,23 @@
 	return buffer, offsets, nil
 }
 
-// replaceRecords writes a new file of records behind base and opens it.
+// replaceRecords replaces the record file by one with these records after the
+// header's base index, and opens it.
 func replaceRecords(folder string, header *messages.RecordsHeader, records []*messages.LogRecord) (*recordFile, error) {
 	r := &recordFile{
 		base: header.GetBaseIndex(),
 	}
 	path := filepath.Join(folder, recordsFile)
 	err := replaceFile(path, func(*os.File) ([]byte, error) {
-		content, err := frame(nil, kindHeader, header)
+		content, err := appendFrame(nil, kindHeader, header)
 		if err != nil {
 			return nil, err
 		}
-		content, r.offsets, err = formRecords(content, int64(len(content)), records)
+		content, r.offsets, err = frameRecords(content, int64(len(content)), records)
 		if err != nil {
 			return nil, err
 		}
-		content = seal(content, int64(len(content)))
+		content = appendSeal(content, int64(len(content)))
 		r.end = int64(len(content))
 		return content, nil
 	})
--- a/src/replicator/world_test.go
+++ b/src/replicator/cluster_test.go
@@ -23,7 +23,7 @@
 	testRepair    = 3 * time.Second
 )
 
-// TestMain fixes the seed, unless another is asked for.
+// TestMain sets a fixed seed, unless the command line sets another.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if seed := flag.Lookup("rapid.seed"); seed.Value.String() == "0" {
@@ -32,53 +32,54 @@
 	os.Exit(m.Run())
 }
 
-// world holds several nodes, the messages between them and what was promised.
-type world struct {
-	t       rapid.TB
-	now     time.Time
-	members []*member
-	bag     []*messages.LogMessage
-	// cut holds the directions in which nothing arrives.
-	cut map[[2]units.Instance]bool
-
-	leaders   map[units.Term]units.VoterID
-	records   map[[2]uint64]*messages.LogRecord
-	committed map[units.Index]*messages.LogRecord
-	last      units.Index
-	admitted  map[units.VoterID]bool
-	winners   map[uint64]string
-	acked     units.Version
-	tokens    uint64
+// cluster simulates several nodes and the messages between them, and records what they
+// must not contradict: leaders, records, commits, admissions, winners and accepted versions.
+type cluster struct {
+	t        rapid.TB
+	now      time.Time
+	members  []*member
+	inFlight []*messages.LogMessage
+	// cutLinks holds the pairs of sender and receiver between which messages are lost.
+	cutLinks map[[2]units.Instance]bool
+
+	leaders       map[units.Term]units.VoterID
+	records       map[[2]uint64]*messages.LogRecord
+	committed     map[units.Index]*messages.LogRecord
+	lastCommitted units.Index
+	admitted      map[units.VoterID]bool
+	winners       map[uint64]string
+	acked         units.Version
+	tokens        uint64
 }
 
 // member is one instance with its disk.
 type member struct {
-	world    *world
-	name     units.Instance
-	centre   units.DataCentre
-	lives    int
-	id       units.VoterID
-	disk     Stored
-	node     *Node
-	state    configurator.State
-	frozen   bool
-	offset   time.Duration
-	rate     float64
-	pending  map[units.Index]waiting
-	tokens   map[uint64]*messages.Submission
-	isLeader bool
+	cluster      *cluster
+	name         units.Instance
+	centre       units.DataCentre
+	incarnations int
+	id           units.VoterID
+	disk         Stored
+	node         *Node
+	state        configurator.State
+	frozen       bool
+	clockOffset  time.Duration
+	clockRate    float64
+	pending      map[units.Index]pendingSubmission
+	tokens       map[uint64]*messages.Submission
+	isLeader     bool
 }
 
-type waiting struct {
+type pendingSubmission struct {
 	term       units.Term
 	submission *messages.Submission
 }
 
-func newWorld(t rapid.TB, instances, voters int) *world {
-	w := &world{
+func newCluster(t rapid.TB, instances, voters int) *cluster {
+	w := &cluster{
 		t:         t,
 		now:       time.Unix(1000, 0),
-		cut:       make(map[[2]units.Instance]bool),
+		cutLinks:  make(map[[2]units.Instance]bool),
 		leaders:   make(map[units.Term]units.VoterID),
 		records:   make(map[[2]uint64]*messages.LogRecord),
 		committed: make(map[units.Index]*messages.LogRecord),
@@ -87,10 +88,10 @@
 	}
 	for i := range instances {
 		w.members = append(w.members, &member{
-			world:  w,
-			name:   units.Instance(fmt.Sprintf("c%d", i+1)),
-			centre: units.DataCentre(fmt.Sprintf("dc-%d", i%4)),
-			rate:   1,
+			cluster:   w,
+			name:      units.Instance(fmt.Sprintf("c%d", i+1)),
+			centre:    units.DataCentre(fmt.Sprintf("dc-%d", i%4)),
+			clockRate: 1,
 		})
 	}
 	for _, m := range w.members {
@@ -101,13 +102,13 @@
 }
 
 func (m *member) clock() time.Time {
-	elapsed := m.world.now.Sub(time.Unix(0, 0))
-	return time.Unix(0, 0).Add(time.Duration(float64(elapsed)*m.rate) + m.offset)
+	elapsed := m.cluster.now.Sub(time.Unix(0, 0))
+	return time.Unix(0, 0).Add(time.Duration(float64(elapsed)*m.clockRate) + m.clockOffset)
 }
 
 func (m *member) loseDisk() {
-	m.lives++
-	m.id = units.NewVoterID(m.name, fmt.Sprintf("life%d", m.lives))
+	m.incarnations++
+	m.id = units.NewVoterID(m.name, fmt.Sprintf("life%d", m.incarnations))
 	m.disk = Stored{
 		State: &messages.HardState{},
 		Base:  &messages.RecordsHeader{},
@@ -124,9 +125,9 @@
 		Repair:          testRepair,
 		SnapshotRecords: 8,
 		SnapshotBytes:   1 << 20,
-		Random:          rand.New(rand.NewPCG(uint64(m.name[1]), uint64(m.lives))),
+		Random:          rand.New(rand.NewPCG(uint64(m.name[1]), uint64(m.incarnations))),
 	}
-	for _, other := range m.world.members {
+	for _, other := range m.cluster.members {
 		options.Instances = append(options.Instances, Place{
 			Instance:   other.name,
 			DataCentre: other.centre,
@@ -134,7 +135,7 @@
 	}
 	m.state = configurator.State{}
 	m.restore(m.disk.Snapshot)
-	m.pending = make(map[units.Index]waiting)
+	m.pending = make(map[units.Index]pendingSubmission)
 	m.tokens = make(map[uint64]*messages.Submission)
 	m.isLeader = false
 	m.frozen = false
@@ -151,11 +152,12 @@
 		return
 	}
 	if err := m.state.Restore(snapshot.GetContent()); err != nil {
-		m.world.t.Fatal(err)
+		m.cluster.t.Fatal(err)
 	}
 }
 
-// step carries out the actions of one event; a crash comes before the action numbered crashAt.
+// step carries out the actions of one event; the member crashes before the action
+// numbered crashAt, or not at all for -1.
 func (m *member) step(e Event, crashAt int) {
 	for i, action := range m.node.Step(m.clock(), e) {
 		if i == crashAt {
@@ -170,11 +172,11 @@
 }
 
 func (m *member) carryOut(action Action) {
-	w := m.world
+	w := m.cluster
 	switch a := action.(type) {
 	case Persist:
 		m.disk.State = a.State
-		m.keep(a.Records)
+		m.storeRecords(a.Records)
 	case PersistSnapshot:
 		m.disk = Stored{
 			State:    a.State,
@@ -182,7 +184,7 @@
 			Base:     a.Base,
 			Records:  slices.Clone(a.Records),
 		}
-		w.noteMembers(a.Snapshot.GetMembership())
+		w.recordAdmitted(a.Snapshot.GetMembership())
 	case Restore:
 		m.restore(a.Snapshot)
 	case TakeSnapshot:
@@ -193,11 +195,11 @@
 		m.step(SnapshotTaken{Index: a.Index, Content: content}, -1)
 	case Send:
 		w.checkVote(a.Message)
-		w.bag = append(w.bag, a.Message)
+		w.inFlight = append(w.inFlight, a.Message)
 	case Apply:
 		m.apply(a.Records)
 	case Appended:
-		m.pending[a.Index] = waiting{term: a.Term, submission: m.tokens[a.Token]}
+		m.pending[a.Index] = pendingSubmission{term: a.Term, submission: m.tokens[a.Token]}
 	case RoleChanged:
 		m.changeRole(a)
 	case Halt:
@@ -205,21 +207,21 @@
 	}
 }
 
-func (m *member) keep(records []*messages.LogRecord) {
+func (m *member) storeRecords(records []*messages.LogRecord) {
 	if len(records) == 0 {
 		return
 	}
 	kept := records[0].GetIndex() - m.disk.Base.GetBaseIndex() - 1
 	m.disk.Records = append(slices.Clone(m.disk.Records[:kept]), records...)
 	for _, record := range records {
-		m.world.noteRecord(record)
-		m.world.noteMembers(record.GetCommand().GetMembership())
+		m.cluster.recordStored(record)
+		m.cluster.recordAdmitted(record.GetCommand().GetMembership())
 	}
 }
 
 func (m *member) apply(records []*messages.LogRecord) {
 	for _, record := range records {
-		m.world.noteCommitted(record)
+		m.cluster.recordCommitted(record)
 		before := m.state.Version()
 		submission := record.GetCommand().GetSubmission()
 		if submission == nil {
@@ -227,18 +229,18 @@
 		}
 		result := m.state.Submit(submission)
 		if m.state.Version() < before {
-			m.world.t.Fatalf("%s: version went back from %d to %d", m.id, before, m.state.Version())
+			m.cluster.t.Fatalf("%s: version went back from %d to %d", m.id, before, m.state.Version())
 		}
 		index := units.Index(record.GetIndex())
 		if p, known := m.pending[index]; known && p.term == units.Term(record.GetTerm()) {
-			m.world.answer(p.submission, result)
+			m.cluster.checkOutcome(p.submission, result)
 		}
 		delete(m.pending, index)
 	}
 }
 
-// answer checks what the submitter of a change is told.
-func (w *world) answer(submission *messages.Submission, result *messages.SubmissionResult) {
+// checkOutcome checks the answer to the submitter of a change.
+func (w *cluster) checkOutcome(submission *messages.Submission, result *messages.SubmissionResult) {
 	version := submission.GetVersion()
 	if result.GetOutcome() == messages.Outcome_OUTCOME_ACCEPTED {
 		if winner, known := w.winners[version]; known && winner != submission.GetOperator() {
@@ -253,59 +255,60 @@
 	}
 }
 
-func (w *world) noteRecord(record *messages.LogRecord) {
+func (w *cluster) recordStored(record *messages.LogRecord) {
 	key := [2]uint64{record.GetTerm(), record.GetIndex()}
 	if other, known := w.records[key]; known && !proto.Equal(other, record) {
-		w.t.Fatalf("log matching: two records stand at index %d of term %d", key[1], key[0])
+		w.t.Fatalf("log matching: two different records have index %d and term %d", key[1], key[0])
 	}
 	w.records[key] = record
 }
 
-func (w *world) noteCommitted(record *messages.LogRecord) {
+func (w *cluster) recordCommitted(record *messages.LogRecord) {
 	index := units.Index(record.GetIndex())
 	if other, known := w.committed[index]; known && !proto.Equal(other, record) {
 		w.t.Fatalf("committed record %d changed: got term %d, want term %d", index, record.GetTerm(), other.GetTerm())
 	}
 	w.committed[index] = record
-	w.last = max(w.last, index)
+	w.lastCommitted = max(w.lastCommitted, index)
 }
 
-func (w *world) noteMembers(membership *messages.Membership) {
+func (w *cluster) recordAdmitted(membership *messages.Membership) {
 	for _, member := range membership.GetMembers() {
 		w.admitted[units.VoterID(member.GetId())] = true
 	}
 }
 
-// checkVote refuses a vote of an identity that no membership ever let in.
-func (w *world) checkVote(m *messages.LogMessage) {
+// checkVote fails on a granted vote of an identity that no membership has admitted.
+func (w *cluster) checkVote(m *messages.LogMessage) {
 	if m.GetVoteResponse().GetGranted() && !w.admitted[units.VoterID(m.GetFrom())] {
-		w.t.Fatalf("vote from %s, which no membership let in", m.GetFrom())
+		w.t.Fatalf("vote from %s, which no membership has admitted", m.GetFrom())
 	}
 }
 
 func (m *member) changeRole(a RoleChanged) {
 	m.isLeader = a.Role == Leader
 	if !m.isLeader {
-		m.pending = make(map[units.Index]waiting)
+		m.pending = make(map[units.Index]pendingSubmission)
 		return
 	}
-	w := m.world
+	w := m.cluster
 	if other, known := w.leaders[a.Term]; known && other != m.id {
 		w.t.Fatalf("term %d has two leaders: %s and %s", a.Term, other, m.id)
 	}
 	w.leaders[a.Term] = m.id
-	for index := m.node.log.base + 1; index <= w.last; index++ {
+	for index := m.node.log.base + 1; index <= w.lastCommitted; index++ {
 		if got, want := m.node.log.termAt(index), units.Term(w.committed[index].GetTerm()); got != want {
 			w.t.Fatalf("leader %s of term %d lacks committed record %d: got term %d, want %d", m.id, a.Term, index, got, want)
 		}
 	}
 }
 
-// checkClaims compares what each leader would tell an operator with what others were told.
-func (w *world) checkClaims() {
+// checkLeaderVersions checks that no leader would report an older version to an operator
+// than one that has been accepted.
+func (w *cluster) checkLeaderVersions() {
 	for _, m := range w.members {
 		if m.running() && m.node.Lead(m.clock()) && m.state.Version() < w.acked {
-			w.t.Fatalf("%s claims version %d in term %d, after version %d was accepted",
+			w.t.Fatalf("%s reports version %d in term %d, after version %d was accepted",
 				m.id, m.state.Version(), m.node.Term(), w.acked)
 		}
 	}
@@ -313,22 +316,22 @@
 
 func (m *member) running() bool { return m.node != nil && !m.frozen }
 
-func (w *world) deliver(at int) {
-	message := w.bag[at]
-	w.bag = slices.Delete(w.bag, at, at+1)
-	w.hand(message, -1)
+func (w *cluster) deliverAt(at int) {
+	message := w.inFlight[at]
+	w.inFlight = slices.Delete(w.inFlight, at, at+1)
+	w.deliverMessage(message, -1)
 }
 
-func (w *world) hand(message *messages.LogMessage, crashAt int) {
+func (w *cluster) deliverMessage(message *messages.LogMessage, crashAt int) {
 	from, to := units.VoterID(message.GetFrom()).Instance(), units.VoterID(message.GetTo()).Instance()
 	for _, m := range w.members {
-		if m.name == to && m.running() && !w.cut[[2]units.Instance{from, to}] {
+		if m.name == to && m.running() && !w.cutLinks[[2]units.Instance{from, to}] {
 			m.step(Received{Message: proto.CloneOf(message)}, crashAt)
 		}
 	}
 }
 
-func (w *world) tick(d time.Duration) {
+func (w *cluster) tick(d time.Duration) {
 	w.now = w.now.Add(d)
 	for _, m := range w.members {
 		if m.running() {
@@ -337,21 +340,21 @@
 	}
 }
 
-// calm lets time pass with every message delivered in order.
-func (w *world) calm(rounds int) {
+// runWithoutFaults lets time pass in rounds of 10 ms, with every message delivered in order.
+func (w *cluster) runWithoutFaults(rounds int) {
 	for range rounds {
 		w.tick(10 * time.Millisecond)
-		batch := w.bag
-		w.bag = nil
+		batch := w.inFlight
+		w.inFlight = nil
 		for _, message := range batch {
-			w.hand(message, -1)
+			w.deliverMessage(message, -1)
 		}
-		w.checkClaims()
+		w.checkLeaderVersions()
 	}
 }
 
 // submit proposes a change at a member.
-func (w *world) submit(m *member, version uint64, operator string) {
+func (w *cluster) submit(m *member, version uint64, operator string) {
 	w.tokens++
 	submission := &messages.Submission{
 		Version:     version,
@@ -370,7 +373,7 @@
 	}, -1)
 }
 
-func (w *world) leader() *member {
+func (w *cluster) leader() *member {
 	for _, m := range w.members {
 		if m.running() && m.node.Lead(m.clock()) {
 			return m
--- a/src/replicator/event.go
+++ b/src/replicator/event.go
@@ -5,25 +5,25 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// Event is something that happened to a voter.
+// Event is an input to Node.Step.
 type Event interface{ event() }
 
-// Ticked says that time has passed.
+// Ticked reports that time has passed.
 type Ticked struct{}
 
-// Received says that a message from another instance has arrived.
+// Received carries a message from another instance.
 type Received struct {
 	Message *messages.LogMessage
 }
 
-// Proposed asks the leader to append a command.
+// Proposed requests that the leader append a command.
 type Proposed struct {
 	Command *messages.Command
 	// Token is returned with the outcome of the proposal.
 	Token uint64
 }
 
-// SnapshotTaken brings the replicated state that TakeSnapshot asked for.
+// SnapshotTaken carries the replicated state that TakeSnapshot requested.
 type SnapshotTaken struct {
 	Index   units.Index
 	Content []byte
@@ -34,17 +34,17 @@
 func (Proposed) event()      {}
 func (SnapshotTaken) event() {}
 
-// Action is something that the caller of Step must carry out.
+// Action is an output of Node.Step that the caller must carry out.
 type Action interface{ action() }
 
-// Persist asks for a sync of state and records to disk before any later action.
+// Persist requires state and records to be synced to disk before any later action.
 type Persist struct {
 	State *messages.HardState
 	// Records replace all stored records from the first one's index on.
 	Records []*messages.LogRecord
 }
 
-// PersistSnapshot asks for a sync of a snapshot before any later action.
+// PersistSnapshot requires a snapshot to be synced to disk before any later action.
 type PersistSnapshot struct {
 	State    *messages.HardState
 	Snapshot *messages.LogSnapshot
@@ -53,53 +53,54 @@
 	Records []*messages.LogRecord
 }
 
-// Restore asks to replace the replicated state by that of a snapshot.
+// Restore requires the replicated state to be replaced by that of a snapshot.
 type Restore struct {
 	Snapshot *messages.LogSnapshot
 }
 
-// TakeSnapshot asks for the replicated state as it stands after the records
-// that were handed over so far, as the event SnapshotTaken.
+// TakeSnapshot requests the replicated state after the records applied so far;
+// the caller returns it as the event SnapshotTaken.
 type TakeSnapshot struct {
 	Index units.Index
 }
 
-// Send asks for a message to be sent; it may be lost.
+// Send requires a message to be sent; delivery is not guaranteed.
 type Send struct {
 	Message *messages.LogMessage
 }
 
-// Apply hands over committed records, in order and each once per start.
+// Apply carries committed records, in order and each once per start.
 type Apply struct {
 	Records []*messages.LogRecord
 }
 
-// Appended says at which place of the log a proposal stands; it is not yet committed.
+// Appended reports the term and index of an appended proposal; it is not yet committed.
 type Appended struct {
 	Token uint64
 	Term  units.Term
 	Index units.Index
 }
 
-// Rejected says that a proposal was not appended, since this voter does not lead.
+// Rejected reports that a proposal was not appended, because this voter is not
+// the leader or the membership that it carries is not allowed now.
 type Rejected struct {
 	Token  uint64
 	Leader units.Instance
 }
 
-// RoleChanged says that this voter's role, term or known leader is new.
+// RoleChanged reports a new role, term or known leader of this voter.
 type RoleChanged struct {
 	Role   Role
 	Term   units.Term
 	Leader units.Instance
 }
 
-// MembershipChanged says that another set of voters and learners counts.
+// MembershipChanged reports that another set of voters and learners is in effect.
 type MembershipChanged struct {
 	Membership *messages.Membership
 }
 
-// Halt says that the voter must stop, since its log contradicts the leader's.
+// Halt requires the voter to stop, because its log contradicts the leader's.
 type Halt struct {
 	Err error
 }
--- a/src/replicator/hello.go
+++ b/src/replicator/hello.go
@@ -10,52 +10,53 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// Place is one instance that may carry control.
+// Place is one instance that may run a voter, with its data centre.
 type Place struct {
 	Instance   units.Instance
 	DataCentre units.DataCentre
 }
 
-// greeting is what an instance last answered to a hello.
-type greeting struct {
-	id      units.VoterID
-	founded bool
-	at      time.Time
+// helloAnswer is an instance's last answer to a hello.
+type helloAnswer struct {
+	id         units.VoterID
+	hasLog     bool
+	receivedAt time.Time
 }
 
-// spare is an instance that no membership holds and that could join.
+// spare is an instance that is not a member and could become one.
 type spare struct {
-	dataCentre units.DataCentre
-	heardAt    time.Time
+	dataCentre  units.DataCentre
+	lastHelloAt time.Time
 }
 
-// chooseFounders returns the first voters: one of each data centre in the order
-// of the list, then the rest of the list, up to the wanted number.
-func chooseFounders(places []Place, wanted int) []Place {
-	var founders, rest []Place
-	used := make(map[units.DataCentre]bool)
-	for _, place := range places {
-		if used[place.DataCentre] {
-			rest = append(rest, place)
+// chooseInitialVoters returns the voters of a new log: one from each data centre
+// in the order of the list, then the rest of the list, up to the wanted number.
+func chooseInitialVoters(instances []Place, wanted int) []Place {
+	var initial, rest []Place
+	covered := make(map[units.DataCentre]bool)
+	for _, instance := range instances {
+		if covered[instance.DataCentre] {
+			rest = append(rest, instance)
 			continue
 		}
-		used[place.DataCentre] = true
-		founders = append(founders, place)
+		covered[instance.DataCentre] = true
+		initial = append(initial, instance)
 	}
-	founders = append(founders, rest...)
-	return founders[:min(wanted, len(founders))]
+	initial = append(initial, rest...)
+	return initial[:min(wanted, len(initial))]
 }
 
-func (n *Node) founded() bool { return n.snapshot != nil }
+// hasLog reports whether this voter belongs to a log.
+func (n *Node) hasLog() bool { return n.snapshot != nil }
 
-// greet looks for a log to belong to while no leader is heard.
-func (n *Node) greet(now time.Time) {
-	alone := now.Sub(n.heardAt) > greetAfter*n.options.Election
-	if n.founded() && !alone || now.Before(n.greetAt) {
+// sendHellos asks the other instances for a log to join while no leader is known.
+func (n *Node) sendHellos(now time.Time) {
+	leaderless := now.Sub(n.leaderContactAt) > helloSilence*n.options.Election
+	if n.hasLog() && !leaderless || now.Before(n.nextHelloAt) {
 		return
 	}
-	n.greetAt = now.Add(n.options.Election / 2)
-	for _, instance := range n.acquaintances() {
+	n.nextHelloAt = now.Add(n.options.Election / 2)
+	for _, instance := range n.otherInstances() {
 		n.sendTo(units.VoterID(instance), n.term, &messages.LogMessage{
 			Body: &messages.LogMessage_Hello{
 				Hello: &messages.Hello{
@@ -64,34 +65,34 @@
 			},
 		})
 	}
-	n.found(now)
+	n.bootstrap(now)
 }
 
-// mostMet bounds the instances that are remembered beyond the settings and the
-// membership, several times the number that carry control.
-const mostMet = 64
+// maxKnownInstances bounds the instances that are recorded beyond the settings and
+// the membership. It is several times the number that run a voter.
+const maxKnownInstances = 64
 
-// meet remembers an instance that the settings may not name: those name only a
-// few, which may all have been replaced since.
-func (n *Node) meet(instance units.Instance, centre units.DataCentre) {
-	known, found := n.met[instance]
-	if instance == "" || instance == n.options.ID.Instance() || !found && len(n.met) >= mostMet {
+// addKnownInstance records an instance that may be missing from the settings: those
+// name only a few instances, which may all have been replaced since.
+func (n *Node) addKnownInstance(instance units.Instance, centre units.DataCentre) {
+	known, found := n.knownInstances[instance]
+	if instance == "" || instance == n.options.ID.Instance() || !found && len(n.knownInstances) >= maxKnownInstances {
 		return
 	}
 	if centre == "" {
 		centre = known
 	}
-	n.met[instance] = centre
+	n.knownInstances[instance] = centre
 }
 
-// acquaintances returns all other instances that may know of the log, sorted.
-func (n *Node) acquaintances() []units.Instance {
+// otherInstances returns all other instances that may belong to the log, sorted.
+func (n *Node) otherInstances() []units.Instance {
 	all := make(map[units.Instance]struct{})
-	for instance := range n.met {
+	for instance := range n.knownInstances {
 		all[instance] = struct{}{}
 	}
-	for _, place := range n.options.Instances {
-		all[place.Instance] = struct{}{}
+	for _, listed := range n.options.Instances {
+		all[listed.Instance] = struct{}{}
 	}
 	for _, member := range n.membership.GetMembers() {
 		all[units.VoterID(member.GetId()).Instance()] = struct{}{}
@@ -100,26 +101,26 @@
 	return slices.Sorted(maps.Keys(all))
 }
 
-// Meet tells of an instance that may know of the log.
-func (n *Node) Meet(instance units.Instance) { n.meet(instance, "") }
+// Meet records an instance that may belong to the log.
+func (n *Node) Meet(instance units.Instance) { n.addKnownInstance(instance, "") }
 
-// Acquaintances returns all other instances that this voter knows of, sorted.
-func (n *Node) Acquaintances() []units.Instance { return n.acquaintances() }
+// Acquaintances returns all other known instances, sorted.
+func (n *Node) Acquaintances() []units.Instance { return n.otherInstances() }
 
-func (n *Node) answerHello(now time.Time, m *messages.LogMessage, hello *messages.Hello) {
+func (n *Node) handleHello(now time.Time, m *messages.LogMessage, hello *messages.Hello) {
 	from := units.VoterID(m.GetFrom())
-	n.meet(from.Instance(), units.DataCentre(hello.GetDataCentre()))
+	n.addKnownInstance(from.Instance(), units.DataCentre(hello.GetDataCentre()))
 	foreign := m.GetLogId() != "" && m.GetLogId() != n.logID
 	if n.role == Leader && !foreign {
 		n.spares[from] = &spare{
-			dataCentre: units.DataCentre(hello.GetDataCentre()),
-			heardAt:    now,
+			dataCentre:  units.DataCentre(hello.GetDataCentre()),
+			lastHelloAt: now,
 		}
 	}
 	response := &messages.HelloResponse{
 		Leader: string(n.leader),
 	}
-	if n.founded() && n.snapshot.GetIndex() == 0 {
+	if n.hasLog() && n.snapshot.GetIndex() == 0 {
 		response.Founding = n.snapshot.GetMembership()
 	}
 	n.sendTo(from, n.term, &messages.LogMessage{
@@ -129,82 +130,82 @@
 	})
 }
 
-func (n *Node) countHello(now time.Time, m *messages.LogMessage, response *messages.HelloResponse) {
+func (n *Node) handleHelloResponse(now time.Time, m *messages.LogMessage, response *messages.HelloResponse) {
 	from := units.VoterID(m.GetFrom())
-	n.meet(from.Instance(), "")
-	n.meet(units.Instance(response.GetLeader()), "")
-	if n.founded() {
+	n.addKnownInstance(from.Instance(), "")
+	n.addKnownInstance(units.Instance(response.GetLeader()), "")
+	if n.hasLog() {
 		return
 	}
-	n.greetings[from.Instance()] = greeting{
-		id:      from,
-		founded: m.GetLogId() != "",
-		at:      now,
+	n.helloAnswers[from.Instance()] = helloAnswer{
+		id:         from,
+		hasLog:     m.GetLogId() != "",
+		receivedAt: now,
 	}
 	for _, member := range response.GetFounding().GetMembers() {
 		if units.VoterID(member.GetId()) == n.options.ID {
-			n.belong(now, m.GetLogId(), response.GetFounding())
+			n.startLog(now, m.GetLogId(), response.GetFounding())
 			return
 		}
 	}
-	n.found(now)
+	n.bootstrap(now)
 }
 
-// found begins a new log, at the first of the founders alone and only once every
-// instance of the settings has just said that it belongs to none. If a part of
-// them could found, a majority that lost its disks would begin an empty log
-// beside the survivors, and every accepted change would be gone.
-func (n *Node) found(now time.Time) {
-	founders := chooseFounders(n.options.Instances, n.options.Voters)
-	if n.founded() || n.options.Joining || len(founders) == 0 || founders[0].Instance != n.options.ID.Instance() {
+// bootstrap starts a new log. Only the first of the initial voters does so, and only
+// once every instance in the settings has recently answered that it belongs to no
+// log. If a subset of them were enough, a majority that lost its disks would start
+// an empty log beside the surviving voters, and every accepted change would be lost.
+func (n *Node) bootstrap(now time.Time) {
+	initial := chooseInitialVoters(n.options.Instances, n.options.Voters)
+	if n.hasLog() || n.options.Joining || len(initial) == 0 || initial[0].Instance != n.options.ID.Instance() {
 		return
 	}
 	ids := map[units.Instance]units.VoterID{
 		n.options.ID.Instance(): n.options.ID,
 	}
-	for _, place := range n.options.Instances {
-		if place.Instance == n.options.ID.Instance() {
+	for _, listed := range n.options.Instances {
+		if listed.Instance == n.options.ID.Instance() {
 			continue
 		}
-		g, known := n.greetings[place.Instance]
-		if !known || g.founded || now.Sub(g.at) > greetAfter*n.options.Election {
+		answer, known := n.helloAnswers[listed.Instance]
+		if !known || answer.hasLog || now.Sub(answer.receivedAt) > helloSilence*n.options.Election {
 			return
 		}
-		ids[place.Instance] = g.id
+		ids[listed.Instance] = answer.id
 	}
 	membership := &messages.Membership{
 		Number: 1,
 	}
-	for _, founder := range founders {
-		centre := n.centreOf(founder)
+	for _, voter := range initial {
+		centre := n.dataCentreOf(voter)
 		if centre == "" {
 			return
 		}
 		membership.Members = append(membership.Members, &messages.Member{
-			Id:         string(ids[founder.Instance]),
+			Id:         string(ids[voter.Instance]),
 			DataCentre: string(centre),
 		})
 	}
-	n.belong(now, fmt.Sprintf("%016x", n.options.Random.Uint64()), membership)
+	n.startLog(now, fmt.Sprintf("%016x", n.options.Random.Uint64()), membership)
 }
 
-// centreOf returns the data centre of a founder, which the settings may leave to
-// the founder itself to say.
-func (n *Node) centreOf(founder Place) units.DataCentre {
+// dataCentreOf returns an initial voter's data centre. Where the settings do not
+// name it, it comes from the voter's own hello; "" means that it is not known yet.
+func (n *Node) dataCentreOf(voter Place) units.DataCentre {
 	switch {
-	case founder.DataCentre != "":
-		return founder.DataCentre
-	case founder.Instance == n.options.ID.Instance():
+	case voter.DataCentre != "":
+		return voter.DataCentre
+	case voter.Instance == n.options.ID.Instance():
 		return n.options.DataCentre
 	}
-	return n.met[founder.Instance]
+	return n.knownInstances[voter.Instance]
 }
 
-// belong makes this voter part of a log from its beginning.
-func (n *Node) belong(now time.Time, logID string, membership *messages.Membership) {
-	n.install(now, &messages.LogSnapshot{
+// startLog makes this voter an initial member of a log.
+func (n *Node) startLog(now time.Time, logID string, membership *messages.Membership) {
+	n.installSnapshot(now, &messages.LogSnapshot{
 		Membership: membership,
 		LogId:      logID,
 	})
-	n.resetDeadline(now)
+	n.resetElectionDeadline(now)
 }
--- a/src/replicator/log.go
+++ b/src/replicator/log.go
@@ -7,7 +7,7 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// recordLog holds the records behind a base, which a snapshot covers.
+// recordLog holds the records after a base index; a snapshot covers those up to it.
 type recordLog struct {
 	base     units.Index
 	baseTerm units.Term
@@ -22,7 +22,8 @@
 	return l.termAt(l.lastIndex())
 }
 
-// termAt returns a record's term, or 0 where it is not known any more or not yet.
+// termAt returns a record's term, or 0 for a record that was compacted away or is
+// not in the log yet.
 func (l *recordLog) termAt(index units.Index) units.Term {
 	if index == l.base {
 		return l.baseTerm
@@ -37,8 +38,8 @@
 	return l.records[index-l.base-1]
 }
 
-// matches reports whether the record at index is the one of that term. What the
-// base covers is committed, and so is the same in every log.
+// matches reports whether the record at index has this term. Records before the
+// base are committed and therefore the same in every log.
 func (l *recordLog) matches(index units.Index, term units.Term) bool {
 	if index < l.base {
 		return true
@@ -46,8 +47,9 @@
 	return index <= l.lastIndex() && l.termAt(index) == term
 }
 
-// olderOrEqual reports whether the candidate's log is at least as new as this one.
-func (l *recordLog) olderOrEqual(request *messages.VoteRequest) bool {
+// isCandidateUpToDate reports whether the candidate's log is at least as up to
+// date as this one.
+func (l *recordLog) isCandidateUpToDate(request *messages.VoteRequest) bool {
 	term := units.Term(request.GetLastTerm())
 	if term != l.lastTerm() {
 		return term > l.lastTerm()
@@ -55,8 +57,8 @@
 	return units.Index(request.GetLastIndex()) >= l.lastIndex()
 }
 
-// unknown drops the leading records that this log already holds.
-func (l *recordLog) unknown(records []*messages.LogRecord) []*messages.LogRecord {
+// withoutKnown returns records without the leading ones that this log already holds.
+func (l *recordLog) withoutKnown(records []*messages.LogRecord) []*messages.LogRecord {
 	for i, record := range records {
 		if !l.matches(units.Index(record.GetIndex()), units.Term(record.GetTerm())) {
 			return records[i:]
@@ -65,9 +67,9 @@
 	return nil
 }
 
-// conflict returns the first index of the term that stands at index, so that a
-// leader steps back over a whole term at once.
-func (l *recordLog) conflict(index units.Index) units.Index {
+// conflictIndex returns the first index of the term of the record at index, so that
+// a leader skips a whole term in one round trip.
+func (l *recordLog) conflictIndex(index units.Index) units.Index {
 	if index > l.lastIndex() {
 		return l.lastIndex() + 1
 	}
@@ -80,8 +82,8 @@
 
 func (l *recordLog) replaceFrom(records []*messages.LogRecord) {
 	kept := units.Index(records[0].GetIndex()) - l.base - 1
-	// The capacity is cut too, so that no append writes into an array that an
-	// earlier message still refers to.
+	// The capacity is limited too, so that append does not write into an array
+	// that an earlier message still refers to.
 	l.records = append(l.records[:kept:kept], records...)
 }
 
@@ -91,21 +93,22 @@
 		return
 	}
 	term := l.termAt(index)
-	// A copy lets go of the array that holds the dropped records.
+	// Copying releases the array that holds the dropped records.
 	l.records = append([]*messages.LogRecord(nil), l.records[index-l.base:]...)
 	l.base, l.baseTerm = index, term
 }
 
-// from returns records from index on, bounded in number and bytes and at least one where there is one.
-func (l *recordLog) from(index units.Index, most, mostBytes int) []*messages.LogRecord {
+// recordsFrom returns the records from index on, up to maxCount records and maxBytes
+// bytes, but at least one if there is one.
+func (l *recordLog) recordsFrom(index units.Index, maxCount, maxBytes int) []*messages.LogRecord {
 	if index > l.lastIndex() {
 		return nil
 	}
-	last := min(l.lastIndex(), index+units.Index(most)-1)
+	last := min(l.lastIndex(), index+units.Index(maxCount)-1)
 	size := 0
 	for i := index; i <= last; i++ {
 		size += proto.Size(l.at(i))
-		if size > mostBytes && i > index {
+		if size > maxBytes && i > index {
 			last = i - 1
 			break
 		}
@@ -113,7 +116,7 @@
 	return l.between(index, last)
 }
 
-// between returns the records from first to last, both included.
+// between returns the records from first to last, inclusive.
 func (l *recordLog) between(first, last units.Index) []*messages.LogRecord {
 	return l.records[first-l.base-1 : last-l.base]
 }
--- a/src/replicator/membership.go
+++ b/src/replicator/membership.go
@@ -10,16 +10,16 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// placedMembership is a membership with its place in the log.
-type placedMembership struct {
+// indexedMembership is a membership with its index in the log.
+type indexedMembership struct {
 	index      units.Index
 	membership *messages.Membership
 }
 
 // memberships holds the snapshot's membership and those of later records. The
-// last one counts as soon as it stands in the log, committed or not: majorities
+// last one is in effect as soon as it is in the log, committed or not: majorities
 // of two memberships that differ in one voter overlap.
-type memberships []placedMembership
+type memberships []indexedMembership
 
 func (m memberships) current() *messages.Membership {
 	if len(m) == 0 {
@@ -35,7 +35,7 @@
 	return m[len(m)-1].index
 }
 
-// at returns the membership that counts at index.
+// at returns the membership in effect at index.
 func (m memberships) at(index units.Index) *messages.Membership {
 	for i := len(m) - 1; i > 0; i-- {
 		if m[i].index <= index {
@@ -45,7 +45,7 @@
 	return m[0].membership
 }
 
-// replaceFrom forgets the memberships of records that are replaced and adds the new ones.
+// replaceFrom drops the memberships of replaced records and adds those of the new ones.
 func (m memberships) replaceFrom(records []*messages.LogRecord) memberships {
 	first := units.Index(records[0].GetIndex())
 	for len(m) > 1 && m[len(m)-1].index >= first {
@@ -53,7 +53,7 @@
 	}
 	for _, record := range records {
 		if membership := record.GetCommand().GetMembership(); membership != nil {
-			m = append(m, placedMembership{
+			m = append(m, indexedMembership{
 				index:      units.Index(record.GetIndex()),
 				membership: membership,
 			})
@@ -62,15 +62,15 @@
 	return m
 }
 
-// compact makes the membership at index the first.
+// compact drops the memberships before the one in effect at index.
 func (m memberships) compact(index units.Index) memberships {
 	kept := memberships{{
 		index:      index,
 		membership: m.at(index),
 	}}
-	for _, placed := range m[1:] {
-		if placed.index > index {
-			kept = append(kept, placed)
+	for _, later := range m[1:] {
+		if later.index > index {
+			kept = append(kept, later)
 		}
 	}
 	return kept
@@ -86,30 +86,30 @@
 	return voters
 }
 
-// refreshMembership takes over the membership that counts now.
-func (n *Node) refreshMembership(now time.Time) {
+// updateMembership adopts the membership that is now in effect.
+func (n *Node) updateMembership(now time.Time) {
 	membership := n.memberships.current()
 	if proto.Equal(membership, n.membership) {
 		return
 	}
 	n.membership = membership
 	n.voters = votersOf(membership)
-	n.act(MembershipChanged{Membership: membership})
+	n.emit(MembershipChanged{Membership: membership})
 	if n.role == Leader {
-		n.refreshPeers(now)
+		n.updatePeers(now)
 	}
 }
 
-// refreshPeers keeps the progress of members that stay.
-func (n *Node) refreshPeers(now time.Time) {
+// updatePeers tracks the current members and keeps the progress of those that remain.
+func (n *Node) updatePeers(now time.Time) {
 	peers := make(map[units.VoterID]*progress)
-	for _, peer := range n.others() {
+	for _, peer := range n.otherMembers() {
 		peers[peer] = n.peers[peer]
 		if peers[peer] == nil {
 			peers[peer] = &progress{
-				next:   n.log.lastIndex() + 1,
-				since:  now,
-				sentAt: make(map[uint64]time.Time),
+				next:         n.log.lastIndex() + 1,
+				trackedSince: now,
+				roundSentAt:  make(map[uint64]time.Time),
 			}
 		}
 	}
@@ -120,27 +120,27 @@
 
 func (n *Node) quorum() int { return len(n.voters)/2 + 1 }
 
-// others returns the other members in the order of the membership.
-func (n *Node) others() []units.VoterID {
-	var others []units.VoterID
+// otherMembers returns the ids of the other members in the order of the membership.
+func (n *Node) otherMembers() []units.VoterID {
+	var otherMembers []units.VoterID
 	for _, member := range n.membership.GetMembers() {
 		if id := units.VoterID(member.GetId()); id != n.options.ID {
-			others = append(others, id)
+			otherMembers = append(otherMembers, id)
 		}
 	}
-	return others
+	return otherMembers
 }
 
-// mayChange reports whether a membership may follow the current one. A second
-// change before the first is committed, or one before this leader has committed
-// a record of its own term, could leave two majorities without a common voter.
-func (n *Node) mayChange() bool {
+// canChangeMembership reports whether a new membership may be proposed. A second
+// change before the first is committed, or one before this leader has committed a
+// record of its own term, could lead to two majorities without a common voter.
+func (n *Node) canChangeMembership() bool {
 	return n.memberships.lastIndex() <= n.commit && n.log.termAt(n.commit) == n.term
 }
 
-// allowed reports whether next is one step from the current membership: at most
-// one voter more or less, and this leader among them.
-func (n *Node) allowed(next *messages.Membership) bool {
+// canChangeTo reports whether next may follow the current membership now: at most
+// one voter is added or removed, and this leader remains a voter.
+func (n *Node) canChangeTo(next *messages.Membership) bool {
 	voters := votersOf(next)
 	if !slices.Contains(voters, n.options.ID) || next.GetNumber() != n.membership.GetNumber()+1 {
 		return false
@@ -156,5 +156,5 @@
 			changes++
 		}
 	}
-	return changes <= 1 && n.mayChange()
+	return changes <= 1 && n.canChangeMembership()
 }
--- a/src/replicator/node.go
+++ b/src/replicator/node.go
@@ -11,7 +11,7 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// Role is a voter's part in the current term.
+// Role is a voter's role in the current term.
 type Role int
 
 // The roles of a voter.
@@ -22,7 +22,7 @@
 	Leader
 )
 
-// String returns the role's name as dumps and logs show it.
+// String returns the role's name for dumps and logs.
 func (r Role) String() string {
 	return [...]string{"follower", "pre-candidate", "candidate", "leader"}[r]
 }
@@ -33,45 +33,52 @@
 	maxRecordBytes = 1 << 20
 	// pieceBytes bounds one piece of a snapshot.
 	pieceBytes = 256 << 10
-	// electionSpread is the random part of an election timeout, in election timeouts.
-	electionSpread = 1.0
-	// maxRounds bounds the unanswered heartbeat rounds that a leader remembers.
-	maxRounds = 64
-	// driftShare is the part of an election timeout that clocks may drift apart in it.
-	driftShare = 10
-	// greetAfter is the silence after which a voter looks for its log, in election timeouts.
-	greetAfter = 2
-	// spareExpiry is how long a spare counts after its last hello, in election timeouts.
+	// electionJitter is the largest random addition to an election timeout, in
+	// election timeouts.
+	electionJitter = 1.0
+	// maxPendingRounds bounds the unanswered heartbeat rounds that a leader tracks.
+	maxPendingRounds = 64
+	// clockDriftDivisor bounds clock drift: during one election timeout, two clocks
+	// drift apart by at most the timeout divided by it.
+	clockDriftDivisor = 10
+	// helloSilence is the time without a leader after which a voter sends hellos, in
+	// election timeouts; answers to hellos expire after the same time.
+	helloSilence = 2
+	// spareExpiry is how long a spare is usable after its last hello, in election timeouts.
 	spareExpiry = 4
-	// retainedShare is the part of a snapshot's interval that stays in the log behind it.
-	retainedShare = 4
+	// retainedDivisor sets how much stays in the log before a snapshot's index: the
+	// interval between snapshots divided by it.
+	retainedDivisor = 4
 )
 
-// Options sets up a voter; every field is needed.
+// Options configures a voter; every field but Joining is required.
 type Options struct {
 	ID         units.VoterID
 	DataCentre units.DataCentre
-	// Instances are all that may carry control, this one included, in the order
-	// that all of them are told.
+	// Instances are all instances that may run a voter, including this one, in an
+	// order that is the same in the settings of each.
 	Instances []Place
-	// Joining keeps this voter from founding a log; it waits until one takes it
-	// in. An instance that comes back with an empty disk would otherwise help to
-	// begin an empty log beside the one that it has forgotten.
+	// Joining keeps this voter from starting a log; it waits until it is added to
+	// one. An instance that returns with an empty disk would otherwise help to
+	// start an empty log beside the one that it belonged to.
 	Joining bool
 	// Voters is the wanted number of voters.
 	Voters    int
 	Heartbeat time.Duration
-	// Election is the least silence after which a voter tries to lead.
+	// Election is the minimum time without contact to a leader after which a voter
+	// starts an election.
 	Election time.Duration
-	// Repair is the silence after which a voter is replaced by a spare.
+	// Repair is the time without an answer after which a voter is replaced by a spare.
 	Repair time.Duration
-	// SnapshotRecords and SnapshotBytes are how much is applied between snapshots.
+	// SnapshotRecords and SnapshotBytes are how much is applied between snapshots;
+	// the first to be reached triggers one.
 	SnapshotRecords units.Index
 	SnapshotBytes   int
 	Random          *rand.Rand
 }
 
-// Stored is what a voter had on disk; Snapshot is nil where it belongs to no log.
+// Stored is the state that a voter read from disk; Snapshot is nil if it belongs to
+// no log.
 type Stored struct {
 	State    *messages.HardState
 	Snapshot *messages.LogSnapshot
@@ -79,7 +86,7 @@
 	Records  []*messages.LogRecord
 }
 
-// Node decides for one voter.
+// Node is the state machine of one voter.
 type Node struct {
 	options Options
 
@@ -89,53 +96,53 @@
 	commit   units.Index
 	applied  units.Index
 
-	logID         string
-	snapshot      *messages.LogSnapshot
-	encoded       []byte
-	appliedBytes  int
-	snapshotAsked bool
-	incoming      *incoming
-
-	memberships memberships
-	membership  *messages.Membership
-	voters      []units.VoterID
-	greetings   map[units.Instance]greeting
-	// met are instances that spoke or were spoken of, with their data centre, ""
-	// until they say it.
-	met     map[units.Instance]units.DataCentre
-	greetAt time.Time
-	spares  map[units.VoterID]*spare
-
-	role      Role
-	leader    units.Instance
-	leadSince time.Time
-	deadline  time.Time
-	heardAt   time.Time
-	start     start
-	votes     map[units.VoterID]bool
-	peers     map[units.VoterID]*progress
-	round     uint64
-	beatAt    time.Time
-	reported  RoleChanged
+	logID                string
+	snapshot             *messages.LogSnapshot
+	encodedSnapshotBytes []byte
+	appliedBytes         int
+	snapshotRequested    bool
+	incomingSnapshot     *incomingSnapshot
+
+	memberships  memberships
+	membership   *messages.Membership
+	voters       []units.VoterID
+	helloAnswers map[units.Instance]helloAnswer
+	// knownInstances are instances that sent a message or were named in one, with
+	// their data centre, "" until they report it.
+	knownInstances map[units.Instance]units.DataCentre
+	nextHelloAt    time.Time
+	spares         map[units.VoterID]*spare
+
+	role             Role
+	leader           units.Instance
+	leaderSince      time.Time
+	electionDeadline time.Time
+	leaderContactAt  time.Time
+	start            start
+	votes            map[units.VoterID]bool
+	peers            map[units.VoterID]*progress
+	round            uint64
+	nextHeartbeatAt  time.Time
+	reportedRole     RoleChanged
 
 	actions []Action
 }
 
-// progress is what a leader knows of one other member.
+// progress is a leader's replication state for one other member.
 type progress struct {
 	next  units.Index
 	match units.Index
-	// since is when this leader began to count the member.
-	since   time.Time
-	ackedAt time.Time
-	// sentAt holds when each unanswered heartbeat round began, since a lease
-	// counts from the sending of a heartbeat and not from its answer.
-	sentAt   map[uint64]time.Time
-	transfer *transfer
+	// trackedSince is when this leader started to track the member.
+	trackedSince time.Time
+	ackedAt      time.Time
+	// roundSentAt holds when each unanswered heartbeat round was sent, since a lease
+	// starts when a heartbeat is sent and not when it is answered.
+	roundSentAt      map[uint64]time.Time
+	snapshotTransfer *snapshotTransfer
 }
 
-// New returns a voter that resumes from what it had stored; the replicated state
-// must stand as in the stored snapshot.
+// New returns a voter that resumes from its stored state; the replicated state must
+// already be that of the stored snapshot.
 func New(now time.Time, options Options, stored Stored) *Node {
 	n := &Node{
 		options:  options,
@@ -146,23 +153,23 @@
 			baseTerm: units.Term(stored.Base.GetBaseTerm()),
 			records:  stored.Records,
 		},
-		snapshot:  stored.Snapshot,
-		logID:     stored.Snapshot.GetLogId(),
-		commit:    units.Index(stored.Snapshot.GetIndex()),
-		applied:   units.Index(stored.Snapshot.GetIndex()),
-		greetings: make(map[units.Instance]greeting),
-		met:       make(map[units.Instance]units.DataCentre),
-		spares:    make(map[units.VoterID]*spare),
-		// A voter that restarts has forgotten when it last heard its leader. It
-		// would help to elect another while the lease runs, and both would
-		// answer; counting the start as a heartbeat keeps the lease true.
-		heardAt: now,
+		snapshot:       stored.Snapshot,
+		logID:          stored.Snapshot.GetLogId(),
+		commit:         units.Index(stored.Snapshot.GetIndex()),
+		applied:        units.Index(stored.Snapshot.GetIndex()),
+		helloAnswers:   make(map[units.Instance]helloAnswer),
+		knownInstances: make(map[units.Instance]units.DataCentre),
+		spares:         make(map[units.VoterID]*spare),
+		// A restarted voter does not know when its leader last contacted it. It
+		// could help to elect another leader while the lease runs, and both would
+		// answer. Counting the start as a heartbeat keeps the lease valid.
+		leaderContactAt: now,
 		start: start{
-			at:    now,
-			nonce: options.Random.Uint64(),
+			startedAt: now,
+			nonce:     options.Random.Uint64(),
 		},
 	}
-	if n.founded() {
+	if n.hasLog() {
 		n.memberships = memberships{{
 			index:      n.commit,
 			membership: n.snapshot.GetMembership(),
@@ -170,9 +177,9 @@
 		if n.log.lastIndex() > n.commit {
 			n.memberships = n.memberships.replaceFrom(n.log.between(n.commit+1, n.log.lastIndex()))
 		}
-		n.refreshMembership(now)
+		n.updateMembership(now)
 	}
-	n.resetDeadline(now)
+	n.resetElectionDeadline(now)
 	return n
 }
 
@@ -187,20 +194,21 @@
 	case Proposed:
 		n.propose(now, e)
 	case SnapshotTaken:
-		n.keepSnapshot(now, e)
+		n.storeSnapshot(now, e)
 	}
 	n.apply()
 	n.reportRole()
 	return n.actions
 }
 
-// Lead reports whether this voter leads and a majority confirmed it within an election timeout.
+// Lead reports whether this voter is the leader and holds a valid lease, which a
+// majority has confirmed within an election timeout.
 //
-// A frozen leader wakes with its old role. Its followers may have elected
-// another by then, so that it would answer from the past; the lease makes it
-// step back before it answers, since no voter votes within that time. It also
-// has to have committed a record of its own term: before that it may lack what
-// an earlier leader told an operator.
+// A suspended leader resumes with its old role, although its followers may have
+// elected another by then, and it would answer with outdated state. The lease
+// prevents this, since no voter grants a vote before it ends. The leader must also
+// have committed a record of its own term: before that it may lack changes that an
+// earlier leader has reported to an operator.
 func (n *Node) Lead(now time.Time) bool {
 	return n.role == Leader && now.Before(n.leaseEnd(now)) && n.log.termAt(n.commit) == n.term
 }
@@ -211,16 +219,16 @@
 // Identity returns this voter's id.
 func (n *Node) Identity() units.VoterID { return n.options.ID }
 
-// LogID names the log that this voter belongs to, "" for none.
+// LogID returns the id of the log that this voter belongs to, "" for none.
 func (n *Node) LogID() string { return n.logID }
 
-// Membership returns the voters and learners that count, nil before the founding.
+// Membership returns the voters and learners in effect, nil without a log.
 func (n *Node) Membership() *messages.Membership { return n.membership }
 
 // SnapshotIndex returns the index of the last record that the snapshot covers.
 func (n *Node) SnapshotIndex() units.Index { return units.Index(n.snapshot.GetIndex()) }
 
-// LeaderID returns the leader this voter knows of, or "" for none.
+// LeaderID returns the known leader, or "" for none.
 func (n *Node) LeaderID() units.Instance { return n.leader }
 
 // Commit returns the index of the last record known to be committed.
@@ -234,33 +242,34 @@
 
 func (n *Node) tick(now time.Time) {
 	if n.role == Leader {
-		n.lead(now)
+		n.tickLeader(now)
 		return
 	}
-	n.greet(now)
-	n.tellStart(now)
-	if n.isVoter() && !now.Before(n.deadline) {
+	n.sendHellos(now)
+	n.announceStart(now)
+	if n.isVoter() && !now.Before(n.electionDeadline) {
 		n.campaign(now, true)
 	}
 }
 
-func (n *Node) lead(now time.Time) {
-	// Check-quorum: a leader that a silent cut has isolated steps down, so that
-	// operators get no answers from it and find the new leader.
-	grace := n.leadSince.Add(n.options.Election)
+func (n *Node) tickLeader(now time.Time) {
+	// Check quorum: a leader that a silent network partition has isolated steps
+	// down, so that operators get no answers from it and find the new leader.
+	grace := n.leaderSince.Add(n.options.Election)
 	if !now.Before(n.leaseEnd(now)) && !now.Before(grace) {
 		n.becomeFollower(now, n.term, "")
 		return
 	}
-	if !now.Before(n.beatAt) {
-		n.broadcast(now)
+	if !now.Before(n.nextHeartbeatAt) {
+		n.broadcastAppend(now)
 	}
 	n.repair(now)
 }
 
-// leaseEnd is an election timeout, less what clocks may drift apart in it, after
-// the latest moment at which a majority, this voter included, is known to have
-// heard this leader. Votes give no lease: a voter may give its next one at once.
+// leaseEnd returns the end of this leader's lease: an election timeout, less the
+// possible clock drift in it, after the latest time at which a majority, including
+// this voter, is known to have received a heartbeat. Votes extend no lease: a voter
+// may grant its next vote immediately.
 func (n *Node) leaseEnd(now time.Time) time.Time {
 	acked := make([]time.Time, 0, len(n.voters))
 	for _, voter := range n.voters {
@@ -271,26 +280,26 @@
 		acked = append(acked, n.peers[voter].ackedAt)
 	}
 	slices.SortFunc(acked, func(a, b time.Time) int { return b.Compare(a) })
-	lease := n.options.Election - n.options.Election/driftShare
+	lease := n.options.Election - n.options.Election/clockDriftDivisor
 	return acked[n.quorum()-1].Add(lease)
 }
 
-func (n *Node) campaign(now time.Time, pre bool) {
+func (n *Node) campaign(now time.Time, preVote bool) {
 	n.leader = ""
 	n.role = Candidate
 	term := n.term + 1
-	if pre {
+	if preVote {
 		n.role = PreCandidate
 	} else {
 		n.term = term
 		n.votedFor = n.options.ID
 		n.persistState()
 	}
-	n.resetDeadline(now)
+	n.resetElectionDeadline(now)
 	n.votes = map[units.VoterID]bool{
 		n.options.ID: true,
 	}
-	if n.wonVote(now, pre) {
+	if n.advanceIfElected(now, preVote) {
 		return
 	}
 	for _, peer := range n.voters {
@@ -300,17 +309,19 @@
 		n.sendTo(peer, term, &messages.LogMessage{
 			Body: &messages.LogMessage_VoteRequest{
 				VoteRequest: &messages.VoteRequest{
-					PreVote:    pre,
+					PreVote:    preVote,
 					LastIndex:  uint64(n.log.lastIndex()),
 					LastTerm:   uint64(n.log.lastTerm()),
-					AllStarted: n.start.proved,
+					AllStarted: n.start.allStarted,
 				},
 			},
 		})
 	}
 }
 
-func (n *Node) wonVote(now time.Time, pre bool) bool {
+// advanceIfElected moves on to the election or to leadership if a majority has
+// granted the vote, and reports whether it did.
+func (n *Node) advanceIfElected(now time.Time, preVote bool) bool {
 	granted := 0
 	for _, voter := range n.voters {
 		if n.votes[voter] {
@@ -320,7 +331,7 @@
 	if granted < n.quorum() {
 		return false
 	}
-	if pre {
+	if preVote {
 		n.campaign(now, false)
 		return true
 	}
@@ -337,34 +348,34 @@
 	n.role = Follower
 	n.leader = leader
 	n.peers = nil
-	n.resetDeadline(now)
+	n.resetElectionDeadline(now)
 }
 
 func (n *Node) becomeLeader(now time.Time) {
 	n.role = Leader
-	n.start.over = true
+	n.start.hadLeader = true
 	n.leader = n.options.ID.Instance()
-	n.leadSince = now
+	n.leaderSince = now
 	n.spares = make(map[units.VoterID]*spare)
 	n.peers = nil
-	n.refreshPeers(now)
-	// A leader commits only records of its own term: an older one that a
+	n.updatePeers(now)
+	// A leader commits only records of its own term: an older record that a
 	// majority holds can still be overwritten, so that a command would be
-	// acknowledged and then lost. The empty record commits all before it.
+	// acknowledged and then lost. The empty record commits all records before it.
 	n.appendRecord(now, nil)
 }
 
 func (n *Node) propose(now time.Time, e Proposed) {
 	membership := e.Command.GetMembership()
-	if n.role != Leader || membership != nil && !n.allowed(membership) {
-		n.act(Rejected{
+	if n.role != Leader || membership != nil && !n.canChangeTo(membership) {
+		n.emit(Rejected{
 			Token:  e.Token,
 			Leader: n.leader,
 		})
 		return
 	}
 	index := n.appendRecord(now, e.Command)
-	n.act(Appended{
+	n.emit(Appended{
 		Token: e.Token,
 		Term:  n.term,
 		Index: index,
@@ -377,31 +388,31 @@
 		Index:   uint64(n.log.lastIndex() + 1),
 		Command: command,
 	}
-	n.store(now, []*messages.LogRecord{record})
+	n.storeRecords(now, []*messages.LogRecord{record})
 	n.advanceCommit()
-	n.broadcast(now)
+	n.broadcastAppend(now)
 	return units.Index(record.GetIndex())
 }
 
-func (n *Node) store(now time.Time, records []*messages.LogRecord) {
+func (n *Node) storeRecords(now time.Time, records []*messages.LogRecord) {
 	n.log.replaceFrom(records)
-	n.act(Persist{
+	n.emit(Persist{
 		State:   n.hardState(),
 		Records: records,
 	})
 	n.memberships = n.memberships.replaceFrom(records)
-	n.refreshMembership(now)
+	n.updateMembership(now)
 }
 
 func (n *Node) persistState() {
-	n.act(Persist{State: n.hardState()})
+	n.emit(Persist{State: n.hardState()})
 }
 
 func (n *Node) hardState() *messages.HardState {
 	return &messages.HardState{
 		Term:     uint64(n.term),
 		VotedFor: string(n.votedFor),
-		Founded:  n.founded(),
+		Founded:  n.hasLog(),
 	}
 }
 
@@ -411,46 +422,46 @@
 	}
 	records := n.log.between(n.applied+1, n.commit)
 	n.applied = n.commit
-	n.act(Apply{Records: records})
+	n.emit(Apply{Records: records})
 	for _, record := range records {
 		n.appliedBytes += proto.Size(record)
 	}
-	n.askSnapshot()
+	n.requestSnapshot()
 }
 
 func (n *Node) reportRole() {
-	now := RoleChanged{
+	current := RoleChanged{
 		Role:   n.role,
 		Term:   n.term,
 		Leader: n.leader,
 	}
-	if now == n.reported {
+	if current == n.reportedRole {
 		return
 	}
-	n.reported = now
-	n.act(now)
+	n.reportedRole = current
+	n.emit(current)
 }
 
-func (n *Node) resetDeadline(now time.Time) {
-	spread := time.Duration(n.options.Random.Float64() * electionSpread * float64(n.options.Election))
-	n.deadline = now.Add(n.options.Election + spread)
+func (n *Node) resetElectionDeadline(now time.Time) {
+	jitter := time.Duration(n.options.Random.Float64() * electionJitter * float64(n.options.Election))
+	n.electionDeadline = now.Add(n.options.Election + jitter)
 }
 
-// sendTo addresses a message and sends it.
+// sendTo fills in a message's header and sends it.
 func (n *Node) sendTo(to units.VoterID, term units.Term, message *messages.LogMessage) {
 	message.From = string(n.options.ID)
 	message.To = string(to)
 	message.Term = uint64(term)
 	message.LogId = n.logID
-	n.act(Send{Message: message})
+	n.emit(Send{Message: message})
 }
 
-func (n *Node) act(action Action) {
+func (n *Node) emit(action Action) {
 	n.actions = append(n.actions, action)
 }
 
-// LeaseEnd returns until when this voter leads unless it hears from its followers
-// again, and the zero time where it does not lead.
+// LeaseEnd returns when this voter's leadership ends unless its followers confirm it
+// again, and the zero time if this voter is not the leader.
 func (n *Node) LeaseEnd(now time.Time) time.Time {
 	if !n.Lead(now) {
 		return time.Time{}
