--- a/src/replicator/receive.go
+++ b/src/replicator/receive.go
@@ -9,38 +9,39 @@
 )
 
 func (n *Node) receive(now time.Time, m *messages.LogMessage) {
-	if n.replaces(m) {
-		n.tellReplaced(m)
+	if n.isReplacementFor(m) {
+		n.sendReplaced(m)
 		return
 	}
-	if !n.isFor(m) {
+	if !n.isAddressedTo(m) {
 		return
 	}
 	switch body := m.GetBody().(type) {
 	case *messages.LogMessage_VoteRequest:
-		n.answerVote(now, m, body.VoteRequest)
+		n.handleVoteRequest(now, m, body.VoteRequest)
 	case *messages.LogMessage_VoteResponse:
-		n.countVote(now, m, body.VoteResponse)
+		n.handleVoteResponse(now, m, body.VoteResponse)
 	case *messages.LogMessage_AppendRequest:
-		n.follow(now, m, body.AppendRequest)
+		n.handleAppendRequest(now, m, body.AppendRequest)
 	case *messages.LogMessage_AppendResponse:
-		n.countAppend(now, m, body.AppendResponse)
+		n.handleAppendResponse(now, m, body.AppendResponse)
 	case *messages.LogMessage_Hello:
-		n.answerHello(now, m, body.Hello)
+		n.handleHello(now, m, body.Hello)
 	case *messages.LogMessage_HelloResponse:
-		n.countHello(now, m, body.HelloResponse)
+		n.handleHelloResponse(now, m, body.HelloResponse)
 	case *messages.LogMessage_SnapshotPiece:
-		n.receivePiece(now, m, body.SnapshotPiece)
+		n.handleSnapshotPiece(now, m, body.SnapshotPiece)
 	case *messages.LogMessage_SnapshotPieceResponse:
-		n.countPiece(now, m, body.SnapshotPieceResponse)
+		n.handleSnapshotPieceResponse(now, m, body.SnapshotPieceResponse)
 	case *messages.LogMessage_Start:
-		n.countStart(now, m, body.Start)
+		n.handleStart(now, m, body.Start)
 	}
 }
 
-// isFor refuses messages for an earlier identity of this instance, which made
-// promises that this one does not know of, and messages of another log.
-func (n *Node) isFor(m *messages.LogMessage) bool {
+// isAddressedTo reports whether a message is for this voter. It is not if it is for an
+// earlier identity of this instance, whose votes and acknowledgements this one does
+// not know, or if it belongs to another log.
+func (n *Node) isAddressedTo(m *messages.LogMessage) bool {
 	to := units.VoterID(m.GetTo())
 	switch m.GetBody().(type) {
 	case *messages.LogMessage_Hello:
@@ -48,40 +49,41 @@
 	case *messages.LogMessage_HelloResponse:
 		return to == n.options.ID
 	}
-	foreign := n.founded() && m.GetLogId() != "" && m.GetLogId() != n.logID
+	foreign := n.hasLog() && m.GetLogId() != "" && m.GetLogId() != n.logID
 	return to == n.options.ID && !foreign
 }
 
-func (n *Node) answerVote(now time.Time, m *messages.LogMessage, request *messages.VoteRequest) {
+func (n *Node) handleVoteRequest(now time.Time, m *messages.LogMessage, request *messages.VoteRequest) {
 	term := units.Term(m.GetTerm())
 	candidate := units.VoterID(m.GetFrom())
-	// Without a place in the membership this instance may have lost what an
-	// earlier life of it promised; its vote could help to elect a leader that
-	// lacks a committed change. A learner answers: the candidate counts it only
-	// where its own log makes it a voter, which a leader appends once the learner
-	// holds all that is committed. If it refused until it knew of that record
-	// itself, a leader lost in between would leave no majority to elect the next.
-	if !n.holds(n.options.ID) {
+	// An instance that is not a member may have lost what an earlier identity of it
+	// acknowledged; its vote could help to elect a leader that lacks a committed
+	// change. A learner answers: the candidate counts its vote only if the
+	// candidate's log makes it a voter, and a leader appends that record only once
+	// the learner holds all committed records. If the learner refused until it had
+	// received that record itself, the loss of the leader in between would leave no
+	// majority to elect the next.
+	if !n.isMember(n.options.ID) {
 		return
 	}
-	// A voter that hears a live leader grants nothing: one that was cut off
-	// would come back with a high term and depose a leader that serves well.
+	// A voter in contact with a live leader grants no vote: otherwise an instance
+	// returning from a partition with a high term would depose a working leader.
 	// The leader's lease depends on this refusal too.
-	if n.hearsLeader(now) && !n.leaseless(request) {
+	if n.hasLiveLeader(now) && !n.provesNoLease(request) {
 		return
 	}
 	if term > n.term && !request.GetPreVote() {
 		n.becomeFollower(now, term, "")
 	}
-	granted := term >= n.term && n.log.olderOrEqual(request) && n.mayVote(term, candidate, request.GetPreVote())
+	granted := term >= n.term && n.log.isCandidateUpToDate(request) && n.canVote(term, candidate, request.GetPreVote())
 	if granted && !request.GetPreVote() {
 		n.votedFor = candidate
 		n.persistState()
-		n.resetDeadline(now)
+		n.resetElectionDeadline(now)
 	}
-	// A refusal carries this voter's own term. A candidate that is behind takes
-	// it over; otherwise one with the newest log could ask for ever in a term
-	// that the others have passed, and nobody would lead.
+	// A refusal carries this voter's own term, which a candidate that is behind
+	// adopts. Otherwise the one with the most up-to-date log could request votes
+	// forever in a term that the others have passed, and no leader would be elected.
 	answerTerm := n.term
 	if granted {
 		answerTerm = term
@@ -96,21 +98,21 @@
 	})
 }
 
-func (n *Node) mayVote(term units.Term, candidate units.VoterID, pre bool) bool {
-	if pre {
+func (n *Node) canVote(term units.Term, candidate units.VoterID, preVote bool) bool {
+	if preVote {
 		return term > n.term
 	}
 	return n.votedFor == "" || n.votedFor == candidate
 }
 
-func (n *Node) hearsLeader(now time.Time) bool {
+func (n *Node) hasLiveLeader(now time.Time) bool {
 	if n.role == Leader {
 		return n.Lead(now)
 	}
-	return now.Before(n.heardAt.Add(n.options.Election))
+	return now.Before(n.leaderContactAt.Add(n.options.Election))
 }
 
-func (n *Node) countVote(now time.Time, m *messages.LogMessage, response *messages.VoteResponse) {
+func (n *Node) handleVoteResponse(now time.Time, m *messages.LogMessage, response *messages.VoteResponse) {
 	term := units.Term(m.GetTerm())
 	if !response.GetGranted() {
 		if term > n.term {
@@ -118,55 +120,55 @@
 		}
 		return
 	}
-	asked := n.role == Candidate && !response.GetPreVote() && term == n.term
-	preAsked := n.role == PreCandidate && response.GetPreVote() && term == n.term+1
-	if !asked && !preAsked {
+	voteRequested := n.role == Candidate && !response.GetPreVote() && term == n.term
+	preVoteRequested := n.role == PreCandidate && response.GetPreVote() && term == n.term+1
+	if !voteRequested && !preVoteRequested {
 		return
 	}
 	n.votes[units.VoterID(m.GetFrom())] = true
-	n.wonVote(now, response.GetPreVote())
+	n.advanceIfElected(now, response.GetPreVote())
 }
 
-func (n *Node) follow(now time.Time, m *messages.LogMessage, request *messages.AppendRequest) {
+func (n *Node) handleAppendRequest(now time.Time, m *messages.LogMessage, request *messages.AppendRequest) {
 	term := units.Term(m.GetTerm())
 	leader := units.VoterID(m.GetFrom())
 	response := &messages.AppendResponse{
 		Round: request.GetRound(),
 	}
 	if term < n.term {
-		n.respond(leader, response)
+		n.sendAppendResponse(leader, response)
 		return
 	}
 	n.becomeFollower(now, term, leader.Instance())
-	n.hear(now)
-	if !n.founded() {
+	n.recordLeaderContact(now)
+	if !n.hasLog() {
 		response.NeedsSnapshot = true
-		n.respond(leader, response)
+		n.sendAppendResponse(leader, response)
 		return
 	}
 	previous := units.Index(request.GetPreviousIndex())
 	if !n.log.matches(previous, units.Term(request.GetPreviousTerm())) {
-		response.Index = uint64(n.log.conflict(previous))
-		n.respond(leader, response)
+		response.Index = uint64(n.log.conflictIndex(previous))
+		n.sendAppendResponse(leader, response)
 		return
 	}
-	if fresh := n.log.unknown(request.GetRecords()); len(fresh) > 0 {
-		// A leader that contradicts a committed record means that a promise was
-		// broken somewhere; to follow it would lose an acknowledged change.
-		if first := units.Index(fresh[0].GetIndex()); first <= n.commit {
-			n.act(Halt{Err: &ContradictionError{Leader: leader, Index: first}})
+	if newRecords := n.log.withoutKnown(request.GetRecords()); len(newRecords) > 0 {
+		// A leader that contradicts a committed record means that a guarantee of
+		// the protocol was violated; following it would lose an acknowledged change.
+		if first := units.Index(newRecords[0].GetIndex()); first <= n.commit {
+			n.emit(Halt{Err: &ContradictionError{Leader: leader, Index: first}})
 			return
 		}
-		n.store(now, fresh)
+		n.storeRecords(now, newRecords)
 	}
 	last := previous + units.Index(len(request.GetRecords()))
 	n.commit = max(n.commit, min(units.Index(request.GetCommit()), last))
 	response.Matched = true
 	response.Index = uint64(last)
-	n.respond(leader, response)
+	n.sendAppendResponse(leader, response)
 }
 
-func (n *Node) respond(leader units.VoterID, response *messages.AppendResponse) {
+func (n *Node) sendAppendResponse(leader units.VoterID, response *messages.AppendResponse) {
 	n.sendTo(leader, n.term, &messages.LogMessage{
 		Body: &messages.LogMessage_AppendResponse{
 			AppendResponse: response,
@@ -174,7 +176,7 @@
 	})
 }
 
-func (n *Node) countAppend(now time.Time, m *messages.LogMessage, response *messages.AppendResponse) {
+func (n *Node) handleAppendResponse(now time.Time, m *messages.LogMessage, response *messages.AppendResponse) {
 	term := units.Term(m.GetTerm())
 	if term > n.term {
 		n.becomeFollower(now, term, "")
@@ -188,33 +190,33 @@
 	if p == nil {
 		return
 	}
-	p.confirm(response.GetRound())
+	p.confirmRound(response.GetRound())
 	index := units.Index(response.GetIndex())
 	switch {
-	case p.transfer != nil:
-		// The empty heartbeats beside a transfer tell nothing of the log.
+	case p.snapshotTransfer != nil:
+		// Answers to the empty heartbeats during a transfer say nothing about the log.
 	case response.GetNeedsSnapshot():
 		n.sendPiece(now, from)
 	case !response.GetMatched():
-		n.stepBack(now, from, index)
+		n.retryAppend(now, from, index)
 	default:
-		n.countMatch(now, from, index)
+		n.updateMatch(now, from, index)
 	}
 }
 
-// stepBack sends again from where the follower's log may match.
-func (n *Node) stepBack(now time.Time, from units.VoterID, index units.Index) {
+// retryAppend resends from the index at which the follower's log may match.
+func (n *Node) retryAppend(now time.Time, from units.VoterID, index units.Index) {
 	p := n.peers[from]
 	p.next = max(p.match+1, min(index, p.next))
 	n.sendAppend(now, from)
 }
 
-func (n *Node) countMatch(now time.Time, from units.VoterID, index units.Index) {
+func (n *Node) updateMatch(now time.Time, from units.VoterID, index units.Index) {
 	p := n.peers[from]
 	p.match = max(p.match, index)
 	p.next = max(p.next, p.match+1)
 	if n.advanceCommit() {
-		n.broadcast(now)
+		n.broadcastAppend(now)
 		return
 	}
 	if p.next <= n.log.lastIndex() {
@@ -222,22 +224,25 @@
 	}
 }
 
-func (p *progress) confirm(round uint64) {
-	sent, known := p.sentAt[round]
+// confirmRound records that the member has answered a heartbeat round, and with it
+// all earlier ones.
+func (p *progress) confirmRound(round uint64) {
+	sentAt, known := p.roundSentAt[round]
 	if !known {
 		return
 	}
-	for old := range p.sentAt {
-		if old <= round {
-			delete(p.sentAt, old)
+	for earlier := range p.roundSentAt {
+		if earlier <= round {
+			delete(p.roundSentAt, earlier)
 		}
 	}
-	if sent.After(p.ackedAt) {
-		p.ackedAt = sent
+	if sentAt.After(p.ackedAt) {
+		p.ackedAt = sentAt
 	}
 }
 
-// advanceCommit commits what a majority of the voters holds; learners do not count.
+// advanceCommit commits the records that a majority of the voters holds, and reports
+// whether there were new ones. Learners are not counted.
 func (n *Node) advanceCommit() bool {
 	matches := make([]units.Index, 0, len(n.voters))
 	for _, voter := range n.voters {
@@ -256,41 +261,41 @@
 	return true
 }
 
-func (n *Node) broadcast(now time.Time) {
+func (n *Node) broadcastAppend(now time.Time) {
 	n.round++
-	n.beatAt = now.Add(n.options.Heartbeat)
-	for _, peer := range n.others() {
+	n.nextHeartbeatAt = now.Add(n.options.Heartbeat)
+	for _, peer := range n.otherMembers() {
 		n.sendAppend(now, peer)
 	}
 }
 
 func (n *Node) sendAppend(now time.Time, peer units.VoterID) {
 	p := n.peers[peer]
-	if _, sent := p.sentAt[n.round]; !sent {
-		p.sentAt[n.round] = now
-		delete(p.sentAt, n.round-maxRounds)
+	if _, sent := p.roundSentAt[n.round]; !sent {
+		p.roundSentAt[n.round] = now
+		delete(p.roundSentAt, n.round-maxPendingRounds)
 	}
 	request := &messages.AppendRequest{
 		Round: n.round,
 	}
-	// The log no longer holds what this follower needs next: the snapshot goes
-	// in pieces, with empty heartbeats beside it.
-	if p.transfer != nil || p.next <= n.log.base {
-		n.sendRequest(peer, request)
+	// The log no longer holds the next record for this follower: the snapshot is
+	// sent in pieces, with empty heartbeats in between.
+	if p.snapshotTransfer != nil || p.next <= n.log.base {
+		n.sendAppendRequest(peer, request)
 		n.sendPiece(now, peer)
 		return
 	}
-	request.Records = n.log.from(p.next, maxRecords, maxRecordBytes)
+	request.Records = n.log.recordsFrom(p.next, maxRecords, maxRecordBytes)
 	request.PreviousIndex = uint64(p.next - 1)
 	request.PreviousTerm = uint64(n.log.termAt(p.next - 1))
 	request.Commit = uint64(n.commit)
-	// Sending goes on behind records that are under way; a lost one shows as a
-	// mismatch at the follower and is sent again.
+	// Appends are pipelined: later records are sent before earlier ones are
+	// acknowledged. A lost one causes a mismatch at the follower and is resent.
 	p.next += units.Index(len(request.GetRecords()))
-	n.sendRequest(peer, request)
+	n.sendAppendRequest(peer, request)
 }
 
-func (n *Node) sendRequest(peer units.VoterID, request *messages.AppendRequest) {
+func (n *Node) sendAppendRequest(peer units.VoterID, request *messages.AppendRequest) {
 	n.sendTo(peer, n.term, &messages.LogMessage{
 		Body: &messages.LogMessage_AppendRequest{
 			AppendRequest: request,
--- a/src/replicator/repair.go
+++ b/src/replicator/repair.go
@@ -11,27 +11,28 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// candidate is a member or spare as the repair sees it.
-type candidate struct {
+// memberStatus is the state of a member or spare that a repair depends on.
+type memberStatus struct {
 	id         units.VoterID
 	dataCentre units.DataCentre
 	learner    bool
 	self       bool
-	// live is false for a member that stayed silent for the repair period.
+	// live is false for a member that has not answered for the repair timeout, or
+	// whose instance has returned with another identity.
 	live bool
-	// current says that a learner holds all that is committed.
-	current bool
+	// caughtUp reports that a learner holds all committed records and has answered recently.
+	caughtUp bool
 }
 
-// repairPlan is what a repair decides on.
+// repairPlan is the input of a repair decision.
 type repairPlan struct {
 	wanted  int
-	members []candidate
-	spares  []candidate
+	members []memberStatus
+	spares  []memberStatus
 }
 
-// change is one step of a repair; an empty id is no step.
-type change struct {
+// membershipChange is one step of a repair; an empty id means no step.
+type membershipChange struct {
 	id     units.VoterID
 	kind   changeKind
 	centre units.DataCentre
@@ -47,75 +48,75 @@
 
 // next returns the next step towards the wanted number of live voters, spread
 // over data centres. A voter is added before one is removed: in between, the
-// larger set needs a majority that the newcomer helps to make.
-func (r *repairPlan) next() change {
+// larger set needs a larger majority, of which the new voter can be part.
+func (r *repairPlan) next() membershipChange {
 	for _, m := range r.members {
 		if m.learner {
-			return r.settleLearner(m)
+			return r.changeLearner(m)
 		}
 	}
 	if voters := r.voters(); len(voters) > r.wanted {
-		return r.dismiss(voters)
+		return r.removeVoter(voters)
 	}
 	best := r.bestSpare()
-	if best.id == "" || !r.helps(best.dataCentre) {
-		return change{}
+	if best.id == "" || !r.wouldImprove(best.dataCentre) {
+		return membershipChange{}
 	}
-	return change{
+	return membershipChange{
 		id:     best.id,
 		kind:   addLearner,
 		centre: best.dataCentre,
 	}
 }
 
-func (r *repairPlan) settleLearner(learner candidate) change {
+func (r *repairPlan) changeLearner(learner memberStatus) membershipChange {
 	switch {
-	case !learner.live || !r.helps(learner.dataCentre):
-		return change{
+	case !learner.live || !r.wouldImprove(learner.dataCentre):
+		return membershipChange{
 			id:   learner.id,
 			kind: remove,
 		}
-	case learner.current:
-		return change{
+	case learner.caughtUp:
+		return membershipChange{
 			id:   learner.id,
 			kind: promote,
 		}
 	}
-	return change{}
+	return membershipChange{}
 }
 
-// dismiss removes a voter that is gone, else one that shares its data centre. The
-// leader holds a majority, so that the rest keeps one.
-func (r *repairPlan) dismiss(voters []candidate) change {
-	worst := candidate{}
-	rank := -1
+// removeVoter removes a voter that is not live, or else one that shares its data
+// centre. The leader has a majority, so that the remaining voters still have one.
+func (r *repairPlan) removeVoter(voters []memberStatus) membershipChange {
+	worst := memberStatus{}
+	highest := -1
 	for _, v := range voters {
 		if v.self {
 			continue
 		}
-		own := 0
-		if r.inCentre(v.dataCentre) > 1 {
-			own = 1
+		priority := 0
+		if r.liveVotersIn(v.dataCentre) > 1 {
+			priority = 1
 		}
 		if !v.live {
-			own = 2
+			priority = 2
 		}
-		if own >= rank {
-			worst, rank = v, own
+		if priority >= highest {
+			worst, highest = v, priority
 		}
 	}
 	if worst.id == "" {
-		return change{}
+		return membershipChange{}
 	}
-	return change{
+	return membershipChange{
 		id:   worst.id,
 		kind: remove,
 	}
 }
 
-// helps reports whether a voter in this data centre would replace one that is
-// gone, or spread the voters further.
-func (r *repairPlan) helps(centre units.DataCentre) bool {
+// wouldImprove reports whether a voter in this data centre would replace one that is
+// not live, or spread the voters over more data centres.
+func (r *repairPlan) wouldImprove(centre units.DataCentre) bool {
 	live := 0
 	shared := false
 	for _, v := range r.voters() {
@@ -123,24 +124,25 @@
 			continue
 		}
 		live++
-		shared = shared || r.inCentre(v.dataCentre) > 1
+		shared = shared || r.liveVotersIn(v.dataCentre) > 1
 	}
-	return live < r.wanted || shared && r.inCentre(centre) == 0
+	return live < r.wanted || shared && r.liveVotersIn(centre) == 0
 }
 
-// bestSpare prefers a data centre without a live voter, then the lowest name.
-func (r *repairPlan) bestSpare() candidate {
-	best := candidate{}
+// bestSpare returns the spare in the data centre with the fewest live voters, and
+// among those the one with the lowest id.
+func (r *repairPlan) bestSpare() memberStatus {
+	best := memberStatus{}
 	for _, s := range r.spares {
-		if best.id == "" || r.inCentre(s.dataCentre) < r.inCentre(best.dataCentre) {
+		if best.id == "" || r.liveVotersIn(s.dataCentre) < r.liveVotersIn(best.dataCentre) {
 			best = s
 		}
 	}
 	return best
 }
 
-func (r *repairPlan) voters() []candidate {
-	var voters []candidate
+func (r *repairPlan) voters() []memberStatus {
+	var voters []memberStatus
 	for _, m := range r.members {
 		if !m.learner {
 			voters = append(voters, m)
@@ -149,8 +151,8 @@
 	return voters
 }
 
-// inCentre counts the live voters of a data centre.
-func (r *repairPlan) inCentre(centre units.DataCentre) int {
+// liveVotersIn returns the number of live voters in a data centre.
+func (r *repairPlan) liveVotersIn(centre units.DataCentre) int {
 	count := 0
 	for _, v := range r.voters() {
 		if v.live && v.dataCentre == centre {
@@ -160,15 +162,15 @@
 	return count
 }
 
-// repair proposes the next membership where one is needed.
+// repair proposes the next membership if one is needed.
 func (n *Node) repair(now time.Time) {
-	if !n.Lead(now) || !n.mayChange() {
+	if !n.Lead(now) || !n.canChangeMembership() {
 		return
 	}
 	plan := n.repairPlan(now)
 	if step := plan.next(); step.id != "" {
-		next := changed(n.membership, step)
-		if n.allowed(next) {
+		next := changeMembership(n.membership, step)
+		if n.canChangeTo(next) {
 			n.appendRecord(now, &messages.Command{
 				Change: &messages.Command_Membership{
 					Membership: next,
@@ -185,30 +187,30 @@
 	returned := make(map[units.Instance]bool)
 	for _, id := range slices.Sorted(maps.Keys(n.spares)) {
 		s := n.spares[id]
-		if now.Sub(s.heardAt) > n.options.Election*spareExpiry {
+		if now.Sub(s.lastHelloAt) > n.options.Election*spareExpiry {
 			delete(n.spares, id)
 			continue
 		}
-		if !n.holds(id) {
+		if !n.isMember(id) {
 			returned[id.Instance()] = true
-			plan.spares = append(plan.spares, candidate{
+			plan.spares = append(plan.spares, memberStatus{
 				id:         id,
 				dataCentre: s.dataCentre,
 			})
 		}
 	}
-	// The last member of an instance is its newest life.
+	// The last member of an instance is its newest identity.
 	for _, member := range slices.Backward(n.membership.GetMembers()) {
-		plan.members = append(plan.members, n.assess(now, member, returned))
+		plan.members = append(plan.members, n.statusOf(now, member, returned))
 		returned[units.VoterID(member.GetId()).Instance()] = true
 	}
 	slices.Reverse(plan.members)
 	return plan
 }
 
-func (n *Node) assess(now time.Time, member *messages.Member, returned map[units.Instance]bool) candidate {
+func (n *Node) statusOf(now time.Time, member *messages.Member, returned map[units.Instance]bool) memberStatus {
 	id := units.VoterID(member.GetId())
-	c := candidate{
+	c := memberStatus{
 		id:         id,
 		dataCentre: units.DataCentre(member.GetDataCentre()),
 		learner:    member.GetLearner(),
@@ -219,20 +221,22 @@
 		return c
 	}
 	p := n.peers[id]
-	heard := p.since
-	if p.ackedAt.After(heard) {
-		heard = p.ackedAt
+	lastContact := p.trackedSince
+	if p.ackedAt.After(lastContact) {
+		lastContact = p.ackedAt
 	}
-	// An instance that comes back under another identity has lost the disk of
-	// the old one, so that nothing is gained by waiting for it.
-	c.live = now.Sub(heard) <= n.options.Repair && !returned[id.Instance()]
-	// From its promotion to the removal of the voter that it replaces, the loss of
-	// the newcomer would leave no majority; one that was not just heard waits.
-	c.current = p.transfer == nil && p.match >= n.commit && now.Sub(p.ackedAt) < n.options.Election/2
+	// An instance that returns with another identity has lost the disk of the old
+	// one, so that waiting for the old one is pointless.
+	c.live = now.Sub(lastContact) <= n.options.Repair && !returned[id.Instance()]
+	// Between the promotion of a learner and the removal of the voter that it
+	// replaces, the loss of the new voter would leave no majority. So a learner that
+	// has not answered for half an election timeout is not promoted.
+	c.caughtUp = p.snapshotTransfer == nil && p.match >= n.commit && now.Sub(p.ackedAt) < n.options.Election/2
 	return c
 }
 
-func (n *Node) holds(id units.VoterID) bool {
+// isMember reports whether id is a voter or learner of the current membership.
+func (n *Node) isMember(id units.VoterID) bool {
 	for _, member := range n.membership.GetMembers() {
 		if units.VoterID(member.GetId()) == id {
 			return true
@@ -241,18 +245,18 @@
 	return false
 }
 
-// changed returns the membership after one step.
-func changed(membership *messages.Membership, step change) *messages.Membership {
+// changeMembership returns a copy of membership with one step applied.
+func changeMembership(membership *messages.Membership, step membershipChange) *messages.Membership {
 	next := &messages.Membership{
 		Number: membership.GetNumber() + 1,
 	}
 	for _, member := range membership.GetMembers() {
-		own := member.GetId() == string(step.id)
-		if own && step.kind == remove {
+		affected := member.GetId() == string(step.id)
+		if affected && step.kind == remove {
 			continue
 		}
 		kept := proto.CloneOf(member)
-		if own && step.kind == promote {
+		if affected && step.kind == promote {
 			kept.Learner = false
 		}
 		next.Members = append(next.Members, kept)
--- a/src/replicator/safety_test.go
+++ b/src/replicator/safety_test.go
@@ -12,60 +12,60 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// stepsPerRun times the 100 runs of rapid gives the steps of one check.
 const (
+	// stepsPerRun is the number of steps in each of rapid's 100 runs of a check.
 	stepsPerRun = 400
-	// mostMessages bounds how many messages are late at once.
-	mostMessages = 60
+	// maxInFlight bounds the delayed messages.
+	maxInFlight = 60
 )
 
-// Operators submit while messages are lost, doubled, reordered and cut one way
-// or both, instances crash before a write is synced, freeze and wake after their
-// lease, lose disks and start again. No schedule may give two leaders in a term,
-// change a committed record, take a version back, name two winners, or let a
-// leader answer from before what another operator was told.
-func TestPromisesHoldUnderFaults(t *testing.T) {
+// Operators submit while messages are lost, duplicated, reordered and cut in one
+// direction or both, and instances crash before a write is synced, are suspended
+// beyond their lease, lose disks and restart. No schedule may lead to two leaders in
+// a term, a changed committed record, a decreasing version, two winners of a version,
+// or a leader whose answer is older than what an operator has already received.
+func TestGuaranteesHoldUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		instances := rapid.SampledFrom([]int{3, 4, 5}).Draw(t, "instances")
-		chaos := &chaos{
-			draws:  t,
-			world:  newWorld(t, instances, 3),
-			voters: 3,
+		faultInjector := &faultInjector{
+			draws:   t,
+			cluster: newCluster(t, instances, 3),
+			voters:  3,
 		}
-		chaos.calm(60)
+		faultInjector.runWithoutFaults(60)
 		for range stepsPerRun {
-			chaos.act()
-			chaos.checkClaims()
+			faultInjector.injectFault()
+			faultInjector.checkLeaderVersions()
 		}
-		chaos.heal()
-		chaos.calm(1200)
-		chaos.checkAlive()
+		faultInjector.removeFaults()
+		faultInjector.runWithoutFaults(1200)
+		faultInjector.checkRecovered()
 	})
 }
 
-// chaos draws faults; it leaves a majority of the committed voters their disks,
-// since nothing can be promised beyond that.
-type chaos struct {
-	*world
+// faultInjector draws faults. It lets a majority of the committed voters keep their
+// disks, since the log guarantees nothing beyond that.
+type faultInjector struct {
+	*cluster
 	draws   *rapid.T
 	voters  int
 	version uint64
 }
 
-func (c *chaos) act() {
-	m := c.pick()
+func (c *faultInjector) injectFault() {
+	m := c.drawMember()
 	switch kind := rapid.IntRange(0, 99).Draw(c.draws, "kind"); {
 	case kind < 35:
 		c.tick(time.Duration(rapid.IntRange(1, 150).Draw(c.draws, "ms")) * time.Millisecond)
-		c.burst()
+		c.deliverSome()
 	case kind < 43:
 		c.tick(time.Duration(rapid.IntRange(400, 1200).Draw(c.draws, "ms")) * time.Millisecond)
 	case kind < 52:
-		c.pass()
+		c.deliverOne()
 	case kind < 58:
-		c.steady(rapid.IntRange(1, 100).Draw(c.draws, "steady"))
+		c.runWithSubmissions(rapid.IntRange(1, 100).Draw(c.draws, "steady"))
 	case kind < 68:
-		c.propose(m)
+		c.submitAt(m)
 	case kind < 74:
 		m.node = nil
 	case kind < 75:
@@ -73,27 +73,27 @@
 			other.node = nil
 		}
 	case kind < 87:
-		c.restart()
+		c.restartSome()
 	case kind < 91:
 		m.frozen = !m.frozen
 	case kind < 94:
 		other := rapid.SampledFrom(c.members).Draw(c.draws, "other")
-		c.cut[[2]units.Instance{m.name, other.name}] = true
+		c.cutLinks[[2]units.Instance{m.name, other.name}] = true
 		if rapid.Bool().Draw(c.draws, "both") {
-			c.cut[[2]units.Instance{other.name, m.name}] = true
+			c.cutLinks[[2]units.Instance{other.name, m.name}] = true
 		}
 	case kind < 96:
-		clear(c.cut)
+		clear(c.cutLinks)
 	default:
 		c.replaceDisk(m)
 	}
 }
 
-// steady lets time pass without losses but for the cuts, while operators submit
-// to everyone who takes itself for a leader.
-func (c *chaos) steady(rounds int) {
+// runWithSubmissions lets time pass without faults other than cut links, while
+// operators submit to every member that considers itself the leader.
+func (c *faultInjector) runWithSubmissions(rounds int) {
 	for round := range rounds {
-		c.calm(1)
+		c.runWithoutFaults(1)
 		if round%8 > 0 {
 			continue
 		}
@@ -106,8 +106,9 @@
 	}
 }
 
-// pick draws a member, a leader as often as not: its faults matter most.
-func (c *chaos) pick() *member {
+// drawMember draws a member, in half of the cases one that considers itself the
+// leader, since a leader's faults matter most.
+func (c *faultInjector) drawMember() *member {
 	candidates := c.members
 	if rapid.Bool().Draw(c.draws, "leading") {
 		var leading []*member
@@ -123,59 +124,61 @@
 	return rapid.SampledFrom(candidates).Draw(c.draws, "member")
 }
 
-func (c *chaos) restart() {
+func (c *faultInjector) restartSome() {
 	for _, m := range c.members {
 		if m.node == nil && rapid.IntRange(0, 2).Draw(c.draws, "start") > 0 {
-			m.offset += time.Duration(rapid.IntRange(-5000, 5000).Draw(c.draws, "jump")) * time.Millisecond
+			m.clockOffset += time.Duration(rapid.IntRange(-5000, 5000).Draw(c.draws, "jump")) * time.Millisecond
 			m.start(c.voters)
 		}
 	}
 }
 
-// burst delivers some of the messages in any order.
-func (c *chaos) burst() {
-	count := rapid.IntRange(0, len(c.bag)).Draw(c.draws, "burst")
+// deliverSome delivers some of the messages in random order, and loses some.
+func (c *faultInjector) deliverSome() {
+	count := rapid.IntRange(0, len(c.inFlight)).Draw(c.draws, "burst")
 	random := rand.New(rand.NewPCG(rapid.Uint64().Draw(c.draws, "order"), 0))
 	lost := rapid.SampledFrom([]int{0, 0, 10, 30}).Draw(c.draws, "lost")
 	for range count {
-		if len(c.bag) == 0 {
+		if len(c.inFlight) == 0 {
 			return
 		}
-		at := random.IntN(len(c.bag))
+		at := random.IntN(len(c.inFlight))
 		if random.IntN(100) < lost {
-			c.bag = slices.Delete(c.bag, at, at+1)
+			c.inFlight = slices.Delete(c.inFlight, at, at+1)
 			continue
 		}
-		c.deliver(at)
+		c.deliverAt(at)
 	}
-	if len(c.bag) > mostMessages {
-		c.bag = slices.Clone(c.bag[len(c.bag)-mostMessages:])
+	if len(c.inFlight) > maxInFlight {
+		c.inFlight = slices.Clone(c.inFlight[len(c.inFlight)-maxInFlight:])
 	}
 }
 
-// pass delivers, drops, doubles or crashes on one message.
-func (c *chaos) pass() {
-	if len(c.bag) == 0 {
+// deliverOne delivers, duplicates or drops one message, or crashes its receiver
+// while it handles the message.
+func (c *faultInjector) deliverOne() {
+	if len(c.inFlight) == 0 {
 		return
 	}
-	at := rapid.IntRange(0, len(c.bag)-1).Draw(c.draws, "message")
+	at := rapid.IntRange(0, len(c.inFlight)-1).Draw(c.draws, "message")
 	switch kind := rapid.IntRange(0, 19).Draw(c.draws, "fate"); {
 	case kind < 14:
-		c.deliver(at)
+		c.deliverAt(at)
 	case kind < 16:
-		c.hand(c.bag[at], -1)
+		c.deliverMessage(c.inFlight[at], -1)
 	case kind < 19:
-		c.bag = slices.Delete(c.bag, at, at+1)
+		c.inFlight = slices.Delete(c.inFlight, at, at+1)
 	default:
-		message := c.bag[at]
-		c.bag = slices.Delete(c.bag, at, at+1)
-		c.hand(message, rapid.IntRange(0, 3).Draw(c.draws, "crash"))
+		message := c.inFlight[at]
+		c.inFlight = slices.Delete(c.inFlight, at, at+1)
+		c.deliverMessage(message, rapid.IntRange(0, 3).Draw(c.draws, "crash"))
 	}
 }
 
-// propose lets operators race under equal version numbers and resend.
-func (c *chaos) propose(m *member) {
-	if !m.running() || !m.node.founded() {
+// submitAt submits at a member as one of several operators, who race with equal
+// version numbers and resend.
+func (c *faultInjector) submitAt(m *member) {
+	if !m.running() || !m.node.hasLog() {
 		return
 	}
 	if rapid.Bool().Draw(c.draws, "new") {
@@ -185,9 +188,10 @@
 	c.submit(m, max(1, c.version), operator)
 }
 
-// replaceDisk takes a disk where a majority of every membership that may count
-// keeps its own; a learner may become a voter at any moment.
-func (c *chaos) replaceDisk(m *member) {
+// replaceDisk replaces a member's disk by an empty one if a majority of every
+// membership that may be in effect keeps its disks. Learners count as voters here,
+// since one may be promoted at any time.
+func (c *faultInjector) replaceDisk(m *member) {
 	holders := make(map[units.VoterID]bool)
 	for _, other := range c.members {
 		if other != m {
@@ -198,9 +202,9 @@
 		if other.disk.Snapshot == nil {
 			continue
 		}
-		for _, placed := range other.placed() {
+		for _, storedMemberships := range other.storedMemberships() {
 			kept := 0
-			members := placed.membership.GetMembers()
+			members := storedMemberships.membership.GetMembers()
 			for _, member := range members {
 				if holders[units.VoterID(member.GetId())] {
 					kept++
@@ -216,8 +220,8 @@
 	m.start(c.voters)
 }
 
-// placed returns the memberships that a member's disk holds and that may count.
-func (m *member) placed() memberships {
+// storedMemberships returns the memberships on a member's disk that may be in effect.
+func (m *member) storedMemberships() memberships {
 	all := memberships{{
 		index:      units.Index(m.disk.Snapshot.GetIndex()),
 		membership: m.disk.Snapshot.GetMembership(),
@@ -228,8 +232,8 @@
 	return all
 }
 
-func (c *chaos) heal() {
-	clear(c.cut)
+func (c *faultInjector) removeFaults() {
+	clear(c.cutLinks)
 	for _, m := range c.members {
 		m.frozen = false
 		if m.node == nil {
@@ -238,15 +242,16 @@
 	}
 }
 
-// checkAlive wants a leader that accepts a change once the faults have ended.
-func (c *chaos) checkAlive() {
+// checkRecovered checks that a leader accepts a change after the faults have ended,
+// and that the repair has restored the number of voters.
+func (c *faultInjector) checkRecovered() {
 	leader := c.leader()
 	if leader == nil {
 		c.t.Fatalf("no leader after the faults ended: %s", c.describe())
 	}
 	c.version = max(c.version, uint64(leader.state.Version())) + 1
 	c.submit(leader, c.version, "operator-1")
-	c.calm(20)
+	c.runWithoutFaults(20)
 	if got, want := c.acked, units.Version(c.version); got != want {
 		c.t.Fatalf("accepted after the faults ended: got version %d, want %d", got, want)
 	}
@@ -255,7 +260,7 @@
 	}
 }
 
-func (c *chaos) describe() string {
+func (c *faultInjector) describe() string {
 	text := ""
 	for _, m := range c.members {
 		text += fmt.Sprintf("\n%s term %d role %s log %s last %d commit %d membership %v",
--- a/src/replicator/scenario_test.go
+++ b/src/replicator/scenario_test.go
@@ -12,43 +12,44 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// trio is a founded log of three voters with a leader that accepted version 1.
-type trio struct {
-	*world
-	lead, follower, other *member
+// threeVoters is a log of three voters whose first leader has accepted version 1.
+type threeVoters struct {
+	*cluster
+	firstLeader, follower, other *member
 }
 
-// inTrio runs a scenario over several elections' random delays.
-func inTrio(t *testing.T, scenario func(*trio)) {
+// runWithThreeVoters runs a scenario several times, with other random election delays.
+func runWithThreeVoters(t *testing.T, scenario func(*threeVoters)) {
 	for round := range 12 {
-		s := &trio{world: newWorld(t, 3, 3)}
-		s.calm(200 + 5*round)
-		s.lead = s.leader()
-		if s.lead == nil {
-			t.Fatal("no leader after two calm seconds")
+		s := &threeVoters{cluster: newCluster(t, 3, 3)}
+		s.runWithoutFaults(200 + 5*round)
+		s.firstLeader = s.leader()
+		if s.firstLeader == nil {
+			t.Fatal("no leader after two seconds without faults")
 		}
 		var rest []*member
 		for _, m := range s.members {
-			if m != s.lead {
+			if m != s.firstLeader {
 				rest = append(rest, m)
 			}
 		}
 		s.follower, s.other = rest[0], rest[1]
-		s.submit(s.lead, 1, "operator-1")
-		s.calm(20)
+		s.submit(s.firstLeader, 1, "operator-1")
+		s.runWithoutFaults(20)
 		scenario(s)
 	}
 }
 
-func (s *trio) sever(a, b *member) {
-	s.cut[[2]units.Instance{a.name, b.name}] = true
-	s.cut[[2]units.Instance{b.name, a.name}] = true
+func (s *threeVoters) cutBothWays(a, b *member) {
+	s.cutLinks[[2]units.Instance{a.name, b.name}] = true
+	s.cutLinks[[2]units.Instance{b.name, a.name}] = true
 }
 
-// rounds lets time pass while operators submit to whoever leads beside the old leader.
-func (s *trio) rounds(count int) {
+// runWithSubmissions lets time pass while operators submit to any other member that
+// considers itself the leader.
+func (s *threeVoters) runWithSubmissions(count int) {
 	for i := range count {
-		s.calm(1)
+		s.runWithoutFaults(1)
 		for _, m := range []*member{s.follower, s.other} {
 			if m.running() && m.isLeader {
 				s.submit(m, uint64(10+i), "operator-2")
@@ -57,115 +58,115 @@
 	}
 }
 
-// A silent cut takes one voter from the leader, then the leader from the last
-// voter, too. The first could win an election at once, accept a change, and the
-// old leader would still answer operators from before it while its lease runs.
-// So a voter that heard the leader within its lease refuses its vote, also when
-// it has been restarted in between, and a lease counts from what was sent.
+// A silent partition separates one voter from the leader, and then the leader from
+// the other voter as well. If the first won an election immediately and accepted a
+// change, the old leader would answer operators with older state while its lease runs.
+// So a voter that had contact with the leader within the lease refuses its vote, even
+// after a restart in between, and a lease starts when the heartbeat is sent.
 func TestNoElectionWithinALease(t *testing.T) {
-	cases := map[string]func(*trio){
-		"voter that hears the leader": func(s *trio) {
-			s.other.node.deadline = s.other.clock()
-			s.sever(s.lead, s.follower)
+	cases := map[string]func(*threeVoters){
+		"voter that hears the leader": func(s *threeVoters) {
+			s.other.node.electionDeadline = s.other.clock()
+			s.cutBothWays(s.firstLeader, s.follower)
 		},
-		"restarted voter": func(s *trio) {
+		"restarted voter": func(s *threeVoters) {
 			s.follower.node = nil
 			s.follower.start(3)
-			s.other.node.deadline = s.other.clock()
-			s.sever(s.lead, s.follower)
+			s.other.node.electionDeadline = s.other.clock()
+			s.cutBothWays(s.firstLeader, s.follower)
 		},
-		"both voters restarted": func(s *trio) {
+		"both voters restarted": func(s *threeVoters) {
 			for _, m := range []*member{s.follower, s.other} {
 				m.node = nil
 				m.start(3)
 			}
-			s.sever(s.lead, s.follower)
+			s.cutBothWays(s.firstLeader, s.follower)
 		},
-		"late answer of a voter": func(s *trio) {
+		"late answer of a voter": func(s *threeVoters) {
 			s.follower.step(Ticked{}, -1)
 			s.tick(testHeartbeat)
 			var answers []*messages.LogMessage
-			for _, message := range s.bag {
+			for _, message := range s.inFlight {
 				if message.GetTo() != string(s.follower.id) {
 					continue
 				}
-				sent := len(s.bag)
-				s.hand(message, -1)
-				answers = append(answers, s.bag[sent:]...)
+				sent := len(s.inFlight)
+				s.deliverMessage(message, -1)
+				answers = append(answers, s.inFlight[sent:]...)
 			}
-			s.bag = nil
-			s.sever(s.lead, s.follower)
-			s.other.node.deadline = s.other.clock().Add(510 * time.Millisecond)
-			s.calm(34)
+			s.inFlight = nil
+			s.cutBothWays(s.firstLeader, s.follower)
+			s.other.node.electionDeadline = s.other.clock().Add(510 * time.Millisecond)
+			s.runWithoutFaults(34)
 			for _, answer := range answers {
-				s.lead.step(Received{Message: answer}, -1)
+				s.firstLeader.step(Received{Message: answer}, -1)
 			}
 		},
 	}
-	for name, begin := range cases {
+	for name, prepare := range cases {
 		t.Run(name, func(t *testing.T) {
-			inTrio(t, func(s *trio) {
-				s.sever(s.lead, s.other)
-				s.calm(40)
-				begin(s)
-				s.rounds(60)
+			runWithThreeVoters(t, func(s *threeVoters) {
+				s.cutBothWays(s.firstLeader, s.other)
+				s.runWithoutFaults(40)
+				prepare(s)
+				s.runWithSubmissions(60)
 			})
 		})
 	}
 }
 
-// All voters are killed at the same moment and start again one after the other.
-// Callers get no answer until one leads, so that it must not take the voters an
-// election timeout to find out that no leader is left.
+// All voters are killed at the same time and restart one after the other. Callers get
+// no answer until there is a leader, so the voters must not wait for an election
+// timeout before they elect one.
 func TestLeaderSoonAfterAllHaveStarted(t *testing.T) {
-	inTrio(t, func(s *trio) {
+	runWithThreeVoters(t, func(s *threeVoters) {
 		for _, m := range s.members {
 			m.node = nil
 		}
-		s.bag = nil
+		s.inFlight = nil
 		for _, m := range s.members {
-			s.calm(10)
+			s.runWithoutFaults(10)
 			m.start(3)
 		}
-		s.calm(15)
+		s.runWithoutFaults(15)
 		if s.leader() == nil {
-			t.Errorf("no leader 150 ms after the last voter has started, want one")
+			t.Errorf("leader 150 ms after the last voter has started: got none, want one")
 		}
-		s.calm(100)
-		s.checkClaims()
+		s.runWithoutFaults(100)
+		s.checkLeaderVersions()
 	})
 }
 
-// All voters are killed at the same moment, and one starts again with an empty disk. It
-// cannot say that it has heard no leader since, and callers would wait for an election
-// timeout; that it runs in the other's place shows that the other is gone.
+// All voters are killed at the same time, and one restarts with an empty disk. It cannot
+// announce that it has had no contact with a leader since, and callers would wait for an
+// election timeout. Its new identity on the same instance proves that the old one has ended.
 func TestLeaderSoonAfterAllHaveStartedAndADiskIsLost(t *testing.T) {
-	inTrio(t, func(s *trio) {
+	runWithThreeVoters(t, func(s *threeVoters) {
 		for _, m := range s.members {
 			m.node = nil
 		}
-		s.bag = nil
+		s.inFlight = nil
 		s.other.loseDisk()
 		for _, m := range s.members {
-			s.calm(10)
+			s.runWithoutFaults(10)
 			m.start(3)
 		}
-		s.calm(20)
+		s.runWithoutFaults(20)
 		if s.leader() == nil {
-			t.Errorf("no leader 200 ms after the last process has started, want one")
+			t.Errorf("leader 200 ms after the last process has started: got none, want one")
 		}
-		s.calm(100)
-		s.checkClaims()
+		s.runWithoutFaults(100)
+		s.checkLeaderVersions()
 	})
 }
 
-// Word that a voter's place is taken was held up since an earlier start, and the voter
-// that it is about may lead by now. It must count for nothing, or that one's lease and
-// the next leader's overlap.
-func TestOldWordOfAReplacedVoterProvesNothing(t *testing.T) {
-	inTrio(t, func(s *trio) {
+// A message that a voter has been replaced was delayed since an earlier start, and the
+// voter that it refers to may lead by now. It must be ignored, or that voter's lease
+// and the next leader's overlap.
+func TestStaleReplacedAnswerIsIgnored(t *testing.T) {
+	runWithThreeVoters(t, func(s *threeVoters) {
 		s.follower.node = nil
-		s.bag = nil
+		s.inFlight = nil
 		s.follower.start(3)
 		s.follower.step(Received{Message: &messages.LogMessage{
 			From: string(s.other.id.Instance()) + "#stranger",
@@ -178,85 +179,85 @@
 			},
 		}}, -1)
 		if got := len(s.follower.node.start.replaced); got != 0 {
-			t.Errorf("voters taken for gone: got %d, want none", got)
+			t.Errorf("voters recorded as replaced: got %d, want none", got)
 		}
 	})
 }
 
-// All voters have voted in a term and start again, and none holds a record of it. Its
-// leader may be one that they do not know, taken in by a record that they lack; its
-// lease would still run. So they wait as long as after any start.
-func TestStartsInATermWithoutARecordProveNothing(t *testing.T) {
-	inTrio(t, func(s *trio) {
+// All voters have entered a term and restart, and none holds a record of it. Its leader
+// may be unknown to them, added by a record that they lack, and its lease may still run.
+// So they wait for an election timeout as after any other start.
+func TestStartsInATermWithoutARecordGiveNoEarlyVote(t *testing.T) {
+	runWithThreeVoters(t, func(s *threeVoters) {
 		for _, m := range s.members {
 			m.node = nil
 			m.disk.State = proto.CloneOf(m.disk.State)
 			m.disk.State.Term++
 			m.disk.State.VotedFor = ""
 		}
-		s.bag = nil
+		s.inFlight = nil
 		for _, m := range s.members {
 			m.start(3)
 		}
-		s.calm(45)
+		s.runWithoutFaults(45)
 		if leader := s.leader(); leader != nil {
 			t.Errorf("leader within an election timeout of the start: got %s, want none", leader.id)
 		}
-		s.calm(200)
+		s.runWithoutFaults(200)
 		if s.leader() == nil {
 			t.Error("no leader two seconds after the start")
 		}
 	})
 }
 
-// All voters start again, one of them with a log that lacks the last records. It
-// must leave the lead to one that has them, which takes no longer for that.
-func TestShorterLogLeavesTheLeadAfterAllHaveStarted(t *testing.T) {
-	inTrio(t, func(s *trio) {
-		s.sever(s.lead, s.other)
-		s.sever(s.follower, s.other)
-		s.submit(s.lead, 2, "operator-1")
-		s.calm(10)
+// All voters restart, one of them with a log that lacks the last record. A voter that
+// has it must be elected, without additional delay.
+func TestShorterLogDoesNotLeadAfterAllHaveStarted(t *testing.T) {
+	runWithThreeVoters(t, func(s *threeVoters) {
+		s.cutBothWays(s.firstLeader, s.other)
+		s.cutBothWays(s.follower, s.other)
+		s.submit(s.firstLeader, 2, "operator-1")
+		s.runWithoutFaults(10)
 		for _, m := range s.members {
 			m.node = nil
 		}
-		s.bag = nil
-		clear(s.cut)
+		s.inFlight = nil
+		clear(s.cutLinks)
 		for _, m := range s.members {
 			m.start(3)
 		}
-		s.calm(25)
+		s.runWithoutFaults(25)
 		switch s.leader() {
 		case nil:
-			t.Errorf("no leader 250 ms after all have started, want one")
+			t.Errorf("leader 250 ms after all have started: got none, want one")
 		case s.other:
 			t.Errorf("leader: got %s, which lacks a record, want another", s.other.id)
 		}
 	})
 }
 
-// A voter grants its vote, crashes and starts again. A second candidate asks in
-// the same term; a second vote would let two leaders have a majority.
+// A voter grants its vote, crashes and restarts. A second candidate requests a vote in
+// the same term; a second vote would give two leaders a majority.
 func TestVoteOutlivesACrash(t *testing.T) {
-	inTrio(t, func(s *trio) {
+	runWithThreeVoters(t, func(s *threeVoters) {
 		s.tick(2 * time.Second)
-		s.bag = nil
+		s.inFlight = nil
 		term := s.follower.node.term + 5
-		if got := s.ask(s.lead, term); !got {
-			s.t.Fatal("first vote of the term: got no, want yes")
+		if got := s.requestVote(s.firstLeader, term); !got {
+			s.t.Fatal("first vote of the term: got a refusal, want a grant")
 		}
 		s.follower.node = nil
 		s.follower.start(3)
 		s.now = s.now.Add(2 * time.Second)
-		if got := s.ask(s.other, term); got {
-			s.t.Fatal("second vote of the term after a crash: got yes, want no")
+		if got := s.requestVote(s.other, term); got {
+			s.t.Fatal("second vote of the term after a crash: got a grant, want a refusal")
 		}
 	})
 }
 
-// ask asks the follower for its vote and reports whether it was granted.
-func (s *trio) ask(candidate *member, term units.Term) bool {
-	sent := len(s.bag)
+// requestVote requests the follower's vote and reports whether it was granted.
+func (s *threeVoters) requestVote(candidate *member, term units.Term) bool {
+	sent := len(s.inFlight)
 	s.follower.step(Received{Message: &messages.LogMessage{
 		From:  string(candidate.id),
 		To:    string(s.follower.id),
@@ -269,7 +270,7 @@
 			},
 		},
 	}}, -1)
-	for _, message := range s.bag[sent:] {
+	for _, message := range s.inFlight[sent:] {
 		if message.GetVoteResponse().GetGranted() {
 			return true
 		}
@@ -277,45 +278,45 @@
 	return false
 }
 
-// The voter with the newest log is behind in term, and the other one, whose log
-// is older, has seen a higher term. Neither may lead unless the first learns the
-// term: operators would wait for ever although a majority runs.
-func TestNewestLogLearnsTheTerm(t *testing.T) {
-	inTrio(t, func(s *trio) {
-		s.sever(s.lead, s.follower)
-		s.sever(s.lead, s.other)
-		s.submit(s.lead, 2, "operator-1")
+// The voter with the most up-to-date log is behind in term, and the other one, whose
+// log is older, has seen a higher term. Neither can be elected unless the first adopts
+// the higher term: operators would wait forever although a majority runs.
+func TestNewestLogAdoptsHigherTerm(t *testing.T) {
+	runWithThreeVoters(t, func(s *threeVoters) {
+		s.cutBothWays(s.firstLeader, s.follower)
+		s.cutBothWays(s.firstLeader, s.other)
+		s.submit(s.firstLeader, 2, "operator-1")
 		s.other.node = nil
-		s.calm(120)
-		s.ask(s.other, s.follower.node.term+5)
+		s.runWithoutFaults(120)
+		s.requestVote(s.other, s.follower.node.term+5)
 		s.follower.node.votedFor = s.other.id
-		clear(s.cut)
-		s.calm(800)
+		clear(s.cutLinks)
+		s.runWithoutFaults(800)
 		if s.leader() == nil {
 			s.t.Fatal("leader among the two that run: got none, want one")
 		}
 	})
 }
 
-// A leader appends a record that no majority gets, starts again and wins a later
-// term. A majority then holds the old record and not yet one of the new term; a
-// third voter with a higher term in its log could still replace it, so that a
-// change counted as committed would vanish.
+// A leader appends a record that does not reach a majority, restarts and is elected in
+// a later term. A majority then holds the old record, but no record of the new term
+// yet. A third voter with a higher term in its log could still replace the old record,
+// so that a change considered committed would be lost.
 func TestRecordOfEarlierTermCommitsNothing(t *testing.T) {
-	inTrio(t, func(s *trio) {
-		s.sever(s.lead, s.follower)
-		s.sever(s.lead, s.other)
-		s.submit(s.lead, 2, "operator-1")
-		index := s.lead.node.LastIndex()
-		s.lead.node = nil
-		s.lead.start(3)
-		s.lead.node.becomeFollower(s.lead.clock(), s.lead.node.term+5, "")
-		s.lead.node.becomeLeader(s.lead.clock())
-		s.lead.step(Received{Message: &messages.LogMessage{
+	runWithThreeVoters(t, func(s *threeVoters) {
+		s.cutBothWays(s.firstLeader, s.follower)
+		s.cutBothWays(s.firstLeader, s.other)
+		s.submit(s.firstLeader, 2, "operator-1")
+		index := s.firstLeader.node.LastIndex()
+		s.firstLeader.node = nil
+		s.firstLeader.start(3)
+		s.firstLeader.node.becomeFollower(s.firstLeader.clock(), s.firstLeader.node.term+5, "")
+		s.firstLeader.node.becomeLeader(s.firstLeader.clock())
+		s.firstLeader.step(Received{Message: &messages.LogMessage{
 			From:  string(s.follower.id),
-			To:    string(s.lead.id),
-			Term:  uint64(s.lead.node.term),
-			LogId: s.lead.node.logID,
+			To:    string(s.firstLeader.id),
+			Term:  uint64(s.firstLeader.node.term),
+			LogId: s.firstLeader.node.logID,
 			Body: &messages.LogMessage_AppendResponse{
 				AppendResponse: &messages.AppendResponse{
 					Matched: true,
@@ -323,65 +324,65 @@
 				},
 			},
 		}}, -1)
-		if got := s.lead.node.Commit(); got >= index {
+		if got := s.firstLeader.node.Commit(); got >= index {
 			s.t.Fatalf("commit after a majority holds record %d of an earlier term: got %d, want less", index, got)
 		}
 	})
 }
 
-// Two changes of the voters follow each other before the first is committed. The
-// old majority and the new one could then have no voter in common and elect a
-// leader each, so the second is refused.
+// A second change of the voters is proposed before the first is committed. The old
+// majority and the new one could then have no voter in common and elect a leader
+// each, so the second change is refused.
 func TestOneMembershipChangeAtATime(t *testing.T) {
-	inTrio(t, func(s *trio) {
-		s.sever(s.lead, s.follower)
-		s.sever(s.lead, s.other)
+	runWithThreeVoters(t, func(s *threeVoters) {
+		s.cutBothWays(s.firstLeader, s.follower)
+		s.cutBothWays(s.firstLeader, s.other)
 		wants := []bool{true, false}
 		for i, want := range wants {
-			next := changed(s.lead.node.membership, change{
+			next := changeMembership(s.firstLeader.node.membership, membershipChange{
 				id:   units.VoterID(fmt.Sprintf("c%d#new", 7+i)),
 				kind: addLearner,
 			})
-			before := s.lead.node.LastIndex()
-			s.lead.step(Proposed{
+			before := s.firstLeader.node.LastIndex()
+			s.firstLeader.step(Proposed{
 				Command: &messages.Command{
 					Change: &messages.Command_Membership{
 						Membership: next,
 					},
 				},
 			}, -1)
-			if got := s.lead.node.LastIndex() > before; got != want {
+			if got := s.firstLeader.node.LastIndex() > before; got != want {
 				s.t.Fatalf("change %d of the membership appended: got %t, want %t", i+1, got, want)
 			}
 		}
 	})
 }
 
-// A follower holds records that were never committed and lie behind the place of
-// a snapshot that it receives. They contradict the snapshot's log: kept, they
-// would count as a match of records that the leader never had.
+// A follower holds records that were never committed, with indexes after that of a
+// snapshot that it receives. They contradict the snapshot's log: if they were kept,
+// they would count as a match of records that the leader never had.
 func TestSnapshotDropsContradictingRecords(t *testing.T) {
-	inTrio(t, func(s *trio) {
-		s.sever(s.lead, s.follower)
-		s.sever(s.lead, s.other)
+	runWithThreeVoters(t, func(s *threeVoters) {
+		s.cutBothWays(s.firstLeader, s.follower)
+		s.cutBothWays(s.firstLeader, s.other)
 		for version := uint64(2); version <= 6; version++ {
-			s.submit(s.lead, version, "operator-1")
+			s.submit(s.firstLeader, version, "operator-1")
 		}
-		index := s.lead.node.LastIndex() - 2
+		index := s.firstLeader.node.LastIndex() - 2
 		content, err := proto.Marshal(&messages.LogSnapshot{
 			Index:      uint64(index),
-			Term:       uint64(s.lead.node.term + 3),
-			Membership: s.lead.node.membership,
-			LogId:      s.lead.node.logID,
+			Term:       uint64(s.firstLeader.node.term + 3),
+			Membership: s.firstLeader.node.membership,
+			LogId:      s.firstLeader.node.logID,
 		})
 		if err != nil {
 			s.t.Fatal(err)
 		}
-		s.lead.step(Received{Message: &messages.LogMessage{
+		s.firstLeader.step(Received{Message: &messages.LogMessage{
 			From:  string(s.follower.id),
-			To:    string(s.lead.id),
-			Term:  uint64(s.lead.node.term + 4),
-			LogId: s.lead.node.logID,
+			To:    string(s.firstLeader.id),
+			Term:  uint64(s.firstLeader.node.term + 4),
+			LogId: s.firstLeader.node.logID,
 			Body: &messages.LogMessage_SnapshotPiece{
 				SnapshotPiece: &messages.SnapshotPiece{
 					Index:    uint64(index),
@@ -391,16 +392,16 @@
 				},
 			},
 		}}, -1)
-		if got := s.lead.node.LastIndex(); got != index {
+		if got := s.firstLeader.node.LastIndex(); got != index {
 			s.t.Fatalf("last index after the snapshot: got %d, want %d", got, index)
 		}
 	})
 }
 
-// An instance of another log reaches a voter, since an address was used twice.
-// Its leader's records would replace those of this log.
+// A message from a leader of another log reaches a voter, because an address is in use
+// twice. That leader's records would replace those of this log.
 func TestMessagesOfAnotherLogAreIgnored(t *testing.T) {
-	inTrio(t, func(s *trio) {
+	runWithThreeVoters(t, func(s *threeVoters) {
 		term := s.follower.node.term
 		s.follower.step(Received{Message: &messages.LogMessage{
 			From:  "x1#life",
--- a/src/replicator/snapshot.go
+++ b/src/replicator/snapshot.go
@@ -10,38 +10,39 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// transfer is a snapshot on its way to one follower, one piece at a time.
-type transfer struct {
+// snapshotTransfer is a snapshot that is being sent to one follower, one piece at a time.
+type snapshotTransfer struct {
 	index   units.Index
 	content []byte
 	offset  int
 	sentAt  time.Time
 }
 
-// incoming is a snapshot that arrives in pieces.
-type incoming struct {
+// incomingSnapshot is a snapshot that is being received in pieces.
+type incomingSnapshot struct {
 	index    uint64
 	checksum uint64
 	content  []byte
 }
 
-// askSnapshot asks for a snapshot once enough records are applied behind the last.
-func (n *Node) askSnapshot() {
+// requestSnapshot requests a snapshot once enough has been applied since the last one.
+func (n *Node) requestSnapshot() {
 	behind := n.applied - units.Index(n.snapshot.GetIndex())
-	if n.snapshotAsked || behind == 0 {
+	if n.snapshotRequested || behind == 0 {
 		return
 	}
 	if behind < n.options.SnapshotRecords && n.appliedBytes < n.options.SnapshotBytes {
 		return
 	}
-	n.snapshotAsked = true
-	n.act(TakeSnapshot{Index: n.applied})
+	n.snapshotRequested = true
+	n.emit(TakeSnapshot{Index: n.applied})
 }
 
-// keepSnapshot compacts the log up to a snapshot, but for a few records that
-// spare a follower that is only a little behind the whole transfer.
-func (n *Node) keepSnapshot(now time.Time, e SnapshotTaken) {
-	n.snapshotAsked = false
+// storeSnapshot persists a snapshot and compacts the log before it. It retains a few
+// records, so that a follower that is only a little behind needs no transfer of the
+// whole snapshot.
+func (n *Node) storeSnapshot(now time.Time, e SnapshotTaken) {
+	n.snapshotRequested = false
 	if e.Index <= units.Index(n.snapshot.GetIndex()) || e.Index > n.applied {
 		return
 	}
@@ -52,21 +53,22 @@
 		LogId:      n.logID,
 		Content:    e.Content,
 	}
-	n.encoded = nil
+	n.encodedSnapshotBytes = nil
 	n.appliedBytes = 0
 	n.memberships = n.memberships.compact(e.Index)
-	n.log.compact(n.retainFrom(e.Index))
+	n.log.compact(n.compactionIndex(e.Index))
 	n.persistSnapshot()
-	n.refreshMembership(now)
+	n.updateMembership(now)
 }
 
-// retainFrom returns the index up to which the log may be dropped.
-func (n *Node) retainFrom(index units.Index) units.Index {
+// compactionIndex returns the index up to which records may be dropped after a
+// snapshot at index.
+func (n *Node) compactionIndex(index units.Index) units.Index {
 	size := 0
 	kept := units.Index(0)
-	for kept < n.options.SnapshotRecords/retainedShare && index-kept > n.log.base {
+	for kept < n.options.SnapshotRecords/retainedDivisor && index-kept > n.log.base {
 		size += proto.Size(n.log.at(index - kept))
-		if size > n.options.SnapshotBytes/retainedShare {
+		if size > n.options.SnapshotBytes/retainedDivisor {
 			break
 		}
 		kept++
@@ -75,7 +77,7 @@
 }
 
 func (n *Node) persistSnapshot() {
-	n.act(PersistSnapshot{
+	n.emit(PersistSnapshot{
 		State:    n.hardState(),
 		Snapshot: n.snapshot,
 		Base:     n.log.header(),
@@ -83,15 +85,15 @@
 	})
 }
 
-// install replaces the log up to the snapshot; records behind it stay where the
-// log holds the snapshot's last record.
-func (n *Node) install(now time.Time, snapshot *messages.LogSnapshot) {
+// installSnapshot replaces the log up to the snapshot's index. Later records remain
+// only if the log holds the snapshot's last record.
+func (n *Node) installSnapshot(now time.Time, snapshot *messages.LogSnapshot) {
 	index, term := units.Index(snapshot.GetIndex()), units.Term(snapshot.GetTerm())
-	first := placedMembership{
+	first := indexedMembership{
 		index:      index,
 		membership: snapshot.GetMembership(),
 	}
-	if n.founded() && index > n.log.base && n.log.matches(index, term) {
+	if n.hasLog() && index > n.log.base && n.log.matches(index, term) {
 		n.memberships = n.memberships.compact(index)
 		n.memberships[0] = first
 		n.log.compact(index)
@@ -104,26 +106,27 @@
 	}
 	n.snapshot = snapshot
 	n.logID = snapshot.GetLogId()
-	n.encoded = nil
+	n.encodedSnapshotBytes = nil
 	n.appliedBytes = 0
-	n.snapshotAsked = false
+	n.snapshotRequested = false
 	n.commit = index
 	n.applied = index
 	n.persistSnapshot()
-	n.act(Restore{Snapshot: snapshot})
-	n.refreshMembership(now)
+	n.emit(Restore{Snapshot: snapshot})
+	n.updateMembership(now)
 }
 
-// sendPiece sends the next piece, or the same one again where its answer stays out.
+// sendPiece sends the next piece, or resends the last one if it has not been
+// answered within half an election timeout.
 func (n *Node) sendPiece(now time.Time, peer units.VoterID) {
 	p := n.peers[peer]
-	if p.transfer == nil {
-		p.transfer = &transfer{
+	if p.snapshotTransfer == nil {
+		p.snapshotTransfer = &snapshotTransfer{
 			index:   units.Index(n.snapshot.GetIndex()),
-			content: n.encodedSnapshot(),
+			content: n.encodeSnapshot(),
 		}
 	}
-	t := p.transfer
+	t := p.snapshotTransfer
 	if !t.sentAt.IsZero() && now.Sub(t.sentAt) < n.options.Election/2 {
 		return
 	}
@@ -142,21 +145,21 @@
 	})
 }
 
-func (n *Node) encodedSnapshot() []byte {
-	if n.encoded == nil {
-		// Marshal fails on no message of this kind.
-		n.encoded, _ = proto.MarshalOptions{Deterministic: true}.Marshal(n.snapshot)
+func (n *Node) encodeSnapshot() []byte {
+	if n.encodedSnapshotBytes == nil {
+		// Marshal cannot fail for a message of this type.
+		n.encodedSnapshotBytes, _ = proto.MarshalOptions{Deterministic: true}.Marshal(n.snapshot)
 	}
-	return n.encoded
+	return n.encodedSnapshotBytes
 }
 
-func (n *Node) countPiece(now time.Time, m *messages.LogMessage, response *messages.SnapshotPieceResponse) {
+func (n *Node) handleSnapshotPieceResponse(now time.Time, m *messages.LogMessage, response *messages.SnapshotPieceResponse) {
 	from := units.VoterID(m.GetFrom())
 	p := n.peers[from]
-	if n.role != Leader || units.Term(m.GetTerm()) != n.term || p == nil || p.transfer == nil {
+	if n.role != Leader || units.Term(m.GetTerm()) != n.term || p == nil || p.snapshotTransfer == nil {
 		return
 	}
-	t := p.transfer
+	t := p.snapshotTransfer
 	if units.Index(response.GetIndex()) != t.index {
 		return
 	}
@@ -166,30 +169,30 @@
 		n.sendPiece(now, from)
 		return
 	}
-	p.transfer = nil
+	p.snapshotTransfer = nil
 	p.match = max(p.match, t.index)
 	p.next = p.match + 1
 	n.sendAppend(now, from)
 }
 
-func (n *Node) receivePiece(now time.Time, m *messages.LogMessage, piece *messages.SnapshotPiece) {
+func (n *Node) handleSnapshotPiece(now time.Time, m *messages.LogMessage, piece *messages.SnapshotPiece) {
 	term := units.Term(m.GetTerm())
 	from := units.VoterID(m.GetFrom())
 	if term < n.term {
 		return
 	}
 	n.becomeFollower(now, term, from.Instance())
-	n.hear(now)
-	kept := n.founded() && units.Index(piece.GetIndex()) <= n.commit
+	n.recordLeaderContact(now)
+	kept := n.hasLog() && units.Index(piece.GetIndex()) <= n.commit
 	if !kept {
-		kept = n.gather(now, piece)
+		kept = n.addPiece(now, piece)
 	}
 	response := &messages.SnapshotPieceResponse{
 		Index: piece.GetIndex(),
 		Kept:  kept,
 	}
-	if n.incoming != nil {
-		response.Offset = uint64(len(n.incoming.content))
+	if n.incomingSnapshot != nil {
+		response.Offset = uint64(len(n.incomingSnapshot.content))
 	}
 	n.sendTo(from, n.term, &messages.LogMessage{
 		Body: &messages.LogMessage_SnapshotPieceResponse{
@@ -198,15 +201,15 @@
 	})
 }
 
-// gather adds a piece and reports whether the snapshot is whole and installed.
-func (n *Node) gather(now time.Time, piece *messages.SnapshotPiece) bool {
-	in := n.incoming
+// addPiece adds a piece and reports whether the snapshot is complete and installed.
+func (n *Node) addPiece(now time.Time, piece *messages.SnapshotPiece) bool {
+	in := n.incomingSnapshot
 	if in == nil || in.index != piece.GetIndex() || in.checksum != piece.GetChecksum() {
-		in = &incoming{
+		in = &incomingSnapshot{
 			index:    piece.GetIndex(),
 			checksum: piece.GetChecksum(),
 		}
-		n.incoming = in
+		n.incomingSnapshot = in
 	}
 	if piece.GetOffset() != uint64(len(in.content)) {
 		return false
@@ -215,14 +218,14 @@
 	if uint64(len(in.content)) < piece.GetSize() {
 		return false
 	}
-	n.incoming = nil
+	n.incomingSnapshot = nil
 	snapshot := &messages.LogSnapshot{}
 	if xxhash.Sum64(in.content) != in.checksum || proto.Unmarshal(in.content, snapshot) != nil {
 		return false
 	}
-	if n.founded() && snapshot.GetLogId() != n.logID {
+	if n.hasLog() && snapshot.GetLogId() != n.logID {
 		return false
 	}
-	n.install(now, snapshot)
+	n.installSnapshot(now, snapshot)
 	return true
 }
--- a/src/replicator/start.go
+++ b/src/replicator/start.go
@@ -9,52 +9,59 @@
 )
 
 const (
-	// startPause is the pause after which a voter tells of its start again, in
-	// election timeouts: the other may not have listened yet.
-	startPause = 1.0 / 8
-	// startEnd is how long after its start it does so, in election timeouts; by
-	// then some voter campaigns without.
-	startEnd = 2
+	// startResendInterval is how long after an announcement of its start a voter
+	// repeats it, in election timeouts: the receiver may not have been listening yet.
+	startResendInterval = 1.0 / 8
+	// startResendPeriod is how long after its start a voter repeats the announcement,
+	// in election timeouts; by then some voter campaigns without it.
+	startResendPeriod = 2
 )
 
-// start is what a voter knows of its own start and of the others'.
+// start is a voter's state about its own start and those of the other voters. It
+// shortens the first election after all voters have restarted.
 //
-// A voter that restarts refuses its vote for an election timeout, since a leader
-// that it heard before may still hold its lease. Where all processes end at once
-// no lease is left, and callers wait for nothing. So once every
-// voter has said that it has started and heard no leader since, a vote is
-// granted at once.
+// A restarted voter refuses its vote for an election timeout, since the leader that
+// contacted it before may still hold its lease. If all processes end at the same
+// time, no lease is left, and callers would wait for nothing. So once every voter has
+// announced that it has started and has had no contact with a leader since, a vote is
+// granted immediately.
 //
-// All of them say so in one term, of which the candidate holds a record. Then
-// it knows the membership of that term's leader, who is among those that
-// spoke; it has restarted since it led, and nobody leads a term twice. Leaders
-// of earlier terms lost their leases before this one was elected. A leader of a
-// later term needs a majority of which at least one voter refuses the candidate,
-// whose term is not later. So what they said holds for as long as the term does.
+// This is safe because all voters announce it in the same term, and the candidate
+// holds a record of that term. So the candidate knows the membership of that term's
+// leader, and the leader is among the voters that announced their start: it has
+// restarted since it led, and no voter leads a term twice. Leaders of earlier terms
+// lost their leases before that leader was elected. A leader of a later term needs a
+// majority, of which at least one voter refuses the candidate because the candidate's
+// term is not later. So the announcements remain valid for as long as the term does.
 //
-// A voter whose disk was lost with its process cannot say so any more, but the empty
-// one in its place can: the old process is gone, and with its disk what it might lead
-// by. Less than a majority may be gone so. Then each majority that could have elected
-// a later leader holds a voter that has kept its term, and would have said that one.
-// Without it, power lost together with two disks keeps callers waiting for an election.
+// A voter whose disk was lost with its process can no longer announce its start, but
+// the instance that replaces it with an empty disk can answer for it: the old process
+// has ended, and the state that it could lead with is lost with its disk. This is
+// accepted only for less than a majority of the voters. Then every majority that could
+// have elected a later leader includes a voter that has kept its term and would have
+// announced that later one. Without these answers, a power failure that also destroys
+// two disks would keep callers waiting for an election timeout.
 type start struct {
-	at time.Time
-	// nonce tells answers to this start from those that an earlier one asked for.
+	startedAt time.Time
+	// nonce distinguishes answers to this start's announcements from answers to those
+	// of an earlier one.
 	nonce uint64
-	// replaced are the voters in whose place an empty one runs.
+	// replaced are the voters whose instance now runs with an empty disk.
 	replaced map[units.VoterID]bool
-	// over says that this voter has heard a leader or led since its start.
-	over  bool
-	askAt time.Time
-	// term is the one in which the voters in ends have said so, with their last
-	// records.
-	term units.Term
-	ends map[units.VoterID]logEnd
-	// proved says that this voter campaigns on what all have said.
-	proved bool
+	// hadLeader reports that this voter has had contact with a leader or has led since
+	// its start.
+	hadLeader     bool
+	nextRequestAt time.Time
+	// term is the term in which the voters in logEnds have announced their start;
+	// logEnds holds where the log of each ends.
+	term    units.Term
+	logEnds map[units.VoterID]logEnd
+	// allStarted is set while this voter campaigns because all voters have announced
+	// their start.
+	allStarted bool
 }
 
-// logEnd is where a voter's log ends.
+// logEnd is the term and index of the last record of a voter's log.
 type logEnd struct {
 	term  units.Term
 	index units.Index
@@ -64,20 +71,20 @@
 	return cmp.Or(cmp.Compare(e.term, other.term), cmp.Compare(e.index, other.index))
 }
 
-// hear notes that a leader spoke.
-func (n *Node) hear(now time.Time) {
-	n.heardAt = now
-	n.start.over = true
+// recordLeaderContact records that a message from a leader has arrived.
+func (n *Node) recordLeaderContact(now time.Time) {
+	n.leaderContactAt = now
+	n.start.hadLeader = true
 }
 
-// tellStart tells the other voters of this one's start and asks for theirs.
-func (n *Node) tellStart(now time.Time) {
+// announceStart announces this voter's start to the others and requests their announcements.
+func (n *Node) announceStart(now time.Time) {
 	s := &n.start
-	ended := now.Sub(s.at) > n.elections(startEnd)
-	if s.over || ended || !n.isVoter() || now.Before(s.askAt) {
+	expired := now.Sub(s.startedAt) > n.electionTimeouts(startResendPeriod)
+	if s.hadLeader || expired || !n.isVoter() || now.Before(s.nextRequestAt) {
 		return
 	}
-	s.askAt = now.Add(n.elections(startPause))
+	s.nextRequestAt = now.Add(n.electionTimeouts(startResendInterval))
 	for _, voter := range n.voters {
 		if voter != n.options.ID {
 			n.sendStart(voter, true)
@@ -98,16 +105,16 @@
 	})
 }
 
-// replaces reports whether a question of a start is for a voter in whose place this
-// instance runs, with an empty disk.
-func (n *Node) replaces(m *messages.LogMessage) bool {
+// isReplacementFor reports whether a message asks about the start of an earlier
+// identity of this instance, which this one replaces with an empty disk.
+func (n *Node) isReplacementFor(m *messages.LogMessage) bool {
 	to := units.VoterID(m.GetTo())
-	asked := m.GetStart().GetAsks() && to.Instance() == n.options.ID.Instance() && to != n.options.ID
-	return asked && !n.founded()
+	requested := m.GetStart().GetAsks() && to.Instance() == n.options.ID.Instance() && to != n.options.ID
+	return requested && !n.hasLog()
 }
 
-// tellReplaced answers for the voter whose place this instance has taken.
-func (n *Node) tellReplaced(m *messages.LogMessage) {
+// sendReplaced answers for the voter that this one replaces.
+func (n *Node) sendReplaced(m *messages.LogMessage) {
 	n.sendTo(units.VoterID(m.GetFrom()), n.term, &messages.LogMessage{
 		Body: &messages.LogMessage_Start{
 			Start: &messages.Start{
@@ -118,13 +125,13 @@
 	})
 }
 
-// countReplaced notes that a voter is gone with its disk. Only an answer to this start
-// counts: one that was held up since an earlier life of the instance would speak of
-// a voter that runs there now.
-func (n *Node) countReplaced(now time.Time, m *messages.LogMessage) {
+// handleReplaced records that a voter has ended and its disk is lost. Only an answer
+// to this start is accepted: one that was delayed since an earlier start could refer
+// to the voter that runs on that instance now.
+func (n *Node) handleReplaced(now time.Time, m *messages.LogMessage) {
 	s := &n.start
 	from := units.VoterID(m.GetFrom())
-	if s.over || m.GetStart().GetNonce() != s.nonce {
+	if s.hadLeader || m.GetStart().GetNonce() != s.nonce {
 		return
 	}
 	for _, voter := range n.voters {
@@ -135,49 +142,53 @@
 			s.replaced[voter] = true
 		}
 	}
-	n.campaignAsFirst(now)
+	n.campaignIfFirst(now)
 }
 
-// countStart campaigns once all voters have started and this one is the first of
-// those with the longest log. With no such order, several that learn of the last
-// start at once would take each other's votes, and all would wait for a timeout.
-func (n *Node) countStart(now time.Time, m *messages.LogMessage, other *messages.Start) {
+// handleStart campaigns once all voters have started and this one is the first of
+// those with the most up-to-date log. Without such an order, several voters that
+// receive the last announcement at the same time would split the vote, and all would
+// wait for an election timeout.
+func (n *Node) handleStart(now time.Time, m *messages.LogMessage, other *messages.Start) {
 	s := &n.start
 	if other.GetReplaced() {
-		n.countReplaced(now, m)
+		n.handleReplaced(now, m)
 		return
 	}
-	if s.over || !n.holds(n.options.ID) || units.Term(m.GetTerm()) != n.term {
+	if s.hadLeader || !n.isMember(n.options.ID) || units.Term(m.GetTerm()) != n.term {
 		return
 	}
 	from := units.VoterID(m.GetFrom())
 	if other.GetAsks() {
 		n.sendStart(from, false)
 	}
-	if s.term != n.term || s.ends == nil {
+	if s.term != n.term || s.logEnds == nil {
 		s.term = n.term
-		s.ends = make(map[units.VoterID]logEnd)
+		s.logEnds = make(map[units.VoterID]logEnd)
 	}
-	s.ends[from] = logEnd{
+	s.logEnds[from] = logEnd{
 		term:  units.Term(other.GetLastTerm()),
 		index: units.Index(other.GetLastIndex()),
 	}
-	n.campaignAsFirst(now)
+	n.campaignIfFirst(now)
 }
 
-// campaignAsFirst campaigns where all voters have started and none goes before this one.
-func (n *Node) campaignAsFirst(now time.Time) {
+// campaignIfFirst starts an election if all voters have started and this one is the
+// first among them.
+func (n *Node) campaignIfFirst(now time.Time) {
 	s := &n.start
-	if s.term != n.term || n.log.lastTerm() != n.term || !n.isVoter() || !n.firstOfStarted() {
+	if s.term != n.term || n.log.lastTerm() != n.term || !n.isVoter() || !n.isFirstOfStarted() {
 		return
 	}
-	s.proved = true
+	s.allStarted = true
 	n.campaign(now, false)
-	s.proved = false
+	s.allStarted = false
 }
 
-// firstOfStarted reports whether all voters have started and none goes before this one.
-func (n *Node) firstOfStarted() bool {
+// isFirstOfStarted reports whether all voters have started and none has a more
+// up-to-date log, or an equal one and a lower id. Fewer than half of them may have
+// been replaced.
+func (n *Node) isFirstOfStarted() bool {
 	own := logEnd{
 		term:  n.log.lastTerm(),
 		index: n.log.lastIndex(),
@@ -191,7 +202,7 @@
 			replaced++
 			continue
 		}
-		end, started := n.start.ends[voter]
+		end, started := n.start.logEnds[voter]
 		if !started || cmp.Or(own.compare(end), cmp.Compare(voter, n.options.ID)) < 0 {
 			return false
 		}
@@ -199,12 +210,13 @@
 	return 2*replaced < len(n.voters)
 }
 
-// leaseless reports whether a vote request proves that no leader's lease is left
-// which this voter has forgotten.
-func (n *Node) leaseless(request *messages.VoteRequest) bool {
-	return request.GetAllStarted() && !n.start.over
+// provesNoLease reports whether a vote request proves that no leader holds a lease
+// that this voter no longer knows of after its restart.
+func (n *Node) provesNoLease(request *messages.VoteRequest) bool {
+	return request.GetAllStarted() && !n.start.hadLeader
 }
 
-func (n *Node) elections(part float64) time.Duration {
-	return time.Duration(part * float64(n.options.Election))
+// electionTimeouts returns the duration of that many election timeouts.
+func (n *Node) electionTimeouts(count float64) time.Duration {
+	return time.Duration(count * float64(n.options.Election))
 }
