--- a/src/control/coordinator.go
+++ b/src/control/coordinator.go
@@ -63,7 +63,7 @@
 }
 
 func newCoordinator(settings *parser.Settings, log zerolog.Logger, folder *keeper.Keeper,
-	kept *keeper.Kept, out *outbox,
+	kept *keeper.Contents, out *outbox,
 ) (*coordinator, error) {
 	configuration := &configurationMachine{
 		log: log,
@@ -105,7 +105,7 @@
 	if err := c.restore(kept.Snapshot); err != nil {
 		return nil, err
 	}
-	c.node = replicator.New(time.Now(), options(settings, kept.ID), replicator.Stored{
+	c.node = replicator.New(time.Now(), options(settings, kept.ID), replicator.StoredState{
 		State:    kept.State,
 		Snapshot: kept.Snapshot,
 		Base:     kept.Base,
@@ -115,24 +115,24 @@
 }
 
 func options(settings *parser.Settings, id units.VoterID) replicator.Options {
-	eligible := make([]replicator.Place, 0, len(settings.Control))
+	eligible := make([]replicator.EligibleInstance, 0, len(settings.Control))
 	for _, instance := range settings.Control {
-		eligible = append(eligible, replicator.Place{
+		eligible = append(eligible, replicator.EligibleInstance{
 			Instance:   instance.Name,
 			DataCentre: instance.DataCentre,
 		})
 	}
 	return replicator.Options{
-		ID:              id,
-		DataCentre:      settings.DataCentre,
-		Instances:       eligible,
-		Voters:          settings.Voters,
-		Heartbeat:       settings.Timing.Heartbeat,
-		Election:        settings.Timing.Election,
-		Repair:          settings.Timing.Repair,
-		SnapshotRecords: snapshotRecords,
-		SnapshotBytes:   snapshotBytes,
-		Random:          rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+		ID:                id,
+		DataCentre:        settings.DataCentre,
+		Instances:         eligible,
+		VoterCount:        settings.Voters,
+		HeartbeatInterval: settings.Timing.Heartbeat,
+		ElectionTimeout:   settings.Timing.Election,
+		RepairTimeout:     settings.Timing.Repair,
+		SnapshotRecords:   snapshotRecords,
+		SnapshotBytes:     snapshotBytes,
+		Random:            rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	}
 }
 
@@ -167,7 +167,7 @@
 // runLeaderTasks runs the leader tasks while this instance leads, and stops them once
 // when it no longer does.
 func (c *coordinator) runLeaderTasks(now time.Time) error {
-	isLeader := c.node.Lead(now)
+	isLeader := c.node.IsConfirmedLeader(now)
 	if !isLeader && c.leading {
 		for _, d := range c.leaderTasks {
 			d.StopLeading()
@@ -344,7 +344,7 @@
 	response := &messages.EntryHeartbeatResponse{
 		Leader: string(c.node.LeaderID()),
 	}
-	if !c.node.Lead(now) {
+	if !c.node.IsConfirmedLeader(now) {
 		return response
 	}
 	response.IsLeader = true
@@ -371,7 +371,7 @@
 
 func (c *coordinator) status() statusReply {
 	now := time.Now()
-	if !c.node.Lead(now) {
+	if !c.node.IsConfirmedLeader(now) {
 		return statusReply{err: &NotLeaderError{Leader: c.node.LeaderID()}}
 	}
 	status := &messages.Status{
--- a/src/control/dump.go
+++ b/src/control/dump.go
@@ -47,7 +47,7 @@
 func (c *coordinator) dump() *Dump {
 	dump := &Dump{
 		Name:            c.settings.Name,
-		Voter:           c.node.Identity(),
+		Voter:           c.node.VoterID(),
 		Log:             c.node.LogID(),
 		Role:            c.node.CurrentRole().String(),
 		Term:            c.node.Term(),
--- a/src/control/fleet.go
+++ b/src/control/fleet.go
@@ -175,7 +175,7 @@
 
 func (c *coordinator) report(e reportReceived) {
 	now := time.Now()
-	if !c.node.Lead(now) {
+	if !c.node.IsConfirmedLeader(now) {
 		e.reply <- &messages.FleetReportResponse{}
 		return
 	}
--- a/src/control/recovery.go
+++ b/src/control/recovery.go
@@ -26,10 +26,10 @@
 // only the lost voters held are lost. Its fields are set before Run.
 type Recovery struct {
 	Settings *parser.Settings
-	// Log is the id of the old log, as shown in a dump of this instance.
-	Log string
-	// Lost names the permanently lost voters.
-	Lost []units.Instance
+	// LogID is the id of the old log, as shown in a dump of this instance.
+	LogID string
+	// LostVoters names the permanently lost voters.
+	LostVoters []units.Instance
 }
 
 // RecoveryError reports why a recovery is refused.
@@ -59,10 +59,10 @@
 }
 
 // check returns an error if the recovery is not needed or is for another log.
-func (r *Recovery) check(kept *keeper.Kept, membership *messages.Membership) error {
-	if kept.Snapshot == nil || kept.Snapshot.GetLogId() != r.Log {
+func (r *Recovery) check(kept *keeper.Contents, membership *messages.Membership) error {
+	if kept.Snapshot == nil || kept.Snapshot.GetLogId() != r.LogID {
 		return &RecoveryError{
-			Reason: fmt.Sprintf("the folder holds log %q and not %q", kept.Snapshot.GetLogId(), r.Log),
+			Reason: fmt.Sprintf("the folder holds log %q and not %q", kept.Snapshot.GetLogId(), r.LogID),
 			Remedy: "read the log's id in a dump of the instance that is to go on",
 		}
 	}
@@ -77,7 +77,7 @@
 			others = append(others, id.Instance())
 		}
 	}
-	for _, lost := range r.Lost {
+	for _, lost := range r.LostVoters {
 		if !slices.Contains(others, lost) {
 			return &RecoveryError{
 				Reason: fmt.Sprintf("%s is no other voter of this log; the others are %v", lost, others),
@@ -85,9 +85,9 @@
 			}
 		}
 	}
-	if voters-len(r.Lost) > voters/2 {
+	if voters-len(r.LostVoters) > voters/2 {
 		return &RecoveryError{
-			Reason: fmt.Sprintf("%d of %d voters are left, which is a majority", voters-len(r.Lost), voters),
+			Reason: fmt.Sprintf("%d of %d voters are left, which is a majority", voters-len(r.LostVoters), voters),
 			Remedy: "start them; a lost minority is replaced without help",
 		}
 	}
@@ -117,7 +117,7 @@
 
 // writeNewLog stores the folder's records under a new log id and in a new term, with an
 // additional membership of this voter alone.
-func (r *Recovery) writeNewLog(folder *keeper.Keeper, kept *keeper.Kept, membership *messages.Membership) (string, error) {
+func (r *Recovery) writeNewLog(folder *keeper.Keeper, kept *keeper.Contents, membership *messages.Membership) (string, error) {
 	random := make([]byte, logIDBytes)
 	_, _ = rand.Read(random)
 	logID := hex.EncodeToString(random)
@@ -146,7 +146,7 @@
 }
 
 // newestMembership returns the last membership that the folder holds, committed or not.
-func newestMembership(kept *keeper.Kept) *messages.Membership {
+func newestMembership(kept *keeper.Contents) *messages.Membership {
 	membership := kept.Snapshot.GetMembership()
 	for _, record := range kept.Records {
 		if record.GetIndex() <= kept.Snapshot.GetIndex() {
--- a/src/entry/membership.go
+++ b/src/entry/membership.go
@@ -176,7 +176,7 @@
 	case answered:
 		c.takeAnswer(e)
 	case viewed:
-		c.inform(informer.Viewed{View: e.view})
+		c.inform(informer.ViewChanged{View: e.view})
 	case listed:
 		e.reply <- c.list()
 	}
--- a/src/gateway/gateway.go
+++ b/src/gateway/gateway.go
@@ -226,8 +226,10 @@
 	g.usageCounter.Add(timekeeper.Now().Add(w.trueTimeOffset), call.Account.Name)
 }
 
-// State records the load that an upstream stated in an answer.
-func (g *Gateway) State(u *tracker.Upstream, load placer.ReportedLoad) { g.placer.RecordLoad(u, load) }
+// RecordLoad records the load that an upstream stated in an answer.
+func (g *Gateway) RecordLoad(u *tracker.Upstream, load placer.ReportedLoad) {
+	g.placer.RecordLoad(u, load)
+}
 
 func (g *Gateway) logUpstream(m *messages.RegisteredUpstream) {
 	g.Log.Info().
--- a/src/gateway/quarantine.go
+++ b/src/gateway/quarantine.go
@@ -36,10 +36,10 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.detector == nil {
-		q.detector = &quarantiner.Quarantiner{Enough: quarantiner.EntryThreshold}
+		q.detector = &quarantiner.Quarantiner{Threshold: quarantiner.EntryThreshold}
 		q.localUntil = make(map[units.Fingerprint]time.Time)
 	}
-	q.detector.Lose(now, loss)
+	q.detector.RecordLoss(now, loss)
 	for _, verdict := range q.detector.Due(now) {
 		q.localUntil[verdict.Request] = now.Add(localQuarantineTTL)
 		q.detector.Drop(verdict.Request)
--- a/src/gateway/serve.go
+++ b/src/gateway/serve.go
@@ -29,12 +29,12 @@
 	Body   []byte
 	// Key is the API key, "" for none.
 	Key string
-	// Left is how long the caller will wait, 0 if it did not say.
-	Left time.Duration
+	// CallerTimeout is how long the caller will wait, 0 if it did not say.
+	CallerTimeout time.Duration
 	// Arrived is when the request was read, on the clock that counts suspension.
 	Arrived   time.Time
 	Model     units.Model
-	Parts     []dispatcher.Part
+	Prefixes  []dispatcher.Part
 	Prompt    units.Tokens
 	MaxOutput units.Tokens
 	// From is the stream offset from which the caller resumes, 0 for the beginning.
@@ -53,7 +53,7 @@
 // Serve answers one request. If the error is a *dispatcher.Refusal, it is the final answer; any
 // other error means that the caller is gone.
 func (g *Gateway) Serve(ctx context.Context, r *Request, sink dispatcher.Sink) error {
-	g.startupBarrier.await(ctx, timekeeper.Now(), r.Left)
+	g.startupBarrier.await(ctx, timekeeper.Now(), r.CallerTimeout)
 	w := g.snapshot.Load()
 	if w == nil || w.table == nil {
 		return newUnreadyRefusal("this entry has no configuration yet")
@@ -98,8 +98,8 @@
 
 func (g *Gateway) call(w *snapshot, r *Request, route *matcher.Route, account *matcher.Account) *dispatcher.Call {
 	remaining := route.Timeout
-	if r.Left > 0 {
-		remaining = min(remaining, r.Left)
+	if r.CallerTimeout > 0 {
+		remaining = min(remaining, r.CallerTimeout)
 	}
 	urgencies := matcher.UrgenciesOf(account, route)
 	call := &dispatcher.Call{
@@ -117,7 +117,7 @@
 		Model:        r.Model,
 		Prompt:       r.Prompt,
 		MaxOutput:    r.MaxOutput,
-		Parts:        r.Parts,
+		Parts:        r.Prefixes,
 		From:         r.From,
 		MaxAttempts:  max(1, route.Attempts),
 		Target:       route.Target,
--- a/src/governor/coordinator.go
+++ b/src/governor/coordinator.go
@@ -100,7 +100,7 @@
 	reply chan<- declareReply
 }
 
-func newCoordinator(g *Governor, storage *keeper.Keeper, stored *keeper.Kept) (*coordinator, error) {
+func newCoordinator(g *Governor, storage *keeper.Keeper, stored *keeper.Contents) (*coordinator, error) {
 	c := &coordinator{
 		settings: g.Settings,
 		log:      g.Log,
@@ -145,7 +145,7 @@
 		return nil, err
 	}
 	c.loadTable()
-	c.node = replicator.New(timekeeper.Now(), c.options(stored), replicator.Stored{
+	c.node = replicator.New(timekeeper.Now(), c.options(stored), replicator.StoredState{
 		State:    stored.State,
 		Snapshot: stored.Snapshot,
 		Base:     stored.Base,
@@ -168,25 +168,25 @@
 
 // options configures the voter. Only the seeds may create a log, and only at the very first
 // start: any other instance may have lost a log that it had, and waits to be added to one.
-func (c *coordinator) options(stored *keeper.Kept) replicator.Options {
+func (c *coordinator) options(stored *keeper.Contents) replicator.Options {
 	seeds := c.settings.SeedPeers()
 	own := c.settings.OwnPeerAddress()
 	options := replicator.Options{
-		ID:              stored.ID,
-		DataCentre:      c.settings.DataCentre,
-		Voters:          c.settings.Voters(),
-		Heartbeat:       heartbeatInterval,
-		Election:        electionTimeout,
-		Repair:          repairDelay,
-		SnapshotRecords: snapshotRecords,
-		SnapshotBytes:   snapshotBytes,
-		Random:          rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
-		Joining:         !c.settings.FirstStart || !slices.Contains(seeds, own),
+		ID:                stored.ID,
+		DataCentre:        c.settings.DataCentre,
+		VoterCount:        c.settings.Voters(),
+		HeartbeatInterval: heartbeatInterval,
+		ElectionTimeout:   electionTimeout,
+		RepairTimeout:     repairDelay,
+		SnapshotRecords:   snapshotRecords,
+		SnapshotBytes:     snapshotBytes,
+		Random:            rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+		JoinOnly:          !c.settings.FirstStart || !slices.Contains(seeds, own),
 	}
 	// All seeds must agree on the order, in whatever order their settings list them.
 	slices.Sort(seeds)
 	for _, seed := range seeds {
-		options.Instances = append(options.Instances, replicator.Place{Instance: units.Instance(seed)})
+		options.Instances = append(options.Instances, replicator.EligibleInstance{Instance: units.Instance(seed)})
 	}
 	return options
 }
@@ -339,7 +339,7 @@
 		c.duties.orders.handleResult(e, c.duties)
 	case settingsReloaded:
 		for _, seed := range e.settings.SeedPeers() {
-			c.node.Meet(units.Instance(seed))
+			c.node.AddInstance(units.Instance(seed))
 		}
 	case dumpRequested:
 		e.reply <- c.dump()
@@ -350,7 +350,7 @@
 // handleDeclare proposes a configuration. It replies at once where this instance leads and
 // the same or a higher version is in force: that one is committed, so the reply is final.
 func (c *coordinator) handleDeclare(e declareRequested) error {
-	if !c.node.Lead(timekeeper.Now()) {
+	if !c.node.IsConfirmedLeader(timekeeper.Now()) {
 		e.reply <- declareReply{leader: string(c.node.LeaderID())}
 		return nil
 	}
@@ -372,7 +372,7 @@
 
 // read replies from the state while the lease guarantees that no later leader has changed it.
 func (c *coordinator) read() readReply {
-	if !c.node.Lead(timekeeper.Now()) {
+	if !c.node.IsConfirmedLeader(timekeeper.Now()) {
 		return readReply{leader: string(c.node.LeaderID())}
 	}
 	return readReply{
@@ -384,7 +384,7 @@
 // controls returns the addresses of all known control instances.
 func (c *coordinator) controls() []string {
 	addresses := []string{c.settings.OwnPeerAddress()}
-	for _, instance := range c.node.Acquaintances() {
+	for _, instance := range c.node.OtherInstances() {
 		addresses = append(addresses, string(instance))
 	}
 	return addresses
--- a/src/governor/coordinator_test.go
+++ b/src/governor/coordinator_test.go
@@ -46,7 +46,7 @@
 		Client: &connector.Client{},
 	}
 	g.Prepare()
-	storage, stored, err := keeper.OpenUnnumbered(g.Settings.DataFolder, units.Instance(g.Settings.OwnPeerAddress()))
+	storage, stored, err := keeper.OpenWithoutInodeCheck(g.Settings.DataFolder, units.Instance(g.Settings.OwnPeerAddress()))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -67,7 +67,7 @@
 	// The voter's clock is advanced by hand, past the election timeout.
 	now := timekeeper.Now()
 	for range 500 {
-		if c.node.Lead(now) {
+		if c.node.IsConfirmedLeader(now) {
 			break
 		}
 		now = now.Add(tickInterval)
@@ -77,7 +77,7 @@
 			}
 		}
 	}
-	if !c.node.Lead(now) {
+	if !c.node.IsConfirmedLeader(now) {
 		t.Fatal("single voter: got no leader after 10 s")
 	}
 	return g, c
@@ -175,7 +175,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				c.node.Meet(units.Instance(listener.Addr().String()))
+				c.node.AddInstance(units.Instance(listener.Addr().String()))
 				if !test.reachable {
 					_ = listener.Close()
 					continue
--- a/src/governor/dump.go
+++ b/src/governor/dump.go
@@ -52,7 +52,7 @@
 func (c *coordinator) dump() *Dump {
 	now := timekeeper.Now()
 	d := &Dump{
-		Voter:    string(c.node.Identity()),
+		Voter:    string(c.node.VoterID()),
 		Role:     c.node.CurrentRole().String(),
 		Term:     uint64(c.node.Term()),
 		Leader:   string(c.node.LeaderID()),
--- a/src/governor/governor.go
+++ b/src/governor/governor.go
@@ -100,7 +100,7 @@
 
 // runVoter runs one voter until ctx ends or its disk fails.
 func (g *Governor) runVoter(ctx context.Context) (err error) {
-	storage, stored, err := keeper.OpenUnnumbered(g.Settings.DataFolder, units.Instance(g.Settings.OwnPeerAddress()))
+	storage, stored, err := keeper.OpenWithoutInodeCheck(g.Settings.DataFolder, units.Instance(g.Settings.OwnPeerAddress()))
 	if err != nil {
 		return fmt.Errorf("open the data folder: %w", err)
 	}
--- a/src/governor/quarantine.go
+++ b/src/governor/quarantine.go
@@ -48,9 +48,9 @@
 	q.proposed = make(map[units.Fingerprint]time.Time)
 	q.releaseProposed = make(map[units.Fingerprint]time.Time)
 	q.detector = &quarantiner.Quarantiner{
-		Enough:   quarantiner.FleetPoints,
-		Settle:   quarantiner.Settle,
-		Repeated: func(request units.Fingerprint) bool { return q.coordinator.state.quarantines[request] != nil },
+		Threshold:      quarantiner.FleetThreshold,
+		SettleDelay:    quarantiner.SettleDelay,
+		WasQuarantined: func(request units.Fingerprint) bool { return q.coordinator.state.quarantines[request] != nil },
 	}
 }
 
@@ -62,14 +62,14 @@
 	for _, m := range poll.GetLosses() {
 		request := units.Fingerprint(m.GetRequest())
 		if !m.GetRan() {
-			q.detector.Lose(now, quarantiner.Loss{
+			q.detector.RecordLoss(now, quarantiner.Loss{
 				Request:   request,
 				Life:      units.Life(m.GetLife()),
 				Answering: m.GetAnswering(),
 			})
 			continue
 		}
-		q.detector.Ran(now, request)
+		q.detector.RecordRun(now, request)
 		if err := q.release(now, poll.GetEntry(), request); err != nil {
 			return err
 		}
--- a/src/governor/quarantine_test.go
+++ b/src/governor/quarantine_test.go
@@ -39,7 +39,7 @@
 	if err := c.quarantines.record(now, poll); err != nil {
 		t.Fatal(err)
 	}
-	for _, at := range []time.Duration{quarantiner.Settle, 2 * quarantiner.Settle} {
+	for _, at := range []time.Duration{quarantiner.SettleDelay, 2 * quarantiner.SettleDelay} {
 		if err := c.quarantines.tick(now.Add(at)); err != nil {
 			t.Fatal(err)
 		}
@@ -113,7 +113,7 @@
 			t.Fatal(err)
 		}
 	}
-	now = now.Add(quarantiner.Settle)
+	now = now.Add(quarantiner.SettleDelay)
 	if err := c.quarantines.tick(now); err != nil {
 		t.Fatal(err)
 	}
--- a/src/governor/registry.go
+++ b/src/governor/registry.go
@@ -22,7 +22,7 @@
 	now := timekeeper.Now()
 	reply := announceReply{
 		leader:             string(c.node.LeaderID()),
-		leaderReached:      c.node.Lead(now),
+		leaderReached:      c.node.IsConfirmedLeader(now),
 		leaderSeenRecently: now.Sub(c.leaderSeenAt) < c.settings.HeartbeatInterval,
 	}
 	id := a.registration.ID
@@ -51,7 +51,7 @@
 	}
 	if enroller.State(message.GetState()) != enroller.Ready {
 		reply.mustReplicate = message
-		for _, instance := range c.node.Acquaintances() {
+		for _, instance := range c.node.OtherInstances() {
 			reply.peers = append(reply.peers, string(instance))
 		}
 	}
@@ -73,7 +73,7 @@
 		}
 	}
 	clear(c.unsent)
-	for _, instance := range c.node.Acquaintances() {
+	for _, instance := range c.node.OtherInstances() {
 		c.outbox.enqueue(c.ctx, string(instance), peerMessage{batch: batch})
 	}
 }
@@ -85,7 +85,7 @@
 	for _, message := range batch.GetUpstreams() {
 		c.table.Follow(now, message)
 	}
-	return &messages.UpstreamBatchResponse{Leads: c.node.Lead(now)}
+	return &messages.UpstreamBatchResponse{Leads: c.node.IsConfirmedLeader(now)}
 }
 
 // handlePoll answers a poll unless its entry has given up on it: an instance that is behind
--- a/src/governor/rollout.go
+++ b/src/governor/rollout.go
@@ -113,7 +113,7 @@
 // changed it.
 func (r *rollouts) read(service units.Service) rolloutReadReply {
 	c := r.coordinator
-	if !c.node.Lead(timekeeper.Now()) {
+	if !c.node.IsConfirmedLeader(timekeeper.Now()) {
 		return rolloutReadReply{leader: string(c.node.LeaderID())}
 	}
 	return rolloutReadReply{
--- a/src/informer/event.go
+++ b/src/informer/event.go
@@ -17,8 +17,8 @@
 	Announcement *messages.Announcement
 }
 
-// Viewed reports a new view of the entries.
-type Viewed struct {
+// ViewChanged reports a new view of the entries.
+type ViewChanged struct {
 	View *messages.EntryView
 }
 
@@ -44,12 +44,12 @@
 // Ticked reports that time has passed.
 type Ticked struct{}
 
-func (Announced) event() {}
-func (Viewed) event()    {}
-func (Received) event()  {}
-func (Answered) event()  {}
-func (Failed) event()    {}
-func (Ticked) event()    {}
+func (Announced) event()   {}
+func (ViewChanged) event() {}
+func (Received) event()    {}
+func (Answered) event()    {}
+func (Failed) event()      {}
+func (Ticked) event()      {}
 
 // Outcome is the result of one event.
 type Outcome struct {
--- a/src/informer/fleet_test.go
+++ b/src/informer/fleet_test.go
@@ -70,7 +70,7 @@
 				Random:  rand.New(rand.NewPCG(seed, uint64(i))),
 			},
 		}
-		entry.Step(f.now, Viewed{View: entryView(entries)})
+		entry.Step(f.now, ViewChanged{View: entryView(entries)})
 		entry.Step(f.now, Ticked{})
 		f.entries = append(f.entries, entry)
 	}
--- a/src/informer/informer.go
+++ b/src/informer/informer.go
@@ -30,7 +30,7 @@
 	case Announced:
 		i.stepTracker(now, &out, source{}, tracker.Announced{Announcement: e.Announcement})
 		i.flushLeaving(now, &out, e.Announcement)
-	case Viewed:
+	case ViewChanged:
 		i.Gossiper.Step(now, gossiper.Viewed{View: e.View})
 	case Received:
 		i.handleReceived(now, &out, e.Gossip)
--- a/src/informer/informer_benchmark_test.go
+++ b/src/informer/informer_benchmark_test.go
@@ -15,7 +15,7 @@
 		b.Run(fmt.Sprint(entries, " entries"), func(b *testing.B) {
 			entry := newFleet(1, 1).entries[0]
 			now := time.Unix(2000, 0)
-			entry.Step(now, Viewed{View: entryView(entries)})
+			entry.Step(now, ViewChanged{View: entryView(entries)})
 			bytes, messages, sequence := 0, 0, uint64(0)
 			for b.Loop() {
 				sequence++
--- a/src/informer/informer_test.go
+++ b/src/informer/informer_test.go
@@ -161,7 +161,7 @@
 			Gossiper: g,
 		}
 		now := time.Unix(1000, 0)
-		entry.Step(now, Viewed{View: entryView(entries)})
+		entry.Step(now, ViewChanged{View: entryView(entries)})
 		for i := range 12 {
 			entry.Step(now, Announced{Announcement: announcement(fmt.Sprint("u", i), 1, 1)})
 		}
--- a/src/keeper/error.go
+++ b/src/keeper/error.go
@@ -42,15 +42,15 @@
 	return fmt.Sprintf("%s has format %d and this program knows formats up to %d; start the newer program again", e.Folder, e.Found, e.Known)
 }
 
-// CopiedError reports that the data folder is a copy or belongs to another instance.
-type CopiedError struct {
+// ForeignFolderError reports that the data folder is a copy or belongs to another instance.
+type ForeignFolderError struct {
 	Folder   string
 	Instance units.Instance
 	Owner    units.Instance
 }
 
 // Error returns the cause and its remedy.
-func (e *CopiedError) Error() string {
+func (e *ForeignFolderError) Error() string {
 	if e.Instance != e.Owner {
 		return fmt.Sprintf("%s belongs to %s and not to %s; correct data-folder in the settings, or %s", e.Folder, e.Owner, e.Instance, rejoinRemedy)
 	}
--- a/src/keeper/folder.go
+++ b/src/keeper/folder.go
@@ -73,7 +73,7 @@
 	// started from a copy would vote and acknowledge as if it still held that, and a
 	// committed change could be lost.
 	if identity.GetInstance() != string(instance) || stableInodes && identity.GetInode() != inode {
-		return nil, &CopiedError{
+		return nil, &ForeignFolderError{
 			Folder:   folder,
 			Instance: instance,
 			Owner:    units.Instance(identity.GetInstance()),
--- a/src/keeper/keeper.go
+++ b/src/keeper/keeper.go
@@ -21,8 +21,8 @@
 	state        *messages.HardState
 }
 
-// Kept is what a data folder holds.
-type Kept struct {
+// Contents is what a data folder holds.
+type Contents struct {
 	// ID is the voter that the folder belongs to.
 	ID    units.VoterID
 	State *messages.HardState
@@ -35,18 +35,18 @@
 
 // Open locks the data folder for an instance and returns what it holds. A new folder
 // gets a random identity.
-func Open(folder string, instance units.Instance) (*Keeper, *Kept, error) {
+func Open(folder string, instance units.Instance) (*Keeper, *Contents, error) {
 	return openFolder(folder, instance, true)
 }
 
-// OpenUnnumbered is Open for storage whose inode numbers change at each start, as on
+// OpenWithoutInodeCheck is Open for storage whose inode numbers change at each start, as on
 // some platforms' virtual disks. A copy cannot be distinguished from the original
 // there, so the folder must not be copied.
-func OpenUnnumbered(folder string, instance units.Instance) (*Keeper, *Kept, error) {
+func OpenWithoutInodeCheck(folder string, instance units.Instance) (*Keeper, *Contents, error) {
 	return openFolder(folder, instance, false)
 }
 
-func openFolder(folder string, instance units.Instance, stableInodes bool) (*Keeper, *Kept, error) {
+func openFolder(folder string, instance units.Instance, stableInodes bool) (*Keeper, *Contents, error) {
 	if err := os.MkdirAll(folder, folderMode); err != nil {
 		return nil, nil, &WriteError{
 			Folder: folder,
@@ -78,7 +78,7 @@
 	return errors.Join(err, k.lock.Close())
 }
 
-func (k *Keeper) open(instance units.Instance) (*Kept, error) {
+func (k *Keeper) open(instance units.Instance) (*Contents, error) {
 	identity, err := readIdentity(k.folder, instance, k.stableInodes)
 	if err != nil {
 		return nil, err
@@ -89,7 +89,7 @@
 	if err != nil {
 		return nil, err
 	}
-	kept := &Kept{
+	kept := &Contents{
 		ID: units.NewVoterID(instance, identity.GetIdentity()),
 	}
 	return kept, k.read(kept)
@@ -111,7 +111,7 @@
 	return identity, nil
 }
 
-func (k *Keeper) read(kept *Kept) error {
+func (k *Keeper) read(kept *Contents) error {
 	kept.State = &messages.HardState{}
 	kept.Base = &messages.RecordsHeader{}
 	found, err := readFile(filepath.Join(k.folder, stateFile), kindState, kept.State)
@@ -154,7 +154,7 @@
 
 // dropReplacedRecords drops the records if the snapshot has replaced them, which is the
 // case after a crash between the writes of the two files.
-func (k *Keeper) dropReplacedRecords(kept *Kept) error {
+func (k *Keeper) dropReplacedRecords(kept *Contents) error {
 	index, term := kept.Snapshot.GetIndex(), kept.Snapshot.GetTerm()
 	base := kept.Base
 	if base.GetBaseIndex() > index {
@@ -174,7 +174,7 @@
 	return nil
 }
 
-func (k *Keeper) resetRecords(kept *Kept) error {
+func (k *Keeper) resetRecords(kept *Contents) error {
 	kept.Records = nil
 	kept.Base = &messages.RecordsHeader{
 		BaseIndex: kept.Snapshot.GetIndex(),
--- a/src/keeper/keeper_test.go
+++ b/src/keeper/keeper_test.go
@@ -17,7 +17,7 @@
 
 const testInstance units.Instance = "c1"
 
-func open(t *testing.T, folder string) (*Keeper, *Kept) {
+func open(t *testing.T, folder string) (*Keeper, *Contents) {
 	t.Helper()
 	k, kept, err := Open(folder, testInstance)
 	if err != nil {
@@ -138,7 +138,7 @@
 	}
 }
 
-func checkDamage(t *testing.T, folder, name string, offset int, want *Kept) {
+func checkDamage(t *testing.T, folder, name string, offset int, want *Contents) {
 	t.Helper()
 	k, kept, err := Open(folder, testInstance)
 	var damage *DamageError
@@ -193,7 +193,7 @@
 		"folder of another instance": {
 			prepare:  func(_ *testing.T, folder string) string { return folder },
 			instance: "c2",
-			want:     new(*CopiedError),
+			want:     new(*ForeignFolderError),
 		},
 		"copy of the own folder": {
 			prepare: func(t *testing.T, folder string) string {
@@ -204,7 +204,7 @@
 				return copied
 			},
 			instance: testInstance,
-			want:     new(*CopiedError),
+			want:     new(*ForeignFolderError),
 		},
 		"folder in use": {
 			prepare: func(t *testing.T, folder string) string {
@@ -334,7 +334,7 @@
 // A folder of another instance must still be refused.
 func TestFolderWithoutStableInodesIsOpenedAgain(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "data")
-	k, kept, err := OpenUnnumbered(folder, "c1")
+	k, kept, err := OpenWithoutInodeCheck(folder, "c1")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -353,11 +353,11 @@
 	if err := os.Rename(path+".copy", path); err != nil {
 		t.Fatal(err)
 	}
-	var copied *CopiedError
+	var copied *ForeignFolderError
 	if _, _, err := Open(folder, "c1"); !errors.As(err, &copied) {
 		t.Errorf("with inode check: got %v, want a *CopiedError", err)
 	}
-	reopened, keptReopened, err := OpenUnnumbered(folder, "c1")
+	reopened, keptReopened, err := OpenWithoutInodeCheck(folder, "c1")
 	if err != nil {
 		t.Fatalf("without inode check: got error %v, want none", err)
 	}
@@ -367,7 +367,7 @@
 	if err := reopened.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if _, _, err := OpenUnnumbered(folder, "c2"); !errors.As(err, &copied) {
+	if _, _, err := OpenWithoutInodeCheck(folder, "c2"); !errors.As(err, &copied) {
 		t.Errorf("another instance's folder: got %v, want a *CopiedError", err)
 	}
 }
--- a/src/launcher/recovery.go
+++ b/src/launcher/recovery.go
@@ -22,9 +22,9 @@
 		return err
 	}
 	recovery := &control.Recovery{
-		Settings: settings,
-		Log:      c.Log,
-		Lost:     c.Lost,
+		Settings:   settings,
+		LogID:      c.Log,
+		LostVoters: c.Lost,
 	}
 	logID, err := recovery.Run(ctx)
 	if err != nil {
--- a/src/locator/index.go
+++ b/src/locator/index.go
@@ -176,8 +176,8 @@
 // Tokens returns the number of cached tokens, given the size of a block.
 func (m *Match) Tokens(perBlock units.Tokens) float64 { return m.Blocks * float64(perBlock) }
 
-// Is reports whether the match is for the engine with this number.
-func (m *Match) Is(number uint32) bool { return m.Engine == number&engineMask }
+// IsEngine reports whether the match is for the engine with this number.
+func (m *Match) IsEngine(number uint32) bool { return m.Engine == number&engineMask }
 
 func (x *Index) bucket(block uint64) []atomic.Uint64 {
 	at := (block & x.mask) * bucketSize
--- a/src/quarantiner/quarantiner.go
+++ b/src/quarantiner/quarantiner.go
@@ -29,17 +29,17 @@
 )
 
 const (
-	// FleetPoints is the threshold at which the leader quarantines a request for all entries.
-	FleetPoints = 2 * unansweredLoss
+	// FleetThreshold is the threshold at which the leader quarantines a request for all entries.
+	FleetThreshold = 2 * unansweredLoss
 	// EntryThreshold is the threshold at which one entry quarantines a request by itself. It is
 	// higher, as an entry does not know whether the request has run at another entry.
 	EntryThreshold = 3 * unansweredLoss
 )
 
 const (
-	// Settle is how long the reports of one upstream's crash may take to arrive from all
+	// SettleDelay is how long the reports of one upstream's crash may take to arrive from all
 	// entries: several polls.
-	Settle = 300 * time.Millisecond
+	SettleDelay = 300 * time.Millisecond
 	// suspectTTL is how long a loss counts: callers repeat requests after minutes.
 	suspectTTL = 10 * time.Minute
 	// ranTTL is how long a request that has run to completion cannot become a suspect. Entries
@@ -54,13 +54,13 @@
 
 // Quarantiner weighs the evidence against requests; its exported fields are set before use.
 type Quarantiner struct {
-	// Enough is the number of points at which a request is quarantined.
-	Enough Points
-	// Settle is how long a request must have been at the threshold before it is due.
-	Settle time.Duration
-	// Repeated reports whether a request was quarantined before, in which case one loss is
+	// Threshold is the number of points at which a request is quarantined.
+	Threshold Points
+	// SettleDelay is how long a request must have been at the threshold before it is due.
+	SettleDelay time.Duration
+	// WasQuarantined reports whether a request was quarantined before, in which case one loss is
 	// enough; it may be nil.
-	Repeated func(units.Fingerprint) bool
+	WasQuarantined func(units.Fingerprint) bool
 
 	suspects map[units.Fingerprint]*suspect
 	ran      map[units.Fingerprint]time.Time
@@ -86,8 +86,8 @@
 	Points    Points
 }
 
-// Lose records that an upstream was lost with a request.
-func (q *Quarantiner) Lose(now time.Time, loss Loss) {
+// RecordLoss records that an upstream was lost with a request.
+func (q *Quarantiner) RecordLoss(now time.Time, loss Loss) {
 	if at, ran := q.ran[loss.Request]; ran && now.Sub(at) < ranTTL {
 		return
 	}
@@ -122,7 +122,7 @@
 	for _, points := range s.lives {
 		s.points += points
 	}
-	enough := s.points >= q.Enough || q.Repeated != nil && q.Repeated(request) && s.points >= unansweredLoss
+	enough := s.points >= q.Threshold || q.WasQuarantined != nil && q.WasQuarantined(request) && s.points >= unansweredLoss
 	switch {
 	case !enough:
 		s.thresholdAt = time.Time{}
@@ -142,9 +142,9 @@
 	q.Drop(oldest)
 }
 
-// Ran records that a request has run to completion, or for longer than one that crashes
+// RecordRun records that a request has run to completion, or for longer than one that crashes
 // upstreams would.
-func (q *Quarantiner) Ran(now time.Time, request units.Fingerprint) {
+func (q *Quarantiner) RecordRun(now time.Time, request units.Fingerprint) {
 	q.Drop(request)
 	if q.ran == nil {
 		q.ran = make(map[units.Fingerprint]time.Time)
@@ -173,7 +173,7 @@
 	q.expire(now)
 	var due []Verdict
 	for request, s := range q.suspects {
-		if !s.thresholdAt.IsZero() && now.Sub(s.thresholdAt) >= q.Settle {
+		if !s.thresholdAt.IsZero() && now.Sub(s.thresholdAt) >= q.SettleDelay {
 			due = append(due, Verdict{
 				Request:   request,
 				Upstreams: len(s.lives),
--- a/src/quarantiner/quarantiner_test.go
+++ b/src/quarantiner/quarantiner_test.go
@@ -30,10 +30,10 @@
 	at := func(ms int) time.Time { return startTime.Add(time.Duration(ms) * time.Millisecond) }
 	for _, e := range events {
 		if e.ran {
-			q.Ran(at(e.at), e.request)
+			q.RecordRun(at(e.at), e.request)
 			continue
 		}
-		q.Lose(at(e.at), Loss{
+		q.RecordLoss(at(e.at), Loss{
 			Request:   e.request,
 			Life:      e.life,
 			Answering: e.answering,
@@ -80,7 +80,7 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			q := &Quarantiner{Enough: FleetPoints, Settle: Settle}
+			q := &Quarantiner{Threshold: FleetThreshold, SettleDelay: SettleDelay}
 			end := c.end
 			if end == 0 {
 				end = settled
@@ -95,9 +95,9 @@
 // Guards against a request that crashes as many upstreams after its quarantine as before it.
 func TestOneLossIsEnoughForARepeatedRequest(t *testing.T) {
 	q := &Quarantiner{
-		Enough:   FleetPoints,
-		Settle:   Settle,
-		Repeated: func(request units.Fingerprint) bool { return request == 1 },
+		Threshold:      FleetThreshold,
+		SettleDelay:    SettleDelay,
+		WasQuarantined: func(request units.Fingerprint) bool { return request == 1 },
 	}
 	got := dueRequests(q, []testEvent{{request: 1, life: 1}, {request: 2, life: 2}}, 1000)
 	if want := []units.Fingerprint{1}; !slices.Equal(got, want) {
@@ -108,7 +108,7 @@
 // Guards against blaming calls for the crash of an upstream that a quarantined request has
 // explained, where the reports of their losses arrive late.
 func TestExplainedLossesAreNotCounted(t *testing.T) {
-	q := &Quarantiner{Enough: FleetPoints, Settle: Settle}
+	q := &Quarantiner{Threshold: FleetThreshold, SettleDelay: SettleDelay}
 	events := []testEvent{{request: 1, life: 1}, {request: 1, life: 2}, {request: 2, life: 1}}
 	if got, want := dueRequests(q, events, 1000), []units.Fingerprint{1}; !slices.Equal(got, want) {
 		t.Fatalf("due: got %v, want %v", got, want)
@@ -125,11 +125,11 @@
 
 // Guards against memory that grows with the number of requests in a fleet that loses upstreams.
 func TestSuspectsAreBounded(t *testing.T) {
-	q := &Quarantiner{Enough: FleetPoints, Settle: Settle}
+	q := &Quarantiner{Threshold: FleetThreshold, SettleDelay: SettleDelay}
 	for n := range 5 * maxSuspects {
 		now := startTime.Add(time.Duration(n) * time.Millisecond)
-		q.Lose(now, Loss{Request: units.Fingerprint(n), Life: units.Life(n)})
-		q.Ran(now, units.Fingerprint(n+1_000_000))
+		q.RecordLoss(now, Loss{Request: units.Fingerprint(n), Life: units.Life(n)})
+		q.RecordRun(now, units.Fingerprint(n+1_000_000))
 	}
 	if got := len(q.suspects); got > maxSuspects {
 		t.Errorf("suspects: got %d, want at most %d", got, maxSuspects)
@@ -153,7 +153,7 @@
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		upstreams := rapid.IntRange(8, 40).Draw(t, "upstreams")
 		beside := rapid.IntRange(0, 20).Draw(t, "calls beside it")
-		q := &Quarantiner{Enough: FleetPoints, Settle: Settle}
+		q := &Quarantiner{Threshold: FleetThreshold, SettleDelay: SettleDelay}
 		const fatal units.Fingerprint = 1
 		next, life := fatal, units.Life(0)
 		// retried are the calls whose upstream has crashed and that are sent to another one.
@@ -166,7 +166,7 @@
 				if random.IntN(upstreams) == 0 {
 					lost = append(lost, request)
 				} else {
-					q.Ran(now, request)
+					q.RecordRun(now, request)
 				}
 			}
 			for range beside {
@@ -174,10 +174,10 @@
 				lost = append(lost, next)
 			}
 			for _, request := range lost {
-				q.Lose(now, Loss{Request: request, Life: life, Answering: request != fatal && random.IntN(2) == 0})
+				q.RecordLoss(now, Loss{Request: request, Life: life, Answering: request != fatal && random.IntN(2) == 0})
 			}
 			retried = lost[1:]
-			due := q.Due(now.Add(Settle))
+			due := q.Due(now.Add(SettleDelay))
 			if slices.ContainsFunc(due, func(v Verdict) bool { return v.Request == fatal }) {
 				if ends > 2 {
 					t.Fatalf("found after %d ends, want 2", ends)
--- a/src/replicator/cluster_test.go
+++ b/src/replicator/cluster_test.go
@@ -59,7 +59,7 @@
 	centre       units.DataCentre
 	incarnations int
 	id           units.VoterID
-	disk         Stored
+	disk         StoredState
 	node         *Node
 	state        configurator.State
 	frozen       bool
@@ -109,7 +109,7 @@
 func (m *member) loseDisk() {
 	m.incarnations++
 	m.id = units.NewVoterID(m.name, fmt.Sprintf("life%d", m.incarnations))
-	m.disk = Stored{
+	m.disk = StoredState{
 		State: &messages.HardState{},
 		Base:  &messages.RecordsHeader{},
 	}
@@ -117,18 +117,18 @@
 
 func (m *member) start(voters int) {
 	options := Options{
-		ID:              m.id,
-		DataCentre:      m.centre,
-		Voters:          voters,
-		Heartbeat:       testHeartbeat,
-		Election:        testElection,
-		Repair:          testRepair,
-		SnapshotRecords: 8,
-		SnapshotBytes:   1 << 20,
-		Random:          rand.New(rand.NewPCG(uint64(m.name[1]), uint64(m.incarnations))),
+		ID:                m.id,
+		DataCentre:        m.centre,
+		VoterCount:        voters,
+		HeartbeatInterval: testHeartbeat,
+		ElectionTimeout:   testElection,
+		RepairTimeout:     testRepair,
+		SnapshotRecords:   8,
+		SnapshotBytes:     1 << 20,
+		Random:            rand.New(rand.NewPCG(uint64(m.name[1]), uint64(m.incarnations))),
 	}
 	for _, other := range m.cluster.members {
-		options.Instances = append(options.Instances, Place{
+		options.Instances = append(options.Instances, EligibleInstance{
 			Instance:   other.name,
 			DataCentre: other.centre,
 		})
@@ -139,7 +139,7 @@
 	m.tokens = make(map[uint64]*messages.Submission)
 	m.isLeader = false
 	m.frozen = false
-	m.node = New(m.clock(), options, Stored{
+	m.node = New(m.clock(), options, StoredState{
 		State:    proto.CloneOf(m.disk.State),
 		Snapshot: m.disk.Snapshot,
 		Base:     m.disk.Base,
@@ -178,7 +178,7 @@
 		m.disk.State = a.State
 		m.storeRecords(a.Records)
 	case PersistSnapshot:
-		m.disk = Stored{
+		m.disk = StoredState{
 			State:    a.State,
 			Snapshot: a.Snapshot,
 			Base:     a.Base,
@@ -307,7 +307,7 @@
 // than one that has been accepted.
 func (w *cluster) checkLeaderVersions() {
 	for _, m := range w.members {
-		if m.running() && m.node.Lead(m.clock()) && m.state.Version() < w.acked {
+		if m.running() && m.node.IsConfirmedLeader(m.clock()) && m.state.Version() < w.acked {
 			w.t.Fatalf("%s reports version %d in term %d, after version %d was accepted",
 				m.id, m.state.Version(), m.node.Term(), w.acked)
 		}
@@ -375,7 +375,7 @@
 
 func (w *cluster) leader() *member {
 	for _, m := range w.members {
-		if m.running() && m.node.Lead(m.clock()) {
+		if m.running() && m.node.IsConfirmedLeader(m.clock()) {
 			return m
 		}
 	}
--- a/src/replicator/hello.go
+++ b/src/replicator/hello.go
@@ -10,8 +10,8 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// Place is one instance that may run a voter, with its data centre.
-type Place struct {
+// EligibleInstance is one instance that may run a voter, with its data centre.
+type EligibleInstance struct {
 	Instance   units.Instance
 	DataCentre units.DataCentre
 }
@@ -31,8 +31,8 @@
 
 // chooseInitialVoters returns the voters of a new log: one from each data centre
 // in the order of the list, then the rest of the list, up to the wanted number.
-func chooseInitialVoters(instances []Place, wanted int) []Place {
-	var initial, rest []Place
+func chooseInitialVoters(instances []EligibleInstance, wanted int) []EligibleInstance {
+	var initial, rest []EligibleInstance
 	covered := make(map[units.DataCentre]bool)
 	for _, instance := range instances {
 		if covered[instance.DataCentre] {
@@ -51,11 +51,11 @@
 
 // sendHellos asks the other instances for a log to join while no leader is known.
 func (n *Node) sendHellos(now time.Time) {
-	leaderless := now.Sub(n.leaderContactAt) > helloSilence*n.options.Election
+	leaderless := now.Sub(n.leaderContactAt) > helloSilence*n.options.ElectionTimeout
 	if n.hasLog() && !leaderless || now.Before(n.nextHelloAt) {
 		return
 	}
-	n.nextHelloAt = now.Add(n.options.Election / 2)
+	n.nextHelloAt = now.Add(n.options.ElectionTimeout / 2)
 	for _, instance := range n.otherInstances() {
 		n.sendTo(units.VoterID(instance), n.term, &messages.LogMessage{
 			Body: &messages.LogMessage_Hello{
@@ -101,11 +101,11 @@
 	return slices.Sorted(maps.Keys(all))
 }
 
-// Meet records an instance that may belong to the log.
-func (n *Node) Meet(instance units.Instance) { n.addKnownInstance(instance, "") }
+// AddInstance records an instance that may belong to the log.
+func (n *Node) AddInstance(instance units.Instance) { n.addKnownInstance(instance, "") }
 
-// Acquaintances returns all other known instances, sorted.
-func (n *Node) Acquaintances() []units.Instance { return n.otherInstances() }
+// OtherInstances returns all other known instances, sorted.
+func (n *Node) OtherInstances() []units.Instance { return n.otherInstances() }
 
 func (n *Node) handleHello(now time.Time, m *messages.LogMessage, hello *messages.Hello) {
 	from := units.VoterID(m.GetFrom())
@@ -156,8 +156,8 @@
 // log. If a subset of them were enough, a majority that lost its disks would start
 // an empty log beside the surviving voters, and every accepted change would be lost.
 func (n *Node) bootstrap(now time.Time) {
-	initial := chooseInitialVoters(n.options.Instances, n.options.Voters)
-	if n.hasLog() || n.options.Joining || len(initial) == 0 || initial[0].Instance != n.options.ID.Instance() {
+	initial := chooseInitialVoters(n.options.Instances, n.options.VoterCount)
+	if n.hasLog() || n.options.JoinOnly || len(initial) == 0 || initial[0].Instance != n.options.ID.Instance() {
 		return
 	}
 	ids := map[units.Instance]units.VoterID{
@@ -168,7 +168,7 @@
 			continue
 		}
 		answer, known := n.helloAnswers[listed.Instance]
-		if !known || answer.hasLog || now.Sub(answer.receivedAt) > helloSilence*n.options.Election {
+		if !known || answer.hasLog || now.Sub(answer.receivedAt) > helloSilence*n.options.ElectionTimeout {
 			return
 		}
 		ids[listed.Instance] = answer.id
@@ -191,7 +191,7 @@
 
 // dataCentreOf returns an initial voter's data centre. Where the settings do not
 // name it, it comes from the voter's own hello; "" means that it is not known yet.
-func (n *Node) dataCentreOf(voter Place) units.DataCentre {
+func (n *Node) dataCentreOf(voter EligibleInstance) units.DataCentre {
 	switch {
 	case voter.DataCentre != "":
 		return voter.DataCentre
--- a/src/replicator/node.go
+++ b/src/replicator/node.go
@@ -57,19 +57,19 @@
 	DataCentre units.DataCentre
 	// Instances are all instances that may run a voter, including this one, in an
 	// order that is the same in the settings of each.
-	Instances []Place
-	// Joining keeps this voter from starting a log; it waits until it is added to
+	Instances []EligibleInstance
+	// JoinOnly keeps this voter from starting a log; it waits until it is added to
 	// one. An instance that returns with an empty disk would otherwise help to
 	// start an empty log beside the one that it belonged to.
-	Joining bool
-	// Voters is the wanted number of voters.
-	Voters    int
-	Heartbeat time.Duration
-	// Election is the minimum time without contact to a leader after which a voter
+	JoinOnly bool
+	// VoterCount is the wanted number of voters.
+	VoterCount        int
+	HeartbeatInterval time.Duration
+	// ElectionTimeout is the minimum time without contact to a leader after which a voter
 	// starts an election.
-	Election time.Duration
-	// Repair is the time without an answer after which a voter is replaced by a spare.
-	Repair time.Duration
+	ElectionTimeout time.Duration
+	// RepairTimeout is the time without an answer after which a voter is replaced by a spare.
+	RepairTimeout time.Duration
 	// SnapshotRecords and SnapshotBytes are how much is applied between snapshots;
 	// the first to be reached triggers one.
 	SnapshotRecords units.Index
@@ -77,9 +77,9 @@
 	Random          *rand.Rand
 }
 
-// Stored is the state that a voter read from disk; Snapshot is nil if it belongs to
+// StoredState is the state that a voter read from disk; Snapshot is nil if it belongs to
 // no log.
-type Stored struct {
+type StoredState struct {
 	State    *messages.HardState
 	Snapshot *messages.LogSnapshot
 	Base     *messages.RecordsHeader
@@ -143,7 +143,7 @@
 
 // New returns a voter that resumes from its stored state; the replicated state must
 // already be that of the stored snapshot.
-func New(now time.Time, options Options, stored Stored) *Node {
+func New(now time.Time, options Options, stored StoredState) *Node {
 	n := &Node{
 		options:  options,
 		term:     units.Term(stored.State.GetTerm()),
@@ -201,7 +201,7 @@
 	return n.actions
 }
 
-// Lead reports whether this voter is the leader and holds a valid lease, which a
+// IsConfirmedLeader reports whether this voter is the leader and holds a valid lease, which a
 // majority has confirmed within an election timeout.
 //
 // A suspended leader resumes with its old role, although its followers may have
@@ -209,15 +209,15 @@
 // prevents this, since no voter grants a vote before it ends. The leader must also
 // have committed a record of its own term: before that it may lack changes that an
 // earlier leader has reported to an operator.
-func (n *Node) Lead(now time.Time) bool {
+func (n *Node) IsConfirmedLeader(now time.Time) bool {
 	return n.role == Leader && now.Before(n.leaseEnd(now)) && n.log.termAt(n.commit) == n.term
 }
 
 // Term returns the current term.
 func (n *Node) Term() units.Term { return n.term }
 
-// Identity returns this voter's id.
-func (n *Node) Identity() units.VoterID { return n.options.ID }
+// VoterID returns this voter's id.
+func (n *Node) VoterID() units.VoterID { return n.options.ID }
 
 // LogID returns the id of the log that this voter belongs to, "" for none.
 func (n *Node) LogID() string { return n.logID }
@@ -255,7 +255,7 @@
 func (n *Node) tickLeader(now time.Time) {
 	// Check quorum: a leader that a silent network partition has isolated steps
 	// down, so that operators get no answers from it and find the new leader.
-	grace := n.leaderSince.Add(n.options.Election)
+	grace := n.leaderSince.Add(n.options.ElectionTimeout)
 	if !now.Before(n.leaseEnd(now)) && !now.Before(grace) {
 		n.becomeFollower(now, n.term, "")
 		return
@@ -280,7 +280,7 @@
 		acked = append(acked, n.peers[voter].ackedAt)
 	}
 	slices.SortFunc(acked, func(a, b time.Time) int { return b.Compare(a) })
-	lease := n.options.Election - n.options.Election/clockDriftDivisor
+	lease := n.options.ElectionTimeout - n.options.ElectionTimeout/clockDriftDivisor
 	return acked[n.quorum()-1].Add(lease)
 }
 
@@ -443,8 +443,8 @@
 }
 
 func (n *Node) resetElectionDeadline(now time.Time) {
-	jitter := time.Duration(n.options.Random.Float64() * electionJitter * float64(n.options.Election))
-	n.electionDeadline = now.Add(n.options.Election + jitter)
+	jitter := time.Duration(n.options.Random.Float64() * electionJitter * float64(n.options.ElectionTimeout))
+	n.electionDeadline = now.Add(n.options.ElectionTimeout + jitter)
 }
 
 // sendTo fills in a message's header and sends it.
@@ -463,7 +463,7 @@
 // LeaseEnd returns when this voter's leadership ends unless its followers confirm it
 // again, and the zero time if this voter is not the leader.
 func (n *Node) LeaseEnd(now time.Time) time.Time {
-	if !n.Lead(now) {
+	if !n.IsConfirmedLeader(now) {
 		return time.Time{}
 	}
 	return n.leaseEnd(now)
--- a/src/replicator/receive.go
+++ b/src/replicator/receive.go
@@ -107,9 +107,9 @@
 
 func (n *Node) hasLiveLeader(now time.Time) bool {
 	if n.role == Leader {
-		return n.Lead(now)
+		return n.IsConfirmedLeader(now)
 	}
-	return now.Before(n.leaderContactAt.Add(n.options.Election))
+	return now.Before(n.leaderContactAt.Add(n.options.ElectionTimeout))
 }
 
 func (n *Node) handleVoteResponse(now time.Time, m *messages.LogMessage, response *messages.VoteResponse) {
@@ -263,7 +263,7 @@
 
 func (n *Node) broadcastAppend(now time.Time) {
 	n.round++
-	n.nextHeartbeatAt = now.Add(n.options.Heartbeat)
+	n.nextHeartbeatAt = now.Add(n.options.HeartbeatInterval)
 	for _, peer := range n.otherMembers() {
 		n.sendAppend(now, peer)
 	}
--- a/src/replicator/repair.go
+++ b/src/replicator/repair.go
@@ -164,7 +164,7 @@
 
 // repair proposes the next membership if one is needed.
 func (n *Node) repair(now time.Time) {
-	if !n.Lead(now) || !n.canChangeMembership() {
+	if !n.IsConfirmedLeader(now) || !n.canChangeMembership() {
 		return
 	}
 	plan := n.repairPlan(now)
@@ -182,12 +182,12 @@
 
 func (n *Node) repairPlan(now time.Time) *repairPlan {
 	plan := &repairPlan{
-		wanted: n.options.Voters,
+		wanted: n.options.VoterCount,
 	}
 	returned := make(map[units.Instance]bool)
 	for _, id := range slices.Sorted(maps.Keys(n.spares)) {
 		s := n.spares[id]
-		if now.Sub(s.lastHelloAt) > n.options.Election*spareExpiry {
+		if now.Sub(s.lastHelloAt) > n.options.ElectionTimeout*spareExpiry {
 			delete(n.spares, id)
 			continue
 		}
@@ -227,11 +227,11 @@
 	}
 	// An instance that returns with another identity has lost the disk of the old
 	// one, so that waiting for the old one is pointless.
-	c.live = now.Sub(lastContact) <= n.options.Repair && !returned[id.Instance()]
+	c.live = now.Sub(lastContact) <= n.options.RepairTimeout && !returned[id.Instance()]
 	// Between the promotion of a learner and the removal of the voter that it
 	// replaces, the loss of the new voter would leave no majority. So a learner that
 	// has not answered for half an election timeout is not promoted.
-	c.caughtUp = p.snapshotTransfer == nil && p.match >= n.commit && now.Sub(p.ackedAt) < n.options.Election/2
+	c.caughtUp = p.snapshotTransfer == nil && p.match >= n.commit && now.Sub(p.ackedAt) < n.options.ElectionTimeout/2
 	return c
 }
 
--- a/src/replicator/snapshot.go
+++ b/src/replicator/snapshot.go
@@ -127,7 +127,7 @@
 		}
 	}
 	t := p.snapshotTransfer
-	if !t.sentAt.IsZero() && now.Sub(t.sentAt) < n.options.Election/2 {
+	if !t.sentAt.IsZero() && now.Sub(t.sentAt) < n.options.ElectionTimeout/2 {
 		return
 	}
 	t.sentAt = now
--- a/src/replicator/start.go
+++ b/src/replicator/start.go
@@ -218,5 +218,5 @@
 
 // electionTimeouts returns the duration of that many election timeouts.
 func (n *Node) electionTimeouts(count float64) time.Duration {
-	return time.Duration(count * float64(n.options.Election))
+	return time.Duration(count * float64(n.options.ElectionTimeout))
 }
--- a/src/router/score.go
+++ b/src/router/score.go
@@ -52,7 +52,7 @@
 func (d *decision) cached(c *candidate) float64 {
 	number := c.upstream.Local.ID
 	for i := range d.matches[:d.found] {
-		if d.matches[i].Is(number) {
+		if d.matches[i].IsEngine(number) {
 			return min(float64(d.call.Prompt), d.matches[i].Tokens(blockTokens))
 		}
 	}
