--- a/src/dispatcher/backoff.go
+++ b/src/dispatcher/backoff.go
@@ -9,74 +9,77 @@
 )
 
 const (
-	firstBackoff = 2 * time.Millisecond
-	mostBackoff  = 200 * time.Millisecond
-	// resumePatience is how long a stream under way waits for the budget: callers
-	// give up on one that stands still at about that time.
-	resumePatience = 2 * time.Second
+	initialBackoff = 2 * time.Millisecond
+	maxBackoff     = 200 * time.Millisecond
+	// resumeTimeout is how long a started stream waits for the retry budget; callers
+	// give up on a stalled stream after about this time.
+	resumeTimeout = 2 * time.Second
 )
 
-// Budget bounds how many attempts beyond the first a service's calls make.
+// Budget limits how many attempts beyond the first the calls of a service make.
 type Budget interface {
-	// Earn notes a call that was answered.
+	// Earn records that a call was answered.
 	Earn(service units.Service)
-	// Spend reports whether one more attempt may be made, and counts it.
+	// Spend reports whether a call may make another attempt, and counts that attempt.
 	Spend(service units.Service) bool
-	// Resume reports whether a stream under way may go on elsewhere, and counts it.
+	// Resume reports whether a started stream may resume at another upstream, and
+	// counts that attempt.
 	Resume(service units.Service) bool
 }
 
-// mayRetry says whether another attempt may follow a fruitless one, and waits
-// for its time.
+// awaitRetry reports whether the call may make another attempt, and waits for the
+// backoff before it.
 //
-// Without the budget, upstreams that refuse under load would get each call
-// several times over and refuse more. An attempt that has not arrived anywhere takes
-// nothing of it: dozens of upstreams that end at once refuse connections until each of
-// hundreds of entries has tried each of them, and an entry of a large fleet has the
-// budget of a few attempts. Charged for these, its callers were refused while the other
-// upstreams had places free.
-func (d *Dispatcher) mayRetry(ctx context.Context, call *Call, stream *Stream, so *attempts) bool {
-	if so.next != nil {
+// The budget keeps upstreams that refuse calls under load from receiving each call
+// several times, which would make them refuse more. An attempt that was never sent is
+// not charged: when dozens of upstreams end at once, each of hundreds of entries fails
+// to connect to each of them, and the budget of one entry in a large fleet is only a few
+// attempts. If these attempts were charged, callers would be refused while the other
+// upstreams have free slots.
+func (d *Dispatcher) awaitRetry(ctx context.Context, call *Call, stream *Stream, state *attemptState) bool {
+	if state.moveTarget != nil {
 		return true
 	}
-	if so.paid {
-		pause(ctx, backoff(so.fruitless, rand.Float64()))
+	if state.lastUnsent {
+		sleep(ctx, backoff(state.failures, rand.Float64()))
 		return true
 	}
 	if stream.Offset() > call.From {
-		return d.mayResume(ctx, call)
+		return d.awaitResume(ctx, call)
 	}
-	if so.fruitless == 0 {
+	if state.failures == 0 {
 		return true
 	}
 	if d.Budget != nil && !d.Budget.Spend(call.Service) {
 		return false
 	}
-	pause(ctx, backoff(so.fruitless, rand.Float64()))
+	sleep(ctx, backoff(state.failures, rand.Float64()))
 	return true
 }
 
-// mayResume waits until the budget lets a stream under way go on elsewhere. Its
-// caller has half an answer and gets the rest late rather than never; after
-// resumePatience callers have left, and can go on themselves from what they have.
-func (d *Dispatcher) mayResume(ctx context.Context, call *Call) bool {
+// awaitResume waits until the budget lets a started stream resume at another upstream,
+// and reports false after resumeTimeout. The caller already has part of the answer, so
+// the rest is better late than missing; after resumeTimeout most callers have hung up,
+// and can resume the stream themselves with a new call.
+func (d *Dispatcher) awaitResume(ctx context.Context, call *Call) bool {
 	if d.Budget == nil {
 		return true
 	}
-	for waited := time.Duration(0); waited < resumePatience; waited += resumeWait {
+	for waited := time.Duration(0); waited < resumeTimeout; waited += resumePollInterval {
 		if d.Budget.Resume(call.Service) {
 			return true
 		}
-		pause(ctx, resumeWait)
+		sleep(ctx, resumePollInterval)
 		if ctx.Err() != nil {
-			// The choice of the next upstream tells why the call ends.
+			// chooseUpstream returns the reason why the call ends.
 			return true
 		}
 	}
 	return false
 }
 
-func pause(ctx context.Context, wait time.Duration) {
+// sleep waits for the given time or until ctx ends.
+func sleep(ctx context.Context, wait time.Duration) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	select {
@@ -85,9 +88,9 @@
 	}
 }
 
-// backoff returns the wait before an attempt; chance in [0, 1) spreads those
-// that failed together.
-func backoff(fruitless int, chance float64) time.Duration {
-	longest := min(firstBackoff<<min(fruitless-1, 16), mostBackoff)
-	return time.Duration(float64(longest) * (0.5 + chance/2))
+// backoff returns the wait before the attempt after failures failed ones; jitter in
+// [0, 1) spreads the retries of calls that failed at the same time.
+func backoff(failures int, jitter float64) time.Duration {
+	maxWait := min(initialBackoff<<min(failures-1, 16), maxBackoff)
+	return time.Duration(float64(maxWait) * (0.5 + jitter/2))
 }
--- a/src/dispatcher/backoff_test.go
+++ b/src/dispatcher/backoff_test.go
@@ -12,32 +12,33 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// refusing is every collaborator of a dispatcher whose upstreams refuse all.
-type refusing struct {
+// refusingUpstreams implements every interface that a dispatcher uses; its upstreams refuse
+// every call.
+type refusingUpstreams struct {
 	attempts int
 	budget   int
 	earned   int
-	// unsent is how many attempts find no connection before one arrives.
+	// unsent is how many attempts fail to connect before the first is received.
 	unsent int
 }
 
-func (r *refusing) Admit(context.Context, *Call) (func(), error) { return func() {}, nil }
+func (r *refusingUpstreams) Admit(context.Context, *Call) (func(), error) { return func() {}, nil }
 
-func (r *refusing) Begin(context.Context, *Call) (*Answer, error) { return nil, nil }
+func (r *refusingUpstreams) Begin(context.Context, *Call) (*Answer, error) { return nil, nil }
 
-func (r *refusing) Dispatching(context.Context, *Call, units.Attempt, units.Upstream) error {
+func (r *refusingUpstreams) Dispatching(context.Context, *Call, units.Attempt, units.Upstream) error {
 	return nil
 }
 
-func (r *refusing) Finish(_ context.Context, _ *Call, _ *Answer, refusal *Refusal) *Refusal {
+func (r *refusingUpstreams) Finish(_ context.Context, _ *Call, _ *Answer, refusal *Refusal) *Refusal {
 	return refusal
 }
 
-func (r *refusing) Pick(*Call, []units.Upstream) *tracker.Upstream {
+func (r *refusingUpstreams) Pick(*Call, []units.Upstream) *tracker.Upstream {
 	return &tracker.Upstream{Name: "u", Local: &tracker.LocalState{}}
 }
 
-func (r *refusing) Exchange(context.Context, *Call, units.Attempt, *tracker.Upstream, *Stream) Result {
+func (r *refusingUpstreams) Exchange(context.Context, *Call, units.Attempt, *tracker.Upstream, *Stream) Result {
 	r.attempts++
 	if r.attempts <= r.unsent {
 		return Result{Kind: NotRun, Unreached: true, Unsent: true}
@@ -45,14 +46,14 @@
 	return Result{Kind: NotRun, RetryAfter: 3 * time.Second}
 }
 
-func (r *refusing) Earn(units.Service) { r.earned++ }
+func (r *refusingUpstreams) Earn(units.Service) { r.earned++ }
 
-func (r *refusing) Spend(units.Service) bool {
+func (r *refusingUpstreams) Spend(units.Service) bool {
 	r.budget--
 	return r.budget >= 0
 }
 
-func (r *refusing) Resume(service units.Service) bool { return r.Spend(service) }
+func (r *refusingUpstreams) Resume(service units.Service) bool { return r.Spend(service) }
 
 type noSink struct{}
 
@@ -61,52 +62,53 @@
 func (noSink) Event(units.Tokens, []byte) error { return nil }
 func (noSink) End() error                       { return nil }
 
-// All upstreams refuse. The call is tried again as often as the budget allows,
-// each time after a longer wait, and then gets its final answer at once: not
-// run, with the longest time that an upstream asked for.
+// All upstreams refuse. The call must be retried as often as the budget allows, with
+// growing backoff, and must then be refused at once: not run, with the longest
+// RetryAfter that an upstream asked for.
 func TestRetriesEndWithTheBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		fake := &refusing{budget: 2}
+		fake := &refusingUpstreams{budget: 2}
 		d := &Dispatcher{Limiter: fake, Recorder: fake, Router: fake, Exchanger: fake, Budget: fake}
 		began := time.Now()
 		err := d.Do(t.Context(), &Call{Deadline: began.Add(time.Minute)}, noSink{})
 		var refusal *Refusal
 		if !errors.As(err, &refusal) || refusal.Executed != ExecutedNo || refusal.RetryAfter != 3*time.Second {
-			t.Errorf("answer: got %v, want a refusal, not run, with 3s", err)
+			t.Errorf("error: got %v, want a refusal with executed no and retry after 3s", err)
 		}
 		if got, want := fake.attempts, 3; got != want {
 			t.Errorf("attempts: got %d, want %d", got, want)
 		}
-		if got, least, most := time.Since(began), 3*firstBackoff/2, 3*firstBackoff; got < least || got > most {
-			t.Errorf("waits: got %s, want %s to %s", got, least, most)
+		if got, minWait, maxWait := time.Since(began), 3*initialBackoff/2, 3*initialBackoff; got < minWait || got > maxWait {
+			t.Errorf("total backoff: got %s, want %s to %s", got, minWait, maxWait)
 		}
 		if fake.earned != 0 {
-			t.Errorf("earned: got %d, want none for a refused call", fake.earned)
+			t.Errorf("answered calls reported to the budget: got %d, want 0 for a refused call", fake.earned)
 		}
 	})
 }
 
-// Dozens of upstreams end at once, and the entry finds one after the other gone. None of
-// these attempts arrives anywhere; its callers must not be refused for want of a budget
-// that bounds arrivals. Those that arrive and are refused count as before.
-func TestAttemptsThatArriveNowhereTakeNoBudget(t *testing.T) {
+// Dozens of upstreams end at once, and the entry fails to connect to one after the other.
+// None of these attempts is received by an upstream; calls must not be refused because of
+// a budget that bounds received attempts. Attempts that are received and refused still
+// use the budget.
+func TestUnsentAttemptsUseNoBudget(t *testing.T) {
 	cases := map[string]struct {
 		unsent, budget, want int
 	}{
-		"no budget left":          {unsent: 3, want: 4},
-		"then one that is spent":  {unsent: 2, budget: 1, want: 4},
-		"all arrive":              {budget: 1, want: 2},
-		"nobody can be connected": {unsent: 100, want: maxFruitless},
+		"no budget left":                  {unsent: 3, want: 4},
+		"one attempt in the budget":       {unsent: 2, budget: 1, want: 4},
+		"all attempts received":           {budget: 1, want: 2},
+		"no upstream accepts connections": {unsent: 100, want: maxFailures},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				fake := &refusing{budget: c.budget, unsent: c.unsent}
+				fake := &refusingUpstreams{budget: c.budget, unsent: c.unsent}
 				d := &Dispatcher{Limiter: fake, Recorder: fake, Router: fake, Exchanger: fake, Budget: fake}
 				err := d.Do(t.Context(), &Call{Deadline: time.Now().Add(time.Minute)}, noSink{})
 				var refusal *Refusal
 				if !errors.As(err, &refusal) || refusal.Executed != ExecutedNo {
-					t.Errorf("answer: got %v, want a refusal, not run", err)
+					t.Errorf("error: got %v, want a refusal with executed no", err)
 				}
 				if got := fake.attempts; got != c.want {
 					t.Errorf("attempts: got %d, want %d", got, c.want)
@@ -116,29 +118,29 @@
 	}
 }
 
-// torn brings some events, and then finds no connection to go on where it was.
-type torn struct {
-	refusing
+// interruptingUpstreams sends one event in each attempt and then fails to reconnect.
+type interruptingUpstreams struct {
+	refusingUpstreams
 }
 
-func (r *torn) Exchange(_ context.Context, _ *Call, _ units.Attempt, _ *tracker.Upstream, stream *Stream) Result {
+func (r *interruptingUpstreams) Exchange(_ context.Context, _ *Call, _ units.Attempt, _ *tracker.Upstream, stream *Stream) Result {
 	r.attempts++
 	_ = stream.Event(units.Tokens(r.attempts), nil, nil)
 	return Result{Kind: NotRun, Unreached: true, Unsent: true}
 }
 
-// An engine is killed under a stream, and no connection to it can be made again within
-// the same attempt. That attempt has arrived: the next one counts against the budget, and
-// must be made at all; an entry that took it for one that never arrived ended with its
-// process.
-func TestAttemptThatBroughtEventsHasArrived(t *testing.T) {
+// An upstream is killed during a stream, and the same attempt cannot reconnect to it. The
+// attempt was received, so the next one must be made and must count against the budget.
+// If it were treated as unsent, backoff would be called after zero failures, and the
+// negative shift would crash the entry.
+func TestAttemptWithEventsCountsAgainstBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		fake := &torn{refusing{budget: 3}}
+		fake := &interruptingUpstreams{refusingUpstreams{budget: 3}}
 		d := &Dispatcher{Limiter: fake, Recorder: fake, Router: fake, Exchanger: fake, Budget: fake}
 		err := d.Do(t.Context(), &Call{Deadline: time.Now().Add(time.Minute), Stream: true, Repeatable: true}, noSink{})
 		var refusal *Refusal
 		if !errors.As(err, &refusal) {
-			t.Errorf("answer: got %v, want a refusal", err)
+			t.Errorf("error: got %v, want a refusal", err)
 		}
 		if got, want := fake.attempts, 4; got != want {
 			t.Errorf("attempts: got %d, want %d", got, want)
@@ -146,40 +148,40 @@
 	})
 }
 
-// slow is a budget that has room for streams from then on.
-type slow struct {
-	from  time.Time
-	asked int
+// delayedBudget allows no retries, and resumes only from availableAt on.
+type delayedBudget struct {
+	availableAt time.Time
+	requests    int
 }
 
-func (s *slow) Earn(units.Service) {}
+func (s *delayedBudget) Earn(units.Service) {}
 
-func (s *slow) Spend(units.Service) bool { return false }
+func (s *delayedBudget) Spend(units.Service) bool { return false }
 
-func (s *slow) Resume(units.Service) bool {
-	s.asked++
-	return !time.Now().Before(s.from)
+func (s *delayedBudget) Resume(units.Service) bool {
+	s.requests++
+	return !time.Now().Before(s.availableAt)
 }
 
-// Many upstreams are lost at once with their streams, and the budget of all entries
-// is spent. A stream must wait for it and go on; where there is none for as long as
-// its caller waits, the caller is told so, and not that the call has not run.
-func TestStreamsWaitForTheBudget(t *testing.T) {
+// Many upstreams are lost at once with their streams, and the budget of all entries is
+// used up. A stream must wait for the budget and then resume. If no budget becomes
+// available within resumeTimeout, the call must be refused, but not as not run.
+func TestStreamResumeWaitsForBudget(t *testing.T) {
 	cases := map[string]struct {
-		room  time.Duration
-		whole bool
+		availableAfter time.Duration
+		wantComplete   bool
 	}{
-		"room at once":   {room: 0, whole: true},
-		"room in time":   {room: resumePatience / 2, whole: true},
-		"room too late":  {room: 2 * resumePatience},
-		"never any room": {room: time.Hour},
+		"available at once":         {availableAfter: 0, wantComplete: true},
+		"available in time":         {availableAfter: resumeTimeout / 2, wantComplete: true},
+		"available after time-out":  {availableAfter: 2 * resumeTimeout},
+		"not within the call's run": {availableAfter: time.Hour},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				began := time.Now()
-				budget := &slow{from: began.Add(c.room)}
-				fleet := &calm{back: began}
+				budget := &delayedBudget{availableAt: began.Add(c.availableAfter)}
+				fleet := &outageFleet{recoveredAt: began}
 				d := &Dispatcher{
 					Limiter:   fleet,
 					Recorder:  fleet,
@@ -193,19 +195,19 @@
 					Repeatable: true,
 					Stream:     true,
 				}
-				err := d.Do(t.Context(), call, sink{w: &world{call: call}})
-				if got := err == nil; got != c.whole {
-					t.Errorf("whole stream: got %t (%v), want %t", got, err, c.whole)
+				err := d.Do(t.Context(), call, sink{sim: &simulation{call: call}})
+				if got := err == nil; got != c.wantComplete {
+					t.Errorf("stream complete: got %t (%v), want %t", got, err, c.wantComplete)
 				}
 				var refusal *Refusal
 				if errors.As(err, &refusal) && refusal.Executed != ExecutedUnknown {
-					t.Errorf("what the refusal says: got executed %s, want unknown", refusal.Executed)
+					t.Errorf("refusal: got executed %s, want unknown", refusal.Executed)
 				}
-				if got, want := time.Since(began), min(c.room, resumePatience)+2*resumeWait; got > want {
-					t.Errorf("the call's end: got after %s, want within %s", got, want)
+				if got, want := time.Since(began), min(c.availableAfter, resumeTimeout)+2*resumePollInterval; got > want {
+					t.Errorf("call duration: got %s, want at most %s", got, want)
 				}
-				if budget.asked == 0 {
-					t.Error("budget: got not asked, want the attempt counted")
+				if budget.requests == 0 {
+					t.Error("budget: got no request to resume, want at least one")
 				}
 			})
 		})
--- a/src/dispatcher/call.go
+++ b/src/dispatcher/call.go
@@ -9,17 +9,17 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// MadeKeyPrefix begins every key that the system makes for a call without one.
+// MadeKeyPrefix is the prefix of the idempotency keys that are generated for calls without one.
 const MadeKeyPrefix = "rosecroft-"
 
-// Call is one accepted request; it is not changed once dispatched.
+// Call is one accepted request; it is immutable once dispatched.
 type Call struct {
 	ID units.CallID
-	// Key is the caller's Idempotency-Key, or one made of the call's id.
+	// Key is the caller's Idempotency-Key, or one generated from the call's id.
 	Key string
-	// KeyGiven says that the caller sent the key.
+	// KeyGiven is set where the caller sent the key.
 	KeyGiven bool
-	// Adopted says that another entry handed the call over.
+	// Adopted is set where another entry handed the call over to this one.
 	Adopted bool
 	Brand   units.Brand
 	Account *parser.ClientAccount
@@ -27,60 +27,61 @@
 	Kind    parser.ServiceKind
 	Policy  parser.Policy
 	Method  string
-	// Host is the host that the caller asked for, where it matters to the upstream.
+	// Host is the requested host, where the upstream needs it.
 	Host   string
 	Path   string
 	Query  string
 	Header http.Header
 	Body   []byte
-	// RecordedBody is the body that the caller sent, where it differs from Body.
+	// RecordedBody is the body as the caller sent it, where it differs from Body.
 	RecordedBody []byte
 	Deadline     time.Time
-	// BetweenTokens is the latency target from one token to the next, 0 for none.
+	// BetweenTokens is the target for the latency between two tokens, 0 for none.
 	BetweenTokens time.Duration
-	// Repeatable says that running the call twice does no harm.
+	// Repeatable is set where running the call twice does no harm.
 	Repeatable bool
 	Stream     bool
 	Model      units.Model
-	// Prompt is the estimated size of the prompt, MaxOutput the most that may be generated.
+	// Prompt is the estimated size of the prompt, MaxOutput the maximum size of the output.
 	Prompt    units.Tokens
 	MaxOutput units.Tokens
-	// Blocks are chained hashes over the prompt's whole blocks.
+	// Blocks are chained hashes over the complete blocks of the prompt.
 	Blocks []uint64
-	// Parts are the parts of the prompt in order, where the caller names them.
+	// Parts are the consecutive sections of the prompt, where the caller names them.
 	Parts []Part
-	// From is how much of the stream the caller has from an earlier call.
+	// From is the count of tokens that the caller has from an earlier call of the stream.
 	From units.Tokens
-	// MaxAttempts bounds the upstreams that the call may be sent to, 0 for no bound.
+	// MaxAttempts limits how many attempts may run the call, 0 for no limit.
 	MaxAttempts int
-	// Target is the time to the answer or its first event that callers want, 0 for none.
+	// Target is the target for the time to the answer or its first event, 0 for none.
 	Target time.Duration
-	// Pause is the longest time between two events with which a stream is on time, 0
-	// for any.
+	// Pause is the maximum time between two events of a stream that counts as on time,
+	// 0 for no maximum.
 	Pause time.Duration
-	// Urgency ranks the call, 0 first, and RouteUrgency the calls of an account among each
-	// other. Rank is the place of both among all that there are.
+	// Urgency is the call's priority, 0 the highest, and RouteUrgency its priority among
+	// the calls of the same account. Rank is the position of the pair among all pairs in
+	// the configuration.
 	Urgency      int
 	RouteUrgency int
 	Rank         int
-	// Credential is the key that the caller showed, "" for none.
+	// Credential is the API key that the caller sent, "" for none.
 	Credential string
-	// Expires is the deadline on the clock that goes on while the instance is
-	// suspended, zero where only Deadline counts.
+	// Expires is the deadline on the clock that keeps running while the instance is
+	// suspended, zero where only Deadline applies.
 	Expires time.Time
-	// Size is what the call counts for against its account's limit.
+	// Size is what the call is charged against its account's limit.
 	Size float64
-	// Fingerprint is the same for each sending of the same request, 0 where it is not known.
+	// Fingerprint is equal for all resends of one request, 0 where unknown.
 	Fingerprint units.Fingerprint
 	// Trail may be nil.
 	Trail Trail
 }
 
-// keptShare is the part of shared prompt tokens that an upstream is taken to have
-// kept from earlier calls, where nobody knows.
-const keptShare = 0.7
+// cachedFraction is the assumed fraction of shared prompt tokens that an upstream has
+// cached from earlier calls, where its cache is unknown.
+const cachedFraction = 0.7
 
-// Shared returns how many of the prompt's tokens other calls may share.
+// Shared returns how many of the prompt's tokens may also begin the prompts of other calls.
 func (c *Call) Shared() units.Tokens {
 	shared := units.Tokens(0)
 	for _, part := range c.Parts[:max(0, len(c.Parts)-1)] {
@@ -89,56 +90,60 @@
 	return min(shared, c.Prompt)
 }
 
-// Unread returns how many prompt tokens an upstream is likely to have to read.
+// Unread returns how many prompt tokens an upstream is expected to prefill because they
+// are not cached.
 func (c *Call) Unread() units.Tokens {
-	return c.Prompt - units.Tokens(keptShare*float64(c.Shared()))
+	return c.Prompt - units.Tokens(cachedFraction*float64(c.Shared()))
 }
 
-// Part is one part of a prompt; calls share all but the last.
+// Part is one section of a prompt. All but the last are prompt prefixes that other calls
+// share; the last belongs to the call alone.
 type Part struct {
 	ID     uint64
 	Tokens units.Tokens
 }
 
-// Answer is a whole answer.
+// Answer is a complete answer.
 type Answer struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// Sink takes what goes back to the caller.
+// Sink writes the response to the caller.
 type Sink interface {
-	// Answer writes a whole answer.
+	// Answer writes a complete answer.
 	Answer(answer *Answer) error
-	// Begin starts a stream; it is called once, before the first event.
+	// Begin starts a stream; it is called once, before the first event is written.
 	Begin(header http.Header) error
-	// Event writes one event of a stream with the count of tokens up to it.
+	// Event writes one event of a stream; offset is the count of tokens up to and
+	// including it.
 	Event(offset units.Tokens, data []byte) error
 	// End writes the final marker of a stream.
 	End() error
 }
 
-// Batcher is a Sink that can put several events into one write.
+// Batcher is a Sink that can combine several events into one write.
 type Batcher interface {
-	// Hold makes the sink keep events until the first that is not held.
+	// Hold sets whether the sink buffers the events that follow. Buffered events are
+	// written with the first event after Hold(false).
 	Hold(hold bool)
 }
 
-// Executed says whether a refused call ran.
+// Executed is what is known of whether a refused call ran.
 type Executed string
 
-// What can be said of a call that has no answer.
+// The values of Executed.
 const (
-	// ExecutedNo is said only where it is proved.
+	// ExecutedNo is used only where the call provably did not run.
 	ExecutedNo      Executed = "no"
 	ExecutedUnknown Executed = "unknown"
 )
 
-// ProblemKind names a kind of refusal, the last part of its problem type.
+// ProblemKind is a kind of refusal, the last segment of its problem type URN.
 type ProblemKind string
 
-// The kinds of refusal that callers see.
+// The kinds of refusal that are returned to callers.
 const (
 	ProblemNoUpstream  ProblemKind = "no-upstream"
 	ProblemLost        ProblemKind = "outcome-unknown"
@@ -157,21 +162,21 @@
 	ProblemMethod      ProblemKind = "method-not-allowed"
 	ProblemMediaType   ProblemKind = "unsupported-media-type"
 	ProblemTooSlow     ProblemKind = "too-slow"
-	// ProblemQuarantined is said of a request that has ended the upstreams that ran it.
+	// ProblemQuarantined refuses a request that crashed the upstreams that ran it.
 	ProblemQuarantined ProblemKind = "quarantined"
 )
 
-// Refusal is the final answer to a call that gets no other.
+// Refusal is the error response that ends a call without an answer.
 type Refusal struct {
 	Status   int
 	Kind     ProblemKind
 	Detail   string
 	Executed Executed
-	// RetryAfter is 0 where asking again cannot help.
+	// RetryAfter is 0 where sending the call again cannot succeed.
 	RetryAfter time.Duration
 }
 
-// Error returns the refusal for logs.
+// Error formats the refusal for logs.
 func (r *Refusal) Error() string {
 	return fmt.Sprintf("%s: %s (executed: %s)", r.Kind, r.Detail, r.Executed)
 }
--- a/src/dispatcher/dispatcher.go
+++ b/src/dispatcher/dispatcher.go
@@ -11,50 +11,52 @@
 )
 
 const (
-	// maxFruitless bounds the attempts that bring the caller nothing.
-	maxFruitless = 8
-	retryAfter   = time.Second
-	// resumeWait is how long a stream under way waits for an upstream to go on at.
-	resumeWait = 100 * time.Millisecond
+	// maxFailures limits the consecutive attempts without progress for the caller.
+	maxFailures = 8
+	retryAfter  = time.Second
+	// resumePollInterval is how often a started stream checks for an upstream to resume at.
+	resumePollInterval = 100 * time.Millisecond
 )
 
 // ResultKind is how one exchange with an upstream ended.
 type ResultKind int
 
-// The ends of an exchange.
+// The values of ResultKind.
 const (
-	// Answered means that the caller has the whole answer.
+	// Answered means that the whole answer is in Answer or was streamed to the caller.
 	Answered ResultKind = iota
 	// NotRun means that the upstream provably did not run the call.
 	NotRun
-	// Lost means that nobody knows whether the call ran or how far.
+	// Lost means that it is unknown whether, or how far, the upstream ran the call.
 	Lost
-	// CallerGone means that the caller takes no answer any more.
+	// CallerGone means that the caller no longer accepts an answer.
 	CallerGone
-	// Moved means that the stream goes on elsewhere, by plan.
+	// Moved means that the stream was moved to another upstream as planned.
 	Moved
-	// Broken means that the stream is lost and can go on nowhere.
+	// Broken means that the stream is lost and cannot resume at any upstream.
 	Broken
-	// Failed means that the upstream ran the call and answered with a failure of
-	// its own, which Answer holds.
+	// Failed means that the upstream ran the call and answered with an error of its
+	// own, which is in Answer.
 	Failed
 )
 
-// Result is the end of one exchange.
+// Result is the outcome of one exchange.
 type Result struct {
 	Kind ResultKind
-	// Answer is set where the exchange was answered and not streamed.
+	// Answer is set where the answer or failure was not streamed.
 	Answer *Answer
-	// Unreached says that no connection could be made.
+	// Unreached is set where no connection to the upstream could be made.
 	Unreached bool
-	// Unsent says that nothing of the call has left, so that it has not arrived there.
+	// Unsent is set where no byte of the call was sent, so that the upstream cannot have
+	// received it.
 	Unsent bool
-	// RetryAfter is what a refusing upstream asked for.
+	// RetryAfter is the wait that the refusing upstream requested.
 	RetryAfter time.Duration
-	// Next is the upstream that a moved stream goes on at, nil for any.
+	// Next is the upstream where a moved stream resumes, nil for any.
 	Next *tracker.Upstream
-	// Cut says that the upstream's end of the connection was lost before the answer was
-	// whole, and Answering how long the answer had been coming by then, 0 for not at all.
+	// Cut is set where the upstream closed or lost the connection before the answer was
+	// complete. Answering is the time since the answer had begun by then, 0 where it had
+	// not.
 	Cut       bool
 	Answering time.Duration
 	Err       error
@@ -62,27 +64,28 @@
 
 // Limiter admits calls.
 type Limiter interface {
-	// Admit waits for the call's turn; release must be called once at its end.
-	// Its error is a *Refusal.
+	// Admit waits until the limits admit the call; release must be called once when the
+	// call ends. The error is a *Refusal.
 	Admit(ctx context.Context, call *Call) (release func(), err error)
 }
 
-// Recorder keeps what became of each call.
+// Recorder stores the outcome of each call.
 type Recorder interface {
-	// Begin returns the earlier answer to the same key, or nil for a new call.
-	// It waits for a running one. Its error is a *Refusal.
+	// Begin returns the earlier answer to the same key, or nil for a new call. It
+	// waits for an earlier call that is still running. The error is a *Refusal.
 	Begin(ctx context.Context, call *Call) (*Answer, error)
-	// Dispatching must return before the first byte goes to the upstream. A
-	// *Refusal as its error stops the attempt.
+	// Dispatching records that the call is about to be sent; it must return before the
+	// first byte is sent to the upstream. Its error, a *Refusal, ends the call.
 	Dispatching(ctx context.Context, call *Call, attempt units.Attempt, upstream units.Upstream) error
-	// Finish keeps the end of the call, an answer or the refusal it got, and
-	// returns the refusal to give, which may say less than the one it got.
+	// Finish records how the call ended, with an answer or a refusal, and returns the
+	// refusal to send to the caller, which may claim less than the given one.
 	Finish(ctx context.Context, call *Call, answer *Answer, refusal *Refusal) *Refusal
 }
 
 // Router chooses upstreams.
 type Router interface {
-	// Pick returns the upstream for the next attempt, or nil for none.
+	// Pick returns the upstream for the next attempt, or nil if none is available; tried
+	// are the upstreams of the attempts so far.
 	Pick(call *Call, tried []units.Upstream) *tracker.Upstream
 }
 
@@ -91,12 +94,12 @@
 	Exchange(ctx context.Context, call *Call, attempt units.Attempt, upstream *tracker.Upstream, stream *Stream) Result
 }
 
-// Observer learns how each exchange ended.
+// Observer is notified how each exchange ended.
 type Observer interface {
 	Observe(upstream *tracker.Upstream, result Result)
 }
 
-// Dispatcher runs calls; its fields are set before use.
+// Dispatcher runs calls; its fields must be set before use.
 type Dispatcher struct {
 	Limiter   Limiter
 	Recorder  Recorder
@@ -104,30 +107,30 @@
 	Exchanger Exchanger
 	// Observer may be nil.
 	Observer Observer
-	// Budget may be nil, for attempts without one.
+	// Budget may be nil; retries are then not limited by a budget.
 	Budget Budget
 }
 
-// Do runs a call to its end. A *Refusal as its error is the call's final answer;
-// any other error means that the caller is gone.
+// Do runs a call to completion. An error that is a *Refusal is the response to the
+// caller; any other error means that the caller is gone.
 func (d *Dispatcher) Do(ctx context.Context, call *Call, sink Sink) error {
 	ctx, cancel := context.WithDeadline(ctx, call.Deadline)
 	defer cancel()
-	// A resend that is refused as not run would be believed, though the first
-	// sending may have run; so the record is asked before the limits. For other
-	// calls the limits come first, since they cost less.
+	// A refusal by a limit says that the call has not run. For a resend that may be
+	// false, because the earlier call with its key may have run; so the record is checked
+	// before the limits. Other calls check the limits first, which is cheaper.
 	if call.KeyGiven && !call.Repeatable {
-		return d.recorded(ctx, call, sink, d.admitted)
+		return d.runRecorded(ctx, call, sink, d.runAdmitted)
 	}
 	release, err := d.admit(ctx, call)
 	if err != nil {
-		return perhapsResent(call, err)
+		return correctLimitRefusal(call, err)
 	}
 	defer release()
-	return d.recorded(ctx, call, sink, d.attempted)
+	return d.runRecorded(ctx, call, sink, d.runAttempts)
 }
 
-// stage is a part of a call's run; a *Refusal as its error goes into the record.
+// stage runs a call after its record has begun; an error that is a *Refusal is recorded.
 type stage func(ctx context.Context, call *Call, stream *Stream) (*Answer, error)
 
 func (d *Dispatcher) admit(ctx context.Context, call *Call) (func(), error) {
@@ -139,9 +142,9 @@
 	return release, nil
 }
 
-// perhapsResent keeps a limit from denying an earlier sending under the same key,
-// of which it knows nothing.
-func perhapsResent(call *Call, err error) error {
+// correctLimitRefusal changes a limit's refusal of a call with a caller's key to
+// ExecutedUnknown: the limiter cannot know whether an earlier call with this key ran.
+func correctLimitRefusal(call *Call, err error) error {
 	var refusal *Refusal
 	if !call.KeyGiven || !errors.As(err, &refusal) {
 		return err
@@ -151,18 +154,18 @@
 	return &corrected
 }
 
-// admitted runs the attempts within the call's limits.
-func (d *Dispatcher) admitted(ctx context.Context, call *Call, stream *Stream) (*Answer, error) {
+// runAdmitted runs the attempts within the call's limits.
+func (d *Dispatcher) runAdmitted(ctx context.Context, call *Call, stream *Stream) (*Answer, error) {
 	release, err := d.admit(ctx, call)
 	if err != nil {
 		return nil, err
 	}
 	defer release()
-	return d.attempted(ctx, call, stream)
+	return d.runAttempts(ctx, call, stream)
 }
 
-// recorded runs a stage of a call between the begin and the end of its record.
-func (d *Dispatcher) recorded(ctx context.Context, call *Call, sink Sink, run stage) error {
+// runRecorded begins the call's record, runs the stage, and records how the call ended.
+func (d *Dispatcher) runRecorded(ctx context.Context, call *Call, sink Sink, run stage) error {
 	earlier, err := d.Recorder.Begin(ctx, call)
 	if err != nil {
 		return err
@@ -171,16 +174,16 @@
 		call.Note(StepOutcome, "", "answered from the record of an earlier sending")
 		return sink.Answer(earlier)
 	}
-	running := ctx
+	runCtx := ctx
 	if !call.Repeatable && (!call.Stream || call.KeyGiven) {
-		// A charge that runs is not undone by a caller who hangs up; the answer
-		// is kept for the resend instead. A stream without a key can be collected
-		// by nobody, and its upstream would go on for nobody.
-		lasting, stop := context.WithDeadline(context.WithoutCancel(ctx), call.Deadline)
+		// A non-repeatable call, such as a payment, takes effect even if its caller
+		// hangs up, so it runs on and its answer is stored for the resend. A stream
+		// without a key is cancelled, since no resend could fetch it.
+		detached, stop := context.WithDeadline(context.WithoutCancel(ctx), call.Deadline)
 		defer stop()
-		running = lasting
+		runCtx = detached
 	}
-	answer, err := run(running, call, &Stream{
+	answer, err := run(runCtx, call, &Stream{
 		Sink:   sink,
 		offset: call.From,
 	})
@@ -196,51 +199,52 @@
 	return sink.Answer(answer)
 }
 
-// attempts holds what the attempts of one call have come to.
-type attempts struct {
+// attemptState is the accumulated outcome of a call's attempts.
+type attemptState struct {
 	tried []units.Upstream
-	// ran is whether an attempt may have run.
-	ran Executed
-	// wait is what the caller is told to wait for.
-	wait time.Duration
-	// next is the upstream that a planned move leads to.
-	next      *tracker.Upstream
-	fruitless int
-	// paid says that the last attempt has not arrived at its upstream, so that the next
-	// one stands for it in the budget.
-	paid bool
-	// used is how many attempts may have run.
-	used int
-	// failure is an upstream's own failure, which is a better answer than a
-	// refusal where no later attempt brings a success.
-	failure *Answer
+	// executed says whether an attempt may have run the call.
+	executed Executed
+	// refusalWait is the wait to put into a refusal.
+	refusalWait time.Duration
+	// moveTarget is the upstream of a planned move.
+	moveTarget *tracker.Upstream
+	// failures counts the attempts since the last one that made progress.
+	failures int
+	// lastUnsent says that the last attempt was never sent and brought no events; the
+	// next attempt then takes over its charge to the budget.
+	lastUnsent bool
+	// possibleRuns counts the attempts that may have run the call.
+	possibleRuns int
+	// upstreamFailure is an error response from an upstream. It is returned instead of a
+	// refusal if no later attempt succeeds.
+	upstreamFailure *Answer
 }
 
-// mostResumes is how often a stream under way goes on elsewhere beyond the
-// attempts of its call: the upstreams that it loses have ended, and its caller
-// has half an answer.
-const mostResumes = 3
+// maxResumes is how often a started stream may resume at another upstream even where
+// MaxAttempts allows fewer attempts: the upstreams that it lost have ended, and its caller
+// has part of the answer.
+const maxResumes = 3
 
-// exhausted reports whether the call may run at no further upstream; those that
-// provably did not run it do not count.
-func (so *attempts) exhausted(call *Call, stream *Stream) bool {
-	most := call.MaxAttempts
+// exhausted reports whether the call has reached its maximum number of attempts;
+// attempts that provably did not run do not count.
+func (a *attemptState) exhausted(call *Call, stream *Stream) bool {
+	limit := call.MaxAttempts
 	if stream.Offset() > call.From {
-		most = max(most, 1+mostResumes)
+		limit = max(limit, 1+maxResumes)
 	}
-	return call.MaxAttempts > 0 && so.used >= most
+	return call.MaxAttempts > 0 && a.possibleRuns >= limit
 }
 
-func (d *Dispatcher) attempted(ctx context.Context, call *Call, stream *Stream) (*Answer, error) {
-	so := &attempts{
-		ran:  ExecutedNo,
-		wait: retryAfter,
+func (d *Dispatcher) runAttempts(ctx context.Context, call *Call, stream *Stream) (*Answer, error) {
+	state := &attemptState{
+		executed:    ExecutedNo,
+		refusalWait: retryAfter,
 	}
-	for attempt := units.Attempt(1); so.fruitless < maxFruitless; attempt++ {
-		if so.exhausted(call, stream) || !d.mayRetry(ctx, call, stream, so) {
+	for attempt := units.Attempt(1); state.failures < maxFailures; attempt++ {
+		if state.exhausted(call, stream) || !d.awaitRetry(ctx, call, stream, state) {
 			break
 		}
-		upstream, err := d.choose(ctx, call, stream, so)
+		upstream, err := d.chooseUpstream(ctx, call, stream, state)
 		if err != nil {
 			return nil, err
 		}
@@ -248,97 +252,99 @@
 			break
 		}
 		if err := d.Recorder.Dispatching(ctx, call, attempt, upstream.Name); err != nil {
-			return nil, so.truthful(err)
+			return nil, state.correctRefusal(err)
 		}
-		before := stream.Offset()
+		offsetBefore := stream.Offset()
 		result := d.exchange(ctx, call, attempt, upstream, stream)
 		if result.Kind == Answered {
 			return result.Answer, nil
 		}
-		if err := so.take(ctx, call, upstream, result); err != nil {
+		if err := state.recordResult(ctx, call, upstream, result); err != nil {
 			return nil, err
 		}
-		so.fruitless++
-		// One that brought events has arrived, whatever its last connection came to.
-		so.paid = result.Unsent && stream.Offset() == before
-		if stream.Offset() > before || result.Kind == Moved {
-			so.fruitless = 0
+		state.failures++
+		// An attempt that brought events was sent, even if its last connection was not
+		// made.
+		state.lastUnsent = result.Unsent && stream.Offset() == offsetBefore
+		if stream.Offset() > offsetBefore || result.Kind == Moved {
+			state.failures = 0
 		}
 	}
-	if so.failure != nil && stream.Offset() == 0 {
-		return so.failure, nil
+	if state.upstreamFailure != nil && stream.Offset() == 0 {
+		return state.upstreamFailure, nil
 	}
-	return nil, noUpstreamRefusal(so.ran, so.wait)
+	return nil, noUpstreamRefusal(state.executed, state.refusalWait)
 }
 
-// take notes how an attempt failed; an error ends the call.
-func (so *attempts) take(ctx context.Context, call *Call, upstream *tracker.Upstream, result Result) error {
-	so.next = nil
-	so.tried = append(so.tried, upstream.Name)
+// recordResult records how an attempt failed; an error ends the call.
+func (a *attemptState) recordResult(ctx context.Context, call *Call, upstream *tracker.Upstream, result Result) error {
+	a.moveTarget = nil
+	a.tried = append(a.tried, upstream.Name)
 	switch result.Kind {
 	case CallerGone:
 		return result.Err
 	case Broken:
-		return lostRefusal()
+		return outcomeUnknownRefusal()
 	case Moved:
-		so.used++
-		so.ran = ExecutedUnknown
-		so.next = result.Next
+		a.possibleRuns++
+		a.executed = ExecutedUnknown
+		a.moveTarget = result.Next
 	case NotRun:
-		so.wait = max(so.wait, result.RetryAfter)
+		a.refusalWait = max(a.refusalWait, result.RetryAfter)
 	case Lost:
-		so.used++
-		so.ran = ExecutedUnknown
+		a.possibleRuns++
+		a.executed = ExecutedUnknown
 		if !call.Repeatable {
-			return lostRefusal()
+			return outcomeUnknownRefusal()
 		}
 	case Failed:
-		so.used++
-		so.ran = ExecutedUnknown
-		so.failure = result.Answer
+		a.possibleRuns++
+		a.executed = ExecutedUnknown
+		a.upstreamFailure = result.Answer
 	case Answered:
 	}
-	return so.ended(ctx)
+	return a.contextError(ctx)
 }
 
-// truthful keeps a refusal of this attempt from denying an earlier one: what
-// another part knows of the last attempt says nothing of those before.
-func (so *attempts) truthful(err error) error {
+// correctRefusal adjusts a refusal of the current attempt where earlier attempts may have
+// run the call: the refusing component knows only of the current attempt.
+func (a *attemptState) correctRefusal(err error) error {
 	var refusal *Refusal
-	if so.ran == ExecutedNo || !errors.As(err, &refusal) {
+	if a.executed == ExecutedNo || !errors.As(err, &refusal) {
 		return err
 	}
 	corrected := *refusal
-	corrected.Executed = so.ran
+	corrected.Executed = a.executed
 	return &corrected
 }
 
-func (so *attempts) ended(ctx context.Context) error {
+// contextError returns the error that ends the call if ctx is done, or nil.
+func (a *attemptState) contextError(ctx context.Context) error {
 	if errors.Is(ctx.Err(), context.Canceled) {
 		return ctx.Err()
 	}
 	if ctx.Err() != nil {
-		return deadlineRefusal(so.ran)
+		return deadlineRefusal(a.executed)
 	}
 	return nil
 }
 
-// choose returns the upstream for the next attempt, or nil for none. A stream
-// under way waits for one until the deadline, since its caller has half an answer.
-func (d *Dispatcher) choose(ctx context.Context, call *Call, stream *Stream, so *attempts) (*tracker.Upstream, error) {
-	if so.next != nil {
-		return so.next, nil
+// chooseUpstream returns the upstream for the next attempt, or nil if none is available. A
+// started stream waits for one until the deadline, since its caller has part of the answer.
+func (d *Dispatcher) chooseUpstream(ctx context.Context, call *Call, stream *Stream, state *attemptState) (*tracker.Upstream, error) {
+	if state.moveTarget != nil {
+		return state.moveTarget, nil
 	}
 	for {
-		if err := so.ended(ctx); err != nil {
+		if err := state.contextError(ctx); err != nil {
 			return nil, err
 		}
-		upstream := d.Router.Pick(call, so.tried)
+		upstream := d.Router.Pick(call, state.tried)
 		if upstream != nil || stream.Offset() == 0 {
 			return upstream, nil
 		}
-		so.tried = nil
-		pause(ctx, resumeWait)
+		state.tried = nil
+		sleep(ctx, resumePollInterval)
 	}
 }
 
@@ -347,7 +353,7 @@
 	defer upstream.Local.InFlight.Add(-1)
 	call.Note(StepAttempt, upstream.Name, "")
 	result := d.Exchanger.Exchange(ctx, call, attempt, upstream, stream)
-	noteResult(call, upstream.Name, result)
+	recordAttemptEnd(call, upstream.Name, result)
 	if result.Kind == Answered && d.Budget != nil {
 		d.Budget.Earn(call.Service)
 	}
@@ -367,7 +373,7 @@
 	}
 }
 
-func lostRefusal() *Refusal {
+func outcomeUnknownRefusal() *Refusal {
 	return &Refusal{
 		Status:     http.StatusBadGateway,
 		Kind:       ProblemLost,
--- a/src/dispatcher/dispatcher_test.go
+++ b/src/dispatcher/dispatcher_test.go
@@ -17,7 +17,7 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// shortDeadline is what runs that wait for their deadline wait for.
+// shortDeadline keeps the runs short that wait for the call's deadline.
 const shortDeadline = 2 * time.Millisecond
 
 // TestMain fixes the seed of the property tests unless the command line names one.
@@ -28,40 +28,41 @@
 	os.Exit(m.Run())
 }
 
-// world plays all that a dispatcher uses, and keeps the truth.
-type world struct {
+// simulation implements the interfaces that a dispatcher uses, with random outcomes, and
+// tracks what really happened to the call.
+type simulation struct {
 	t    *rapid.T
 	call *Call
-	// mayHaveRun is whether any exchange so far may have run the call.
-	mayHaveRun bool
-	stored     units.Attempt
-	exchanges  int
-	finished   int
-	answers    int
+	// mayHaveRun is set once any exchange may have run the call.
+	mayHaveRun      bool
+	recordedAttempt units.Attempt
+	exchanges       int
+	finished        int
+	answers         int
 }
 
-func (w *world) Admit(context.Context, *Call) (func(), error) { return func() {}, nil }
+func (s *simulation) Admit(context.Context, *Call) (func(), error) { return func() {}, nil }
 
-func (w *world) Begin(context.Context, *Call) (*Answer, error) { return nil, nil }
+func (s *simulation) Begin(context.Context, *Call) (*Answer, error) { return nil, nil }
 
-func (w *world) Dispatching(_ context.Context, _ *Call, attempt units.Attempt, _ units.Upstream) error {
-	if rapid.IntRange(0, 9).Draw(w.t, "record fails") == 0 {
+func (s *simulation) Dispatching(_ context.Context, _ *Call, attempt units.Attempt, _ units.Upstream) error {
+	if rapid.IntRange(0, 9).Draw(s.t, "record fails") == 0 {
 		return &Refusal{
 			Status:   http.StatusServiceUnavailable,
 			Kind:     ProblemUnready,
 			Executed: ExecutedNo,
 		}
 	}
-	w.stored = attempt
+	s.recordedAttempt = attempt
 	return nil
 }
 
-func (w *world) Finish(_ context.Context, _ *Call, _ *Answer, refusal *Refusal) *Refusal {
-	w.finished++
+func (s *simulation) Finish(_ context.Context, _ *Call, _ *Answer, refusal *Refusal) *Refusal {
+	s.finished++
 	return refusal
 }
 
-func (w *world) Pick(_ *Call, tried []units.Upstream) *tracker.Upstream {
+func (s *simulation) Pick(_ *Call, tried []units.Upstream) *tracker.Upstream {
 	for i := range 5 {
 		name := units.Upstream(fmt.Sprint(i))
 		fresh := true
@@ -78,55 +79,55 @@
 	return nil
 }
 
-func (w *world) Exchange(ctx context.Context, call *Call, attempt units.Attempt, upstream *tracker.Upstream, stream *Stream) Result {
-	w.exchanges++
-	if w.stored != attempt {
-		w.t.Fatalf("attempt %d: got exchanged with attempt %d stored, want it stored before", attempt, w.stored)
+func (s *simulation) Exchange(ctx context.Context, call *Call, attempt units.Attempt, upstream *tracker.Upstream, stream *Stream) Result {
+	s.exchanges++
+	if s.recordedAttempt != attempt {
+		s.t.Fatalf("attempt %d: got an exchange with attempt %d as the last recorded, want the attempt recorded first", attempt, s.recordedAttempt)
 	}
-	if w.mayHaveRun && !call.Repeatable {
-		w.t.Fatalf("attempt %d: got a call that may have run and may not be repeated, want none", attempt)
+	if s.mayHaveRun && !call.Repeatable {
+		s.t.Fatalf("attempt %d: got another attempt of a non-repeatable call that may have run, want none", attempt)
 	}
 	kinds := []ResultKind{Answered, NotRun, Lost}
 	if call.Stream {
 		kinds = append(kinds, Moved, Broken)
 	}
-	kind := rapid.SampledFrom(kinds).Draw(w.t, "result")
-	w.mayHaveRun = w.mayHaveRun || kind != NotRun
-	if kind != NotRun && call.Stream && rapid.Bool().Draw(w.t, "tokens") {
+	kind := rapid.SampledFrom(kinds).Draw(s.t, "result")
+	s.mayHaveRun = s.mayHaveRun || kind != NotRun
+	if kind != NotRun && call.Stream && rapid.Bool().Draw(s.t, "tokens") {
 		_, _ = stream.Begin(nil, upstream, "1")
 		_ = stream.Event(stream.Offset()+1, nil, nil)
 	}
-	if rapid.IntRange(0, 9).Draw(w.t, "late") == 0 {
+	if rapid.IntRange(0, 9).Draw(s.t, "late") == 0 {
 		<-ctx.Done()
 	}
 	result := Result{Kind: kind}
 	if kind == Answered && !call.Stream {
 		result.Answer = &Answer{Status: http.StatusOK}
 	}
-	if kind == Moved && rapid.Bool().Draw(w.t, "target") {
-		result.Next = w.Pick(call, []units.Upstream{upstream.Name})
+	if kind == Moved && rapid.Bool().Draw(s.t, "target") {
+		result.Next = s.Pick(call, []units.Upstream{upstream.Name})
 	}
 	return result
 }
 
-// sink counts the answers.
-type sink struct{ w *world }
+// sink counts the answers that are written.
+type sink struct{ sim *simulation }
 
 func (s sink) Answer(*Answer) error {
-	s.w.answers++
+	s.sim.answers++
 	return nil
 }
 func (sink) Begin(http.Header) error          { return nil }
 func (sink) Event(units.Tokens, []byte) error { return nil }
 func (sink) End() error                       { return nil }
 
-// Exchanges are refused, lost, late, moved or broken in any order, and the record
-// of calls fails between them. A caller whose charge may have run must not have
-// it run again, and must hear `no` only where no exchange can have run the call;
-// each call ends once.
-func TestRefusalsAreTruthfulAndNothingRunsTwice(t *testing.T) {
+// Exchanges are refused, lost, late, moved or broken in any order, and the recorder fails
+// between them. A non-repeatable call that may have run must not run again, a refusal
+// must say `executed: no` only if no exchange can have run the call, and each call must
+// finish exactly once.
+func TestNoCallRunsTwiceOrIsFalselyReportedNotRun(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{
+		sim := &simulation{
 			t: t,
 			call: &Call{
 				ID:         "call-1",
@@ -134,80 +135,82 @@
 				Repeatable: rapid.Bool().Draw(t, "repeatable"),
 			},
 		}
-		w.call.Stream = w.call.Repeatable && rapid.Bool().Draw(t, "stream")
+		sim.call.Stream = sim.call.Repeatable && rapid.Bool().Draw(t, "stream")
 		d := &Dispatcher{
-			Limiter:   w,
-			Recorder:  w,
-			Router:    w,
-			Exchanger: w,
+			Limiter:   sim,
+			Recorder:  sim,
+			Router:    sim,
+			Exchanger: sim,
 		}
-		err := d.Do(context.Background(), w.call, sink{w: w})
+		err := d.Do(context.Background(), sim.call, sink{sim: sim})
 		var refusal *Refusal
-		if errors.As(err, &refusal) && refusal.Executed == ExecutedNo && w.mayHaveRun {
-			t.Fatalf("refusal %v: got `no` after an exchange that may have run, want unknown", refusal)
+		if errors.As(err, &refusal) && refusal.Executed == ExecutedNo && sim.mayHaveRun {
+			t.Fatalf("refusal %v: got executed no after an exchange that may have run the call, want unknown", refusal)
 		}
 		if err != nil && refusal == nil {
-			t.Fatalf("end: got %v, want an answer or a refusal", err)
+			t.Fatalf("error: got %v, want none or a refusal", err)
 		}
-		if got, want := w.finished, 1; got != want {
-			t.Fatalf("ends kept: got %d, want %d", got, want)
+		if got, want := sim.finished, 1; got != want {
+			t.Fatalf("calls of Finish: got %d, want %d", got, want)
 		}
-		if got, want := w.answers, 1; !w.call.Stream && err == nil && got != want {
+		if got, want := sim.answers, 1; !sim.call.Stream && err == nil && got != want {
 			t.Fatalf("answers: got %d, want %d", got, want)
 		}
-		if got, most := w.exchanges, 200; got > most {
-			t.Fatalf("exchanges: got %d, want at most %d", got, most)
+		if got, limit := sim.exchanges, 200; got > limit {
+			t.Fatalf("exchanges: got %d, want at most %d", got, limit)
 		}
 	})
 }
 
-// A stream is under way when every upstream is lost for a while, as in a wave.
-// Its caller has half an answer, so the stream must wait for an upstream to come
-// back instead of being given up.
-func TestStreamUnderWayWaitsForAnUpstream(t *testing.T) {
+// All upstreams are gone for a while after a stream has started, as when many instances
+// are reclaimed at once. The caller has part of the answer, so the stream must wait for
+// an upstream instead of ending.
+func TestStartedStreamWaitsForAnUpstream(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
 		d := &Dispatcher{
-			Limiter:   &calm{},
-			Recorder:  &calm{},
-			Router:    &calm{},
-			Exchanger: &calm{back: began.Add(5 * time.Second)},
+			Limiter:   &outageFleet{},
+			Recorder:  &outageFleet{},
+			Router:    &outageFleet{},
+			Exchanger: &outageFleet{recoveredAt: began.Add(5 * time.Second)},
 		}
-		d.Router = d.Exchanger.(*calm)
+		d.Router = d.Exchanger.(*outageFleet)
 		call := &Call{
 			ID:         "call-1",
 			Deadline:   began.Add(time.Minute),
 			Repeatable: true,
 			Stream:     true,
 		}
-		w := &world{call: call}
-		if err := d.Do(t.Context(), call, sink{w: w}); err != nil {
-			t.Errorf("the stream: got %v, want it whole", err)
+		sim := &simulation{call: call}
+		if err := d.Do(t.Context(), call, sink{sim: sim}); err != nil {
+			t.Errorf("stream: got %v, want it complete", err)
 		}
 	})
 }
 
-// calm is a fleet whose upstreams are all gone from the first token on until back.
-type calm struct {
-	world
-	back time.Time
-	sent bool
+// outageFleet is a fleet whose upstreams are all gone from the first token until recoveredAt.
+type outageFleet struct {
+	simulation
+	recoveredAt    time.Time
+	firstTokenSent bool
 }
 
-func (c *calm) Dispatching(context.Context, *Call, units.Attempt, units.Upstream) error { return nil }
+func (c *outageFleet) Dispatching(context.Context, *Call, units.Attempt, units.Upstream) error {
+	return nil
+}
 
-func (c *calm) Pick(call *Call, tried []units.Upstream) *tracker.Upstream {
-	if c.sent && time.Now().Before(c.back) {
+func (c *outageFleet) Pick(call *Call, tried []units.Upstream) *tracker.Upstream {
+	if c.firstTokenSent && time.Now().Before(c.recoveredAt) {
 		return nil
 	}
-	return c.world.Pick(call, tried)
+	return c.simulation.Pick(call, tried)
 }
 
-func (c *calm) Exchange(_ context.Context, _ *Call, _ units.Attempt, upstream *tracker.Upstream, stream *Stream) Result {
-	if c.sent {
+func (c *outageFleet) Exchange(_ context.Context, _ *Call, _ units.Attempt, upstream *tracker.Upstream, stream *Stream) Result {
+	if c.firstTokenSent {
 		return Result{Kind: Answered}
 	}
-	c.sent = true
+	c.firstTokenSent = true
 	_, _ = stream.Begin(nil, upstream, "1")
 	_ = stream.Event(1, nil, nil)
 	return Result{Kind: Lost}
--- a/src/dispatcher/doc.go
+++ b/src/dispatcher/doc.go
@@ -1,2 +1,3 @@
-// Package dispatcher takes one call from admission through its attempts to its one answer.
+// Package dispatcher runs one call: it admits and records the call, makes its attempts
+// at upstreams, and returns exactly one answer or refusal.
 package dispatcher
--- a/src/dispatcher/resend_test.go
+++ b/src/dispatcher/resend_test.go
@@ -11,17 +11,17 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// kept is a recorder that has the answer of an earlier sending.
-type kept struct {
-	refusing
+// answeredRecorder is a recorder that has the answer to an earlier call with the same key.
+type answeredRecorder struct {
+	refusingUpstreams
 }
 
-func (k *kept) Begin(context.Context, *Call) (*Answer, error) {
+func (k *answeredRecorder) Begin(context.Context, *Call) (*Answer, error) {
 	return &Answer{Status: http.StatusOK}, nil
 }
 
-// Admit refuses, as an account at its limit is.
-func (k *kept) Admit(context.Context, *Call) (func(), error) {
+// Admit refuses every call, as for an account at its limit.
+func (k *answeredRecorder) Admit(context.Context, *Call) (func(), error) {
 	return nil, &Refusal{Kind: ProblemLimit, Executed: ExecutedNo}
 }
 
@@ -35,62 +35,64 @@
 	return nil
 }
 
-// hangingUp is an exchanger during whose exchange the caller hangs up.
-type hangingUp struct {
-	refusing
-	hangUp  context.CancelFunc
-	running error
+// hangUpExchanger is an exchanger during whose exchange the caller hangs up; contextErr is
+// the error of the exchange's context afterwards.
+type hangUpExchanger struct {
+	refusingUpstreams
+	hangUp     context.CancelFunc
+	contextErr error
 }
 
-func (h *hangingUp) Exchange(ctx context.Context, _ *Call, _ units.Attempt, _ *tracker.Upstream, _ *Stream) Result {
+func (h *hangUpExchanger) Exchange(ctx context.Context, _ *Call, _ units.Attempt, _ *tracker.Upstream, _ *Stream) Result {
 	h.hangUp()
-	h.running = ctx.Err()
+	h.contextErr = ctx.Err()
 	return Result{Kind: Answered, Answer: &Answer{Status: http.StatusOK}}
 }
 
-// A caller hangs up while its call runs. A charge must run to its end, since
-// nobody could say what became of half of one, and its answer is kept for the
-// resend; a call that may be repeated is cancelled, since nobody reads it.
-func TestHangUpCancelsOnlyWhatMayBeRepeated(t *testing.T) {
+// A caller hangs up while its call runs. A non-repeatable call, such as a payment, must
+// run to completion, since the outcome of an aborted one would be unknown, and its answer
+// is stored for a resend. A repeatable call must be cancelled, since nobody reads its
+// answer.
+func TestHangUpCancelsOnlyRepeatableCalls(t *testing.T) {
 	for name, c := range map[string]struct {
 		call Call
 		want error
 	}{
-		"charge":              {},
-		"charge with a key":   {call: Call{KeyGiven: true}},
-		"repeatable":          {call: Call{Repeatable: true}, want: context.Canceled},
-		"repeatable with key": {call: Call{Repeatable: true, KeyGiven: true}, want: context.Canceled},
+		"non-repeatable":            {},
+		"non-repeatable with a key": {call: Call{KeyGiven: true}},
+		"repeatable":                {call: Call{Repeatable: true}, want: context.Canceled},
+		"repeatable with a key":     {call: Call{Repeatable: true, KeyGiven: true}, want: context.Canceled},
 	} {
 		t.Run(name, func(t *testing.T) {
 			ctx, hangUp := context.WithCancel(t.Context())
-			fake := &hangingUp{hangUp: hangUp}
+			fake := &hangUpExchanger{hangUp: hangUp}
 			d := &Dispatcher{Limiter: fake, Recorder: fake, Router: fake, Exchanger: fake}
 			c.call.Deadline = time.Now().Add(time.Minute)
 			_ = d.Do(ctx, &c.call, noSink{})
-			if got := fake.running; !errors.Is(got, c.want) {
-				t.Errorf("the exchange's context: got %v, want %v", got, c.want)
+			if got := fake.contextErr; !errors.Is(got, c.want) {
+				t.Errorf("error of the exchange's context: got %v, want %v", got, c.want)
 			}
 		})
 	}
 }
 
-// A booking ran, and its answer was lost on the way. The caller sends it again
-// under its key while its account is at its limit. A refusal that says `executed:
-// no` would make it book under a new key, a second time; it must get the answer.
+// A booking ran, and its answer was lost on the way to the caller. The caller sends it
+// again with the same key while its account is at its limit. A refusal with `executed: no`
+// would make the caller book a second time with a new key; it must get the stored answer.
 func TestResendIsNotRefusedAsNotRun(t *testing.T) {
-	fake := &kept{}
+	fake := &answeredRecorder{}
 	sink := &answerSink{}
 	d := &Dispatcher{Limiter: fake, Recorder: fake, Router: fake, Exchanger: fake}
 	err := d.Do(t.Context(), &Call{KeyGiven: true, Deadline: time.Now().Add(time.Minute)}, sink)
 	if err != nil || sink.answer == nil {
-		t.Errorf("resend: got %v, want the first sending's answer", err)
+		t.Errorf("resend: got error %v, want the first call's answer", err)
 	}
 }
 
-// A call that may be repeated is sent again under its key while its account is at
-// its limit, which is asked before the record. Whether the first sending ran, the
-// limit does not know; it may say "not run" only of a call without a key.
-func TestLimitDeniesNoEarlierSending(t *testing.T) {
+// A repeatable call is sent again with its key while its account is at its limit, which is
+// checked before the record. The limiter does not know whether the first call ran; it may
+// say "not run" only for a call without a key.
+func TestLimitRefusalOfAResendSaysUnknown(t *testing.T) {
 	for name, c := range map[string]struct {
 		given bool
 		want  Executed
@@ -99,7 +101,7 @@
 		"without a key": {want: ExecutedNo},
 	} {
 		t.Run(name, func(t *testing.T) {
-			fake := &kept{}
+			fake := &answeredRecorder{}
 			d := &Dispatcher{Limiter: fake, Recorder: fake, Router: fake, Exchanger: fake}
 			err := d.Do(t.Context(), &Call{Repeatable: true, KeyGiven: c.given, Deadline: time.Now().Add(time.Minute)}, noSink{})
 			var refusal *Refusal
--- a/src/dispatcher/stream.go
+++ b/src/dispatcher/stream.go
@@ -8,85 +8,85 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// Stream is the caller's side of a streamed call over all its attempts.
+// Stream is the caller's stream of one call across all attempts.
 type Stream struct {
 	Sink Sink
-	// FinishReason and Usage are what the upstream said at the end, nil before.
+	// FinishReason and Usage are what the upstream reported at the end, nil before.
 	FinishReason json.RawMessage
 	Usage        json.RawMessage
 
-	begun  bool
-	opened bool
-	ended  bool
-	offset units.Tokens
-	// text is what was generated so far, which another upstream needs to go on.
-	text    []byte
+	begun     bool
+	eventSent bool
+	usageSent bool
+	offset    units.Tokens
+	// text is the text generated so far, which another upstream needs to resume.
+	text []byte
+	// version and source are those that the stream began with.
 	version units.ModelVersion
-	engine  engine
+	source  upstreamIncarnation
 }
 
-// engine is one life of one upstream.
-type engine struct {
+// upstreamIncarnation identifies one incarnation of an upstream.
+type upstreamIncarnation struct {
 	name        units.Upstream
 	incarnation units.Incarnation
 }
 
-// Offset returns the count of tokens that the caller has.
+// Offset returns how many tokens the caller has received.
 func (s *Stream) Offset() units.Tokens { return s.offset }
 
-// Text returns the generated text that the caller has.
+// Text returns the generated text that the caller has received.
 func (s *Stream) Text() []byte { return s.text }
 
 // Version returns the model version that generated the stream so far, or "".
 func (s *Stream) Version() units.ModelVersion { return s.version }
 
-// Begin starts the caller's stream unless an earlier attempt has; it reports
-// false where the stream may not go on with what this upstream generates.
+// Begin starts the caller's stream unless an earlier attempt already has. It reports
+// false where the output of this upstream must not continue the stream.
 func (s *Stream) Begin(header http.Header, upstream *tracker.Upstream, version units.ModelVersion) (bool, error) {
-	from := engine{
+	current := upstreamIncarnation{
 		name:        upstream.Name,
 		incarnation: upstream.Incarnation,
 	}
 	if s.begun {
-		// Half an answer from one version and half from another is an answer
-		// that no model gave. An upstream that names no version may only go on
-		// with its own stream.
-		spliced := version == s.version && (version != "" || from == s.engine)
-		return spliced, nil
+		// An answer must not combine output of two model versions. An upstream that
+		// names no version may continue only a stream that it began itself.
+		consistent := version == s.version && (version != "" || current == s.source)
+		return consistent, nil
 	}
 	s.begun = true
 	s.version = version
-	s.engine = from
+	s.source = current
 	return true, s.Sink.Begin(header)
 }
 
-// Event passes one event on unless the caller has its tokens already.
+// Event sends one event to the caller unless the caller already has its tokens.
 func (s *Stream) Event(offset units.Tokens, data, text []byte) error {
 	if offset <= s.offset {
-		return s.around(offset, data)
+		return s.eventWithoutTokens(offset, data)
 	}
-	s.opened = true
+	s.eventSent = true
 	s.offset = offset
 	s.text = append(s.text, text...)
 	return s.Sink.Event(offset, data)
 }
 
-// around passes on an event without a token of its own: the one that opens a
-// stream, before its first token, and the one with the usage, after its last.
-func (s *Stream) around(offset units.Tokens, data []byte) error {
-	opening := offset == 0 && !s.opened
-	closing := offset == s.offset && s.Usage != nil && !s.ended
+// eventWithoutTokens sends an event without new tokens if it is the first event of the
+// stream, before any token, or the one with the usage, after the last token. Others are
+// repeats and are dropped.
+func (s *Stream) eventWithoutTokens(offset units.Tokens, data []byte) error {
+	opening := offset == 0 && !s.eventSent
+	closing := offset == s.offset && s.Usage != nil && !s.usageSent
 	if !opening && !closing {
 		return nil
 	}
-	s.opened = true
-	s.ended = s.ended || closing
+	s.eventSent = true
+	s.usageSent = s.usageSent || closing
 	return s.Sink.Event(offset, data)
 }
 
-// Beside passes on an event that has no place of its own and stands behind the
-// last one that was passed on.
+// Beside sends an event that has no offset of its own; it follows the last event sent.
 func (s *Stream) Beside(data []byte) error {
-	s.opened = true
+	s.eventSent = true
 	return s.Sink.Event(s.offset, data)
 }
--- a/src/dispatcher/trail.go
+++ b/src/dispatcher/trail.go
@@ -4,10 +4,10 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// Step names a kind of decision about a call.
+// Step is a kind of decision about a call.
 type Step string
 
-// The steps of a call, in the order in which they come first.
+// The steps of a call, in the order in which they first occur.
 const (
 	StepAccepted  Step = "accepted"
 	StepAdmitted  Step = "admitted"
@@ -17,20 +17,21 @@
 	StepOutcome   Step = "outcome"
 )
 
-// Trail takes the decisions about one call, for an operator to read back.
+// Trail records the decisions about one call for operators to inspect.
 type Trail interface {
 	Note(step Step, upstream units.Upstream, detail string)
+	// Candidate records an upstream that could be chosen, and its score.
 	Candidate(upstream units.Upstream, score float64)
 }
 
-// Note records a decision where the call has a trail.
+// Note records a decision if the call has a trail.
 func (c *Call) Note(step Step, upstream units.Upstream, detail string) {
 	if c.Trail != nil {
 		c.Trail.Note(step, upstream, detail)
 	}
 }
 
-// String names the end of an exchange.
+// String returns the name of the kind as traces show it.
 func (k ResultKind) String() string {
 	switch k {
 	case Answered:
@@ -51,8 +52,8 @@
 	return "unknown"
 }
 
-// noteResult records how an attempt ended.
-func noteResult(call *Call, upstream units.Upstream, result Result) {
+// recordAttemptEnd records how an attempt ended if the call has a trail.
+func recordAttemptEnd(call *Call, upstream units.Upstream, result Result) {
 	if call.Trail == nil {
 		return
 	}
--- a/src/recorder/ballot.go
+++ b/src/recorder/ballot.go
@@ -14,8 +14,9 @@
 	)
 }
 
-// rank orders the states that one proposer sets one after the other.
-func rank(state messages.CallState) int {
+// stateRank returns the position of a state in the order in which one proposer sets them, 0
+// for none.
+func stateRank(state messages.CallState) int {
 	switch state {
 	case messages.CallState_CALL_STATE_ADMITTED:
 		return 1
@@ -38,7 +39,7 @@
 	return state == messages.CallState_CALL_STATE_DISPATCHING || state == messages.CallState_CALL_STATE_UNKNOWN
 }
 
-// isEnded reports whether no entry works on the call any more.
+// isEnded reports whether a call in this state is no longer being run by any entry.
 func isEnded(state messages.CallState) bool {
-	return rank(state) >= rank(messages.CallState_CALL_STATE_NOT_RUN)
+	return stateRank(state) >= stateRank(messages.CallState_CALL_STATE_NOT_RUN)
 }
--- a/src/recorder/dump.go
+++ b/src/recorder/dump.go
@@ -8,10 +8,11 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// silenceShown is how long an unanswered question shows in the dump.
-const silenceShown = 5 * time.Second
+// unresponsiveWindow is how long an entry is listed in the dump after a request to it
+// failed.
+const unresponsiveWindow = 5 * time.Second
 
-// Dump is the record's state as `rosecroft dump` prints it.
+// Dump is the state of the records as `rosecroft dump` prints it.
 type Dump struct {
 	View          uint64 `yaml:"view"`
 	Records       int    `yaml:"records"`
@@ -19,16 +20,17 @@
 	Bytes         int64  `yaml:"bytes"`
 	OwnedSlots    int    `yaml:"owned-slots"`
 	UnfilledSlots int    `yaml:"unfilled-slots"`
-	// AbsentOwners are the entries that left a question unanswered in the last seconds.
+	// AbsentOwners are the entries that failed to answer a request in the last
+	// unresponsiveWindow.
 	AbsentOwners []units.Instance `yaml:"absent-owners"`
 }
 
-// Dump returns the state of this entry's part of the record.
+// Dump returns the state of the records that this entry holds.
 func (r *Recorder) Dump(ctx context.Context) (Dump, error) {
-	r.prepare()
+	r.initialize()
 	reply := make(chan Dump, 1)
 	select {
-	case r.inspect <- reply:
+	case r.dumpRequests <- reply:
 		return <-reply, nil
 	case <-ctx.Done():
 		return Dump{}, ctx.Err()
@@ -36,15 +38,15 @@
 }
 
 func (r *Recorder) dump(owner *Owner) Dump {
-	owner.prepare()
+	owner.initialize()
 	return Dump{
 		View:          owner.ViewNumber(),
 		Records:       len(owner.store.records),
 		Answers:       owner.store.answers.Len(),
 		Bytes:         owner.store.bytes,
-		OwnedSlots:    owner.owned(),
-		UnfilledSlots: owner.unfilled(),
-		AbsentOwners:  r.silent.since(time.Now().Add(-silenceShown)),
+		OwnedSlots:    owner.ownedSlots(),
+		UnfilledSlots: owner.unfilledSlots(),
+		AbsentOwners:  r.unresponsive.since(time.Now().Add(-unresponsiveWindow)),
 	}
 }
 
@@ -56,7 +58,7 @@
 	return o.view.Number
 }
 
-func (o *Owner) owned() int {
+func (o *Owner) ownedSlots() int {
 	count := 0
 	for slot := range o.slots {
 		if hasMember(o.view.Owners(slot), o.Self) {
@@ -66,7 +68,7 @@
 	return count
 }
 
-func (o *Owner) unfilled() int {
+func (o *Owner) unfilledSlots() int {
 	count := 0
 	for _, state := range o.slots {
 		if state.fill != nil && !state.filled {
@@ -76,28 +78,29 @@
 	return count
 }
 
-// silence remembers who left questions unanswered.
-type silence struct {
-	mu sync.Mutex
-	at map[Identity]time.Time
+// unresponsivePeers records when requests to other entries last failed.
+type unresponsivePeers struct {
+	mu          sync.Mutex
+	lastFailure map[Identity]time.Time
 }
 
-func (s *silence) note(id Identity, now time.Time) {
+func (s *unresponsivePeers) record(id Identity, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.at == nil {
-		s.at = make(map[Identity]time.Time)
+	if s.lastFailure == nil {
+		s.lastFailure = make(map[Identity]time.Time)
 	}
-	s.at[id] = now
+	s.lastFailure[id] = now
 }
 
-func (s *silence) since(from time.Time) []units.Instance {
+// since returns the entries that failed to respond since from, and drops older ones.
+func (s *unresponsivePeers) since(from time.Time) []units.Instance {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var names []units.Instance
-	for id, at := range s.at {
+	for id, at := range s.lastFailure {
 		if at.Before(from) {
-			delete(s.at, id)
+			delete(s.lastFailure, id)
 			continue
 		}
 		names = append(names, id.Name)
--- a/src/recorder/event.go
+++ b/src/recorder/event.go
@@ -6,59 +6,59 @@
 	"github.com/rosecroft/rosecroft/src/messages"
 )
 
-// OwnerEvent is something an Owner reacts to.
+// OwnerEvent is an input of Owner.Step.
 type OwnerEvent interface{ ownerEvent() }
 
-// Asked is a proposer's request.
-type Asked struct {
-	// Token is handed back with the reply.
+// RequestReceived is a proposer's request.
+type RequestReceived struct {
+	// Token is returned with the reply.
 	Token   any
 	Request *messages.RecordRequest
 }
 
-// FillAsked is another owner's request for records.
-type FillAsked struct {
+// FillRequested is another owner's request for records.
+type FillRequested struct {
 	Token   any
 	Request *messages.FillRequest
 }
 
-// FillAnswered is the answer to an AskFill; a nil response says that none came.
-type FillAnswered struct {
-	Asked    AskFill
+// FillResponded is the response to an AskFill; a nil response means that none came.
+type FillResponded struct {
+	Ask      AskFill
 	Response *messages.FillResponse
 }
 
-// Viewed is a view that control has committed.
-type Viewed struct {
+// ViewCommitted is a new view that control has committed.
+type ViewCommitted struct {
 	View *View
 }
 
-// Bounded sets how much is kept of calls that have ended.
-type Bounded struct {
+// RetentionChanged sets how long records of ended calls are kept, and in how many bytes.
+type RetentionChanged struct {
 	KeepFor   time.Duration
 	KeepBytes int64
 }
 
-// OwnerTicked says that time has passed.
+// OwnerTicked is the periodic tick of an owner.
 type OwnerTicked struct{}
 
-func (Asked) ownerEvent()        {}
-func (FillAsked) ownerEvent()    {}
-func (FillAnswered) ownerEvent() {}
-func (Viewed) ownerEvent()       {}
-func (Bounded) ownerEvent()      {}
-func (OwnerTicked) ownerEvent()  {}
+func (RequestReceived) ownerEvent()  {}
+func (FillRequested) ownerEvent()    {}
+func (FillResponded) ownerEvent()    {}
+func (ViewCommitted) ownerEvent()    {}
+func (RetentionChanged) ownerEvent() {}
+func (OwnerTicked) ownerEvent()      {}
 
-// OwnerAction is something the caller of Owner.Step must carry out.
+// OwnerAction is an output of Owner.Step that its caller must carry out.
 type OwnerAction interface{ ownerAction() }
 
-// Reply answers an Asked.
+// Reply answers a RequestReceived event.
 type Reply struct {
 	Token    any
 	Response *messages.RecordResponse
 }
 
-// FillReply answers a FillAsked.
+// FillReply answers a FillRequested event.
 type FillReply struct {
 	Token    any
 	Response *messages.FillResponse
--- a/src/recorder/filler.go
+++ b/src/recorder/filler.go
@@ -10,34 +10,37 @@
 )
 
 const (
-	// fillRetry is how long an unanswered request keeps another from being sent.
-	fillRetry = 100 * time.Millisecond
-	// fillPage bounds the records in one response, beyond the first slot.
-	fillPage = 1 << 20
-	// historyShown is how many views an entry without history is shown.
-	historyShown = 4
+	// fillRetryInterval is how long an unanswered request is waited for before it is sent
+	// again.
+	fillRetryInterval = 100 * time.Millisecond
+	// maxFillBytes is the size after which a response takes no further slots.
+	maxFillBytes = 1 << 20
+	// maxInitialViews is how many views are sent to an entry that has none.
+	maxInitialViews = 4
 )
 
-// fill is the reading of one slot's earlier owners.
+// fill is the transfer of one slot's records from its earlier owners.
 type fill struct {
-	// responses holds, for each earlier view, who answered and whether it counted there.
+	// responses holds, for each earlier view, which owners have responded and whether each
+	// counted there.
 	responses map[uint64]map[Identity]bool
 }
 
-// fillTarget is an earlier owner asked about one view.
+// fillTarget is an earlier owner that is asked for the records of one view, or of no view
+// (0) where it is asked only for the earlier views.
 type fillTarget struct {
 	id   Identity
 	view uint64
 }
 
-// enter takes a newer view on.
-func (o *Owner) enter(now time.Time, next *View) []OwnerAction {
+// enterView switches to a newer view and starts the fills that it needs.
+func (o *Owner) enterView(now time.Time, next *View) []OwnerAction {
 	if o.view != nil && next.Number <= o.view.Number {
 		return nil
 	}
 	previous := o.view
 	o.view = next
-	o.learn(next)
+	o.rememberView(next)
 	for number := range o.Slots {
 		o.enterSlot(now, Slot(number), previous)
 	}
@@ -50,7 +53,7 @@
 	if !hasMember(owners, o.Self) {
 		if state != nil {
 			state.filled = false
-			state.whole = false
+			state.complete = false
 			state.fill = nil
 		}
 		return
@@ -59,47 +62,48 @@
 		state = &slotState{}
 		o.slots[slot] = state
 	}
-	carried := carry(state, slot, previous, o.view)
+	carried := carryOver(state, slot, previous, o.view)
 	state.fill = nil
 	state.enteredAt = now
 	if carried.filled {
-		state.count(o.view.Number)
+		state.recordCounted(o.view.Number)
 	}
 	state.filled = carried.filled
-	state.whole = carried.whole
-	// Fewer than three owners can shrink to one, which must then hold everything.
-	if !carried.filled || !carried.whole && len(owners) < ownerCount {
+	state.complete = carried.complete
+	// With fewer than three owners, one of them may later be the only one left and must
+	// then hold every record.
+	if !carried.filled || !carried.complete && len(owners) < ownerCount {
 		state.fill = &fill{
 			responses: make(map[uint64]map[Identity]bool),
 		}
 	}
 	if o.view.Number == 1 {
-		state.complete(1)
+		state.completeFill(1)
 	}
 }
 
-// carry returns what an owner knows of a slot after a change of view, without
-// reading others. A record is stored at some majority of the earlier owners, and
-// an owner that goes on may not be among them. It may count without reading only
-// where every majority of the new owners that holds no newcomer is a majority of
-// the earlier ones, or where it held everything and no majority could miss it.
-func carry(state *slotState, slot Slot, previous, next *View) slotState {
+// carryOver returns what an owner knows of a slot after a change of view, without a fill.
+// A record is stored at some majority of the earlier owners, which need not include an
+// owner that remains. That owner may count without a fill only if every majority of the
+// new owners without a newcomer is also a majority of the earlier ones, or if it held
+// every record and no majority could be without it.
+func carryOver(state *slotState, slot Slot, previous, next *View) slotState {
 	if previous == nil || previous.Number+1 != next.Number {
 		return slotState{}
 	}
 	earlier, owners := previous.Owners(slot), next.Owners(slot)
 	if sameMembers(earlier, owners) {
 		return slotState{
-			filled: state.filled,
-			whole:  state.whole,
+			filled:   state.filled,
+			complete: state.complete,
 		}
 	}
-	wroteAll := majority(len(earlier)) == len(earlier)
-	whole := state.filled && state.whole && wroteAll
-	enough := majority(len(owners)) >= majority(len(earlier))
+	majorityIsAll := majority(len(earlier)) == len(earlier)
+	complete := state.filled && state.complete && majorityIsAll
+	quorumKept := majority(len(owners)) >= majority(len(earlier))
 	return slotState{
-		filled: whole || state.filled && enough,
-		whole:  whole,
+		filled:   complete || state.filled && quorumKept,
+		complete: complete,
 	}
 }
 
@@ -107,8 +111,9 @@
 	return len(a) == len(b) && !slices.ContainsFunc(a, func(m Member) bool { return !hasMember(b, m.Identity) })
 }
 
-// learn remembers a view with the one before it and forgets the oldest.
-func (o *Owner) learn(view *View) {
+// rememberView stores a view and the one before it, and drops the oldest views beyond
+// maxViews.
+func (o *Owner) rememberView(view *View) {
 	o.views[view.Number] = view
 	earlier := view.wire.GetPreviousMembers()
 	if len(earlier) > 0 && o.views[view.Number-1] == nil {
@@ -117,29 +122,29 @@
 			Members: earlier,
 		}, o.Slots)
 	}
-	for len(o.views) > historyLength {
+	for len(o.views) > maxViews {
 		delete(o.views, slices.Min(slices.Collect(maps.Keys(o.views))))
 	}
 }
 
-// askFills returns the requests that the fills under way need now.
+// askFills returns the requests that the running fills need now.
 func (o *Owner) askFills(now time.Time) []OwnerAction {
 	wanted := make(map[fillTarget][]uint32)
 	for slot, state := range o.slots {
 		if state.fill != nil {
-			o.advance(now, slot, state, wanted)
+			o.advanceFill(now, slot, state, wanted)
 		}
 	}
 	var actions []OwnerAction
 	for target, slots := range wanted {
-		if until, waiting := o.asked[target]; waiting && now.Before(until) {
+		if until, waiting := o.retryFillAt[target]; waiting && now.Before(until) {
 			continue
 		}
-		to, known := o.find(target)
+		to, known := o.findMember(target)
 		if !known {
 			continue
 		}
-		o.asked[target] = now.Add(fillRetry)
+		o.retryFillAt[target] = now.Add(fillRetryInterval)
 		slices.Sort(slots)
 		actions = append(actions, AskFill{
 			To: to,
@@ -151,20 +156,20 @@
 			},
 		})
 	}
-	slices.SortFunc(actions, compareAsks)
+	slices.SortFunc(actions, compareFillRequests)
 	return actions
 }
 
-// advance completes a fill or notes whom it needs to ask.
-func (o *Owner) advance(now time.Time, slot Slot, state *slotState, wanted map[fillTarget][]uint32) {
-	// After that time every record that was lost would have been dropped anyway.
+// advanceFill completes a fill or adds the owners that it needs to ask to wanted.
+func (o *Owner) advanceFill(now time.Time, slot Slot, state *slotState, wanted map[fillTarget][]uint32) {
+	// After keepFor, every record that could be missing would have expired anyway.
 	if now.Sub(state.enteredAt) >= o.store.keepFor {
-		state.complete(o.view.Number)
+		state.completeFill(o.view.Number)
 		return
 	}
-	level, done := o.level(slot, state.fill)
+	level, done := o.nextFillView(slot, state.fill)
 	if done {
-		state.complete(o.view.Number)
+		state.completeFill(o.view.Number)
 		return
 	}
 	if level == nil {
@@ -186,19 +191,19 @@
 	}
 }
 
-func (s *slotState) complete(number uint64) {
+func (s *slotState) completeFill(number uint64) {
 	s.fill = nil
-	s.whole = true
-	s.count(number)
+	s.complete = true
+	s.recordCounted(number)
 }
 
-// level returns the newest earlier view that is still to be read, nil where
-// more views must be learnt, and whether the fill has read enough.
+// nextFillView returns the latest earlier view that is still to be read, or nil if further
+// earlier views must be requested first, and whether the fill is complete.
 //
-// A majority of a view's owners has seen every record stored in that view. Where
-// too few of them counted there, records may stand at the owners before them, so
-// that the reading goes on with the view before.
-func (o *Owner) level(slot Slot, f *fill) (*View, bool) {
+// A majority of a view's owners holds every record that was stored in that view. If too
+// few of the responders counted there, further records may be held by earlier owners,
+// and the fill continues with the view before.
+func (o *Owner) nextFillView(slot Slot, f *fill) (*View, bool) {
 	numbers := slices.Sorted(maps.Keys(o.views))
 	for _, number := range slices.Backward(numbers) {
 		if number >= o.view.Number {
@@ -207,7 +212,7 @@
 		view := o.views[number]
 		needed := majority(len(view.Owners(slot)))
 		if o.Self != (Identity{}) && hasMember(view.Owners(slot), o.Self) {
-			o.respond(f, number, o.Self, o.slots[slot].counted(number))
+			o.recordFillResponse(f, number, o.Self, o.slots[slot].countedIn(number))
 		}
 		responses := f.responses[number]
 		if len(responses) < needed {
@@ -226,15 +231,15 @@
 	return nil, false
 }
 
-func (o *Owner) respond(f *fill, number uint64, id Identity, counted bool) {
+func (o *Owner) recordFillResponse(f *fill, number uint64, id Identity, counted bool) {
 	if f.responses[number] == nil {
 		f.responses[number] = make(map[Identity]bool)
 	}
 	f.responses[number][id] = counted
 }
 
-// find returns the member that a target names.
-func (o *Owner) find(target fillTarget) (Member, bool) {
+// findMember returns the member that a target refers to.
+func (o *Owner) findMember(target fillTarget) (Member, bool) {
 	view := o.view
 	if target.view != 0 {
 		view = o.views[target.view]
@@ -249,19 +254,19 @@
 	return view.Members[index], true
 }
 
-// takeFill merges what an earlier owner sent.
-func (o *Owner) takeFill(now time.Time, e FillAnswered) []OwnerAction {
+// handleFillResponse merges the records that an earlier owner sent.
+func (o *Owner) handleFillResponse(now time.Time, e FillResponded) []OwnerAction {
 	target := fillTarget{
-		id:   e.Asked.To.Identity,
-		view: e.Asked.Request.GetOfView(),
+		id:   e.Ask.To.Identity,
+		view: e.Ask.Request.GetOfView(),
 	}
-	if e.Response.GetViewNumber() == 0 || e.Asked.Request.GetView().GetNumber() != o.view.Number {
+	if e.Response.GetViewNumber() == 0 || e.Ask.Request.GetView().GetNumber() != o.view.Number {
 		return nil
 	}
-	delete(o.asked, target)
+	delete(o.retryFillAt, target)
 	for _, view := range e.Response.GetViews() {
 		if o.views[view.GetNumber()] == nil && view.GetNumber() < o.view.Number {
-			o.learn(NewView(view, o.Slots))
+			o.rememberView(NewView(view, o.Slots))
 		}
 	}
 	for _, filled := range e.Response.GetSlots() {
@@ -270,25 +275,25 @@
 			continue
 		}
 		for _, record := range filled.GetRecords() {
-			o.merge(now, record)
+			o.mergeRecord(now, record)
 		}
-		o.respond(state.fill, target.view, target.id, filled.GetFilled())
+		o.recordFillResponse(state.fill, target.view, target.id, filled.GetFilled())
 	}
 	return o.askFills(now)
 }
 
-func (o *Owner) merge(now time.Time, theirs *messages.CallRecord) {
+func (o *Owner) mergeRecord(now time.Time, theirs *messages.CallRecord) {
 	known := o.store.get(theirs.GetKey())
 	if known == nil {
 		o.store.put(now, theirs)
 		return
 	}
-	o.store.put(now, mergeRecords(known.show(now), theirs))
+	o.store.put(now, mergeRecords(known.export(now), theirs))
 }
 
-// answerFill sends records to a later owner. Entering its view first is what
-// makes the answer whole: no proposer of an older view is served after it.
-func (o *Owner) answerFill(now time.Time, e FillAsked) []OwnerAction {
+// handleFillRequest sends records to a later owner. It enters that owner's view first, so
+// that the response is complete: no proposer of an older view is served afterwards.
+func (o *Owner) handleFillRequest(now time.Time, e FillRequested) []OwnerAction {
 	response := &messages.FillResponse{}
 	reply := FillReply{
 		Token:    e.Token,
@@ -300,16 +305,16 @@
 	asking := e.Request.GetView()
 	var actions []OwnerAction
 	if o.view == nil || o.view.Number < asking.GetNumber() {
-		actions = o.enter(now, NewView(asking, o.Slots))
+		actions = o.enterView(now, NewView(asking, o.Slots))
 	}
 	response.ViewNumber = o.view.Number
 	response.Views = o.viewsBetween(e.Request.GetOfView(), asking.GetNumber())
 	var size int64
 	for _, number := range e.Request.GetSlots() {
-		if size > fillPage {
+		if size > maxFillBytes {
 			break
 		}
-		filled := o.showSlot(now, Slot(number), e.Request.GetOfView())
+		filled := o.exportSlot(now, Slot(number), e.Request.GetOfView())
 		for _, record := range filled.GetRecords() {
 			size += sizeOf(record)
 		}
@@ -318,20 +323,20 @@
 	return append(actions, reply)
 }
 
-func (o *Owner) showSlot(now time.Time, slot Slot, view uint64) *messages.FilledSlot {
+func (o *Owner) exportSlot(now time.Time, slot Slot, view uint64) *messages.FilledSlot {
 	state := o.slots[slot]
-	shown := &messages.FilledSlot{
+	exported := &messages.FilledSlot{
 		Slot:   uint32(slot),
-		Filled: state != nil && state.counted(view),
+		Filled: state != nil && state.countedIn(view),
 	}
 	for _, key := range slices.Sorted(maps.Keys(o.store.slots[slot])) {
-		shown.Records = append(shown.Records, o.store.slots[slot][key].show(now))
+		exported.Records = append(exported.Records, o.store.slots[slot][key].export(now))
 	}
-	return shown
+	return exported
 }
 
-// viewsBetween returns the known views after one and before another, or the
-// last few where the first is 0.
+// viewsBetween returns the known views after one number and before another; where after
+// is 0, only the latest maxInitialViews of them.
 func (o *Owner) viewsBetween(after, before uint64) []*messages.EntryView {
 	var views []*messages.EntryView
 	for _, number := range slices.Sorted(maps.Keys(o.views)) {
@@ -339,14 +344,14 @@
 			views = append(views, o.views[number].wire)
 		}
 	}
-	if after == 0 && len(views) > historyShown {
-		views = views[len(views)-historyShown:]
+	if after == 0 && len(views) > maxInitialViews {
+		views = views[len(views)-maxInitialViews:]
 	}
 	return views
 }
 
-// compareAsks gives the requests one order, so that equal runs are equal.
-func compareAsks(a, b OwnerAction) int {
+// compareFillRequests orders the requests, so that runs are deterministic.
+func compareFillRequests(a, b OwnerAction) int {
 	left, right := a.(AskFill), b.(AskFill)
 	return cmp.Or(
 		cmp.Compare(left.To.Name, right.To.Name),
--- a/src/recorder/merger.go
+++ b/src/recorder/merger.go
@@ -6,10 +6,10 @@
 	"github.com/rosecroft/rosecroft/src/messages"
 )
 
-// mergeRecords joins what two owners hold of a call, so that nothing that
-// either may have helped to decide is lost.
+// mergeRecords merges the records that two owners hold of a call, so that no state is lost
+// to whose majority either may have contributed.
 func mergeRecords(mine, theirs *messages.CallRecord) *messages.CallRecord {
-	merged := copyRecord(stronger(mine, theirs))
+	merged := copyRecord(prevailing(mine, theirs))
 	merged.LeaseMs = max(mine.GetLeaseMs(), theirs.GetLeaseMs())
 	merged.AgeMs = min(mine.GetAgeMs(), theirs.GetAgeMs())
 	promised := merged.GetPromised()
@@ -22,19 +22,20 @@
 	return merged
 }
 
-func stronger(mine, theirs *messages.CallRecord) *messages.CallRecord {
+// prevailing returns the record whose state the merged record takes.
+func prevailing(mine, theirs *messages.CallRecord) *messages.CallRecord {
 	answered := messages.CallState_CALL_STATE_ANSWERED
 	switch {
-	case mine.GetState() == answered || rank(theirs.GetState()) == 0:
+	case mine.GetState() == answered || stateRank(theirs.GetState()) == 0:
 		return mine
-	case theirs.GetState() == answered || rank(mine.GetState()) == 0:
+	case theirs.GetState() == answered || stateRank(mine.GetState()) == 0:
 		return theirs
 	}
 	order := compareBallots(mine.GetAccepted(), theirs.GetAccepted())
 	if order == 0 {
-		order = cmp.Compare(rank(mine.GetState()), rank(theirs.GetState()))
+		order = cmp.Compare(stateRank(mine.GetState()), stateRank(theirs.GetState()))
 	} else if mine.GetAccepted().GetRound() == 0 && theirs.GetAccepted().GetRound() == 0 {
-		return strongerFirst(mine, theirs)
+		return mergeRoundZero(mine, theirs)
 	}
 	if order >= 0 {
 		return mine
@@ -42,10 +43,10 @@
 	return theirs
 }
 
-// strongerFirst joins two proposals of round 0, where either may stand at a
-// majority. Keeping one of two that may have run would forget a run, so that
-// the call counts as unknown.
-func strongerFirst(mine, theirs *messages.CallRecord) *messages.CallRecord {
+// mergeRoundZero merges two proposals of round 0, either of which may be stored at a
+// majority. If both calls may have run, keeping only one would lose a run, so the outcome
+// becomes unknown.
+func mergeRoundZero(mine, theirs *messages.CallRecord) *messages.CallRecord {
 	switch {
 	case mayHaveRun(mine) && mayHaveRun(theirs):
 		unknown := copyRecord(mine)
--- a/src/recorder/owner.go
+++ b/src/recorder/owner.go
@@ -8,82 +8,84 @@
 )
 
 const (
-	// historyLength is how many views an owner remembers.
-	historyLength = 16
-	// slotsPerTick bounds the work of one tick.
+	// maxViews is how many views an owner keeps.
+	maxViews = 16
+	// slotsPerTick limits how many slots one tick expires records in.
 	slotsPerTick = 16
-	// Bounds until the first configuration.
+	// Retention limits until the first configuration arrives.
 	initialKeepFor   = 10 * time.Minute
 	initialKeepBytes = 64 << 20
 )
 
-// Owner decides for the records that one entry holds; its fields are set before use.
+// Owner decides for the records that one entry holds; its fields must be set before use.
 type Owner struct {
-	Self  Identity
+	Self Identity
+	// Slots is the number of hash slots.
 	Slots int
 
-	store *store
-	view  *View
-	views map[uint64]*View
-	slots map[Slot]*slotState
-	asked map[fillTarget]time.Time
-	// nextSlot is where dropping old records goes on.
-	nextSlot Slot
+	store       *store
+	view        *View
+	views       map[uint64]*View
+	slots       map[Slot]*slotState
+	retryFillAt map[fillTarget]time.Time
+	// expirySlot is the slot in which records were last expired.
+	expirySlot Slot
 }
 
-// slotState is how far this owner knows one slot.
+// slotState is how much this owner knows of one slot's records.
 type slotState struct {
-	// filled says that the owner counts in the present view.
+	// filled says that the owner's responses count towards a majority in the current view.
 	filled bool
-	// whole says that it holds every record stored before the present view.
-	whole bool
-	// filledIn are the views in which it counted, as ranges in rising order.
-	filledIn []viewRange
-	// fill is the reading of earlier owners, nil where none is under way.
+	// complete says that it holds every record that was stored before the current view.
+	complete bool
+	// filledRanges are the views in which it counted, as ranges in ascending order.
+	filledRanges []viewRange
+	// fill is the running transfer from earlier owners, nil if there is none.
 	fill *fill
-	// enteredAt is when the owner took the slot on or entered a view with other owners.
+	// enteredAt is when the owner last entered a view while it owns the slot.
 	enteredAt time.Time
 }
 
+// viewRange is an inclusive range of view numbers.
 type viewRange struct {
 	from, to uint64
 }
 
 // Step takes one event and returns the actions to carry out.
 func (o *Owner) Step(now time.Time, event OwnerEvent) []OwnerAction {
-	o.prepare()
+	o.initialize()
 	switch e := event.(type) {
-	case Asked:
+	case RequestReceived:
 		return []OwnerAction{Reply{
 			Token:    e.Token,
-			Response: o.answer(now, e.Request),
+			Response: o.handleRequest(now, e.Request),
 		}}
-	case FillAsked:
-		return o.answerFill(now, e)
-	case FillAnswered:
-		return o.takeFill(now, e)
-	case Viewed:
-		return o.enter(now, e.View)
-	case Bounded:
+	case FillRequested:
+		return o.handleFillRequest(now, e)
+	case FillResponded:
+		return o.handleFillResponse(now, e)
+	case ViewCommitted:
+		return o.enterView(now, e.View)
+	case RetentionChanged:
 		o.store.keepFor = e.KeepFor
 		o.store.keepBytes = e.KeepBytes
-		o.store.shed()
+		o.store.evictAnswers()
 	case OwnerTicked:
 		return o.tick(now)
 	}
 	return nil
 }
 
-// tick drops what is too old in the next few slots and goes on with the fills.
+// tick removes expired records in the next few slots and continues the fills.
 func (o *Owner) tick(now time.Time) []OwnerAction {
 	for range min(slotsPerTick, o.Slots) {
-		o.nextSlot = (o.nextSlot + 1) % Slot(o.Slots)
-		o.store.expire(now, o.nextSlot)
+		o.expirySlot = (o.expirySlot + 1) % Slot(o.Slots)
+		o.store.expire(now, o.expirySlot)
 	}
 	return o.askFills(now)
 }
 
-func (o *Owner) prepare() {
+func (o *Owner) initialize() {
 	if o.store != nil {
 		return
 	}
@@ -92,13 +94,13 @@
 	o.store.keepBytes = initialKeepBytes
 	o.views = make(map[uint64]*View)
 	o.slots = make(map[Slot]*slotState)
-	o.asked = make(map[fillTarget]time.Time)
+	o.retryFillAt = make(map[fillTarget]time.Time)
 }
 
 func (o *Owner) slotOf(key []byte) Slot { return slotOf(key, o.Slots) }
 
-// answer serves one request of a proposer.
-func (o *Owner) answer(now time.Time, request *messages.RecordRequest) *messages.RecordResponse {
+// handleRequest answers one request of a proposer.
+func (o *Owner) handleRequest(now time.Time, request *messages.RecordRequest) *messages.RecordResponse {
 	response := &messages.RecordResponse{
 		Status: messages.RecordStatus_RECORD_STATUS_OTHER_VIEW,
 	}
@@ -108,14 +110,14 @@
 	response.ViewNumber = o.view.Number
 	key := request.GetRecord().GetKey()
 	slot := o.slotOf(key)
-	// An answer in an older view would count towards a majority of owners who
-	// no longer are; the call would run again after the new owners missed it.
+	// A response in an older view would count towards a majority of the old owners. The
+	// new owners could miss the record, and the call would run again.
 	if request.GetViewNumber() != o.view.Number || !hasMember(o.view.Owners(slot), o.Self) {
 		return response
 	}
 	response.Status = o.serve(now, request, o.slots[slot].filled)
 	if known := o.store.get(key); known != nil {
-		response.Record = known.show(now)
+		response.Record = known.export(now)
 	}
 	return response
 }
@@ -124,9 +126,9 @@
 	if request.GetOperation() == messages.RecordOperation_RECORD_OPERATION_FINISH {
 		return o.finish(now, request.GetRecord(), filled)
 	}
-	// An owner that has not read its predecessors would say "no such call" of
-	// one that ran, and a resend would run it again. Keys that the system has
-	// just made are safe: no earlier call can bear them.
+	// An owner that has not read the records of the earlier owners would report "no such
+	// call" for one that ran, and a resend would run it again. Keys that were generated
+	// for the new call are safe, since no earlier call can have them.
 	if !filled && !request.GetFresh() {
 		return messages.RecordStatus_RECORD_STATUS_UNFILLED
 	}
@@ -140,10 +142,11 @@
 	}
 }
 
+// promise promises to accept no lower proposal, unless a higher one was promised.
 func (o *Owner) promise(now time.Time, proposed *messages.CallRecord) messages.RecordStatus {
 	known := o.store.get(proposed.GetKey())
 	if known == nil {
-		if o.store.full() {
+		if o.store.isFull() {
 			return messages.RecordStatus_RECORD_STATUS_FULL
 		}
 		o.store.put(now, &messages.CallRecord{
@@ -155,38 +158,38 @@
 	if compareBallots(proposed.GetAccepted(), known.record.GetPromised()) < 0 {
 		return messages.RecordStatus_RECORD_STATUS_HELD
 	}
-	promised := known.show(now)
+	promised := known.export(now)
 	promised.AgeMs = 0
 	promised.Promised = proposed.GetAccepted()
 	o.store.put(now, promised)
 	return messages.RecordStatus_RECORD_STATUS_DONE
 }
 
-// accept stores a proposed record, unless another stands against it.
+// accept stores a proposed record unless the known record prevents it.
 func (o *Owner) accept(now time.Time, proposed *messages.CallRecord) messages.RecordStatus {
 	known := o.store.get(proposed.GetKey())
 	if known == nil {
-		if o.store.full() {
+		if o.store.isFull() {
 			return messages.RecordStatus_RECORD_STATUS_FULL
 		}
-		o.keep(now, proposed)
+		o.storeRecord(now, proposed)
 		return messages.RecordStatus_RECORD_STATUS_DONE
 	}
-	if !acceptable(known.record, proposed) {
+	if !isAcceptable(known.record, proposed) {
 		return messages.RecordStatus_RECORD_STATUS_HELD
 	}
 	sameProposal := compareBallots(proposed.GetAccepted(), known.record.GetAccepted()) == 0
-	// A late copy of an earlier message must not undo a later state.
-	if !sameProposal || rank(proposed.GetState()) > rank(known.record.GetState()) {
-		o.keep(now, proposed)
+	// A delayed duplicate of an earlier message must not undo a later state.
+	if !sameProposal || stateRank(proposed.GetState()) > stateRank(known.record.GetState()) {
+		o.storeRecord(now, proposed)
 	}
 	return messages.RecordStatus_RECORD_STATUS_DONE
 }
 
-// acceptable reports whether a proposal may replace what is known. In round 0
-// nobody has asked for promises, so that each owner takes one proposal only;
-// two entries that begin the same key at once cannot both have a majority.
-func acceptable(known, proposed *messages.CallRecord) bool {
+// isAcceptable reports whether a proposal may replace the known record. Round 0 has no
+// promises, so each owner accepts only one proposal in it; two entries that claim the same
+// key at once cannot both get a majority.
+func isAcceptable(known, proposed *messages.CallRecord) bool {
 	if known.GetState() == messages.CallState_CALL_STATE_ANSWERED {
 		return false
 	}
@@ -197,59 +200,59 @@
 	return order >= 0
 }
 
-func (o *Owner) keep(now time.Time, proposed *messages.CallRecord) {
+func (o *Owner) storeRecord(now time.Time, proposed *messages.CallRecord) {
 	kept := copyRecord(proposed)
 	kept.Promised = proposed.GetAccepted()
 	o.store.put(now, kept)
 }
 
-// finish keeps the end of a call that was sent to an upstream. Its entry alone
-// can know it, so that it stands whatever was proposed meanwhile.
+// finish stores the end of a call that was sent to an upstream. Only the entry that sent it
+// knows its end, so it prevails over whatever was proposed in the meantime.
 func (o *Owner) finish(now time.Time, ended *messages.CallRecord, filled bool) messages.RecordStatus {
 	known := o.store.get(ended.GetKey())
 	if known == nil {
-		o.keep(now, ended)
-		return finished(filled)
+		o.storeRecord(now, ended)
+		return finishStatus(filled)
 	}
 	earlier := known.record
 	answered := ended.GetState() == messages.CallState_CALL_STATE_ANSWERED
 	if earlier.GetState() == messages.CallState_CALL_STATE_ANSWERED || !answered && earlier.GetCall() != ended.GetCall() {
-		return finished(filled)
+		return finishStatus(filled)
 	}
 	kept := copyRecord(ended)
 	kept.Promised = earlier.GetPromised()
 	kept.Accepted = earlier.GetAccepted()
 	o.store.put(now, kept)
-	return finished(filled)
+	return finishStatus(filled)
 }
 
-func finished(filled bool) messages.RecordStatus {
+func finishStatus(filled bool) messages.RecordStatus {
 	if !filled {
 		return messages.RecordStatus_RECORD_STATUS_UNFILLED
 	}
 	return messages.RecordStatus_RECORD_STATUS_DONE
 }
 
-// counted reports whether the owner counted for the slot in a view.
-func (s *slotState) counted(number uint64) bool {
-	return slices.ContainsFunc(s.filledIn, func(r viewRange) bool {
+// countedIn reports whether the owner's responses counted for the slot in a view.
+func (s *slotState) countedIn(number uint64) bool {
+	return slices.ContainsFunc(s.filledRanges, func(r viewRange) bool {
 		return r.from <= number && number <= r.to
 	})
 }
 
-// count notes that the owner counts from a view on.
-func (s *slotState) count(number uint64) {
+// recordCounted records that the owner counts for the slot in a view.
+func (s *slotState) recordCounted(number uint64) {
 	s.filled = true
-	last := len(s.filledIn) - 1
-	if last >= 0 && s.filledIn[last].to+1 >= number {
-		s.filledIn[last].to = number
+	last := len(s.filledRanges) - 1
+	if last >= 0 && s.filledRanges[last].to+1 >= number {
+		s.filledRanges[last].to = number
 		return
 	}
-	s.filledIn = append(s.filledIn, viewRange{
+	s.filledRanges = append(s.filledRanges, viewRange{
 		from: number,
 		to:   number,
 	})
-	if len(s.filledIn) > historyLength {
-		s.filledIn = s.filledIn[1:]
+	if len(s.filledRanges) > maxViews {
+		s.filledRanges = s.filledRanges[1:]
 	}
 }
--- a/src/recorder/owner_test.go
+++ b/src/recorder/owner_test.go
@@ -16,10 +16,10 @@
 	unknownEnd  = messages.CallState_CALL_STATE_UNKNOWN
 )
 
-// A repeated message of the admission arrives after the intent to dispatch. If
-// it took the record back, a resend would find "not dispatched" and the booking
-// would be made twice.
-func TestLateCopyUndoesNoIntent(t *testing.T) {
+// A duplicate of the admission message arrives after the intent to dispatch. If it
+// reverted the record, a resend would find a call that was not dispatched and make the
+// booking a second time.
+func TestRepeatedAdmissionKeepsStoredIntent(t *testing.T) {
 	owner := singleOwner()
 	storeIn(owner, proposed("a", 0, admitted))
 	storeIn(owner, proposed("a", 0, dispatching))
@@ -29,12 +29,12 @@
 	}
 }
 
-// An owner sends its records to the owner of a newer view, then a proposer that
-// has not heard of that view stores an intent. If the owner took it, the new
-// owner would have read too early and would let the call run again.
-func TestOwnerThatWasReadTakesNothingOfTheOlderView(t *testing.T) {
+// An owner sends its records to an owner in a newer view; then a proposer that does not have
+// that view yet stores an intent. If the old owner accepted it, the new owner would have read
+// the records too early and would let the call run again.
+func TestOwnerRefusesOlderViewAfterFill(t *testing.T) {
 	owner := singleOwner()
-	owner.Step(testTime, FillAsked{
+	owner.Step(testTime, FillRequested{
 		Request: &messages.FillRequest{
 			View:        entryView(2),
 			Slots:       []uint32{0},
@@ -48,15 +48,16 @@
 	}
 }
 
-// A new owner reads two earlier ones that differ. What either may have helped to
-// decide must remain, or a later majority finds no trace of a run.
+// A new owner reads differing records from two earlier owners. The merged record must keep
+// every state to whose majority either may have contributed, or a later majority would not
+// show that the call ran.
 func TestMergeKeepsWhatMayHaveBeenDecided(t *testing.T) {
 	cases := map[string]struct {
 		mine, theirs *messages.CallRecord
 		wantState    messages.CallState
 		wantRound    uint64
 	}{
-		"an intent beside another's admission": {
+		"an intent and another call's admission": {
 			mine:      proposed("a", 0, admitted),
 			theirs:    proposed("b", 0, dispatching),
 			wantState: dispatching,
@@ -78,7 +79,7 @@
 			wantState: dispatching,
 			wantRound: 3,
 		},
-		"an answer beside a later proposal": {
+		"an answer and a later proposal": {
 			mine:      proposed("a", 0, answered),
 			theirs:    proposed("b", 3, unknownEnd),
 			wantState: answered,
@@ -99,78 +100,78 @@
 	}
 }
 
-// The owners keep fewer bytes than the answers need. The oldest answer goes, but
-// its key must stay until the stated time is over: a resend within it is told
-// "unknown" and runs nothing, and after it the key is free.
-func TestForgottenAnswerKeepsItsKey(t *testing.T) {
+// The answers need more bytes than the owners may keep. The oldest answer is evicted, but its
+// key must stay until keepFor has passed: until then a resend is refused as "unknown" and runs
+// nothing, and afterwards the key is free.
+func TestEvictedAnswerKeepsItsKey(t *testing.T) {
 	owner := singleOwner()
-	owner.Step(testTime, Bounded{
+	owner.Step(testTime, RetentionChanged{
 		KeepFor:   time.Minute,
 		KeepBytes: 4 * recordBytes,
 	})
 	ended := proposed("a", 0, answered)
 	ended.Answer = &messages.StoredAnswer{Body: make([]byte, 8*recordBytes)}
 	storeIn(owner, proposed("a", 0, dispatching))
-	owner.Step(testTime, Asked{Request: request(ended, messages.RecordOperation_RECORD_OPERATION_FINISH)})
+	owner.Step(testTime, RequestReceived{Request: request(ended, messages.RecordOperation_RECORD_OPERATION_FINISH)})
 	owner.Step(testTime.Add(59*time.Second), OwnerTicked{})
 	response := storeIn(owner, proposed("b", 0, admitted))
 	if got, want := response.GetStatus(), messages.RecordStatus_RECORD_STATUS_HELD; got != want {
-		t.Errorf("resend within the time: got %s, want %s", got, want)
+		t.Errorf("resend before expiry: got %s, want %s", got, want)
 	}
 	if got, want := response.GetRecord().GetAnswer(), (*messages.StoredAnswer)(nil); got != want {
-		t.Errorf("answer within the time: got %v, want none", got)
+		t.Errorf("answer before expiry: got %v, want none", got)
 	}
 	owner.Step(testTime.Add(61*time.Second), OwnerTicked{})
 	response = storeIn(owner, proposed("b", 0, admitted))
 	if got, want := response.GetStatus(), messages.RecordStatus_RECORD_STATUS_DONE; got != want {
-		t.Errorf("the key after the time: got %s, want %s", got, want)
+		t.Errorf("key after expiry: got %s, want %s", got, want)
 	}
 }
 
-// The owners of a slot change and one that goes on answers without reading the
-// others. Counting where a record may have been stored without it would deny a
-// run, and a resend would make the second.
-func TestOwnerCountsOnWhereNothingCanHaveMissedIt(t *testing.T) {
+// The owners of a slot change, and one that remains responds without reading the others'
+// records. It must not count if a record may have been stored without it: its response
+// would hide a run, and a resend would run the call a second time.
+func TestOwnerKeepsCountingOnlyIfItCannotMissRecords(t *testing.T) {
 	cases := map[string]struct {
 		before, after []string
-		whole         bool
+		complete      bool
 		wantFilled    bool
-		wantWhole     bool
+		wantComplete  bool
 	}{
 		"one of three replaced": {
 			before:     []string{"e0", "e1", "e2"},
 			after:      []string{"e0", "e1", "e3"},
-			whole:      true,
+			complete:   true,
 			wantFilled: true,
 		},
 		"three to two": {
 			before:     []string{"e0", "e1", "e2"},
 			after:      []string{"e0", "e1"},
-			whole:      true,
+			complete:   true,
 			wantFilled: true,
 		},
 		"three to one": {
-			before: []string{"e0", "e1", "e2"},
-			after:  []string{"e0"},
-			whole:  true,
+			before:   []string{"e0", "e1", "e2"},
+			after:    []string{"e0"},
+			complete: true,
 		},
 		"two to one, all read before": {
-			before:     []string{"e0", "e1"},
-			after:      []string{"e0"},
-			whole:      true,
-			wantFilled: true,
-			wantWhole:  true,
+			before:       []string{"e0", "e1"},
+			after:        []string{"e0"},
+			complete:     true,
+			wantFilled:   true,
+			wantComplete: true,
 		},
 		"two to one, not all read before": {
 			before: []string{"e0", "e1"},
 			after:  []string{"e0"},
 		},
 		"one to three": {
-			before:     []string{"e0"},
-			after:      []string{"e0", "e1", "e2"},
-			whole:      true,
-			wantFilled: true,
-			wantWhole:  true,
+			before:       []string{"e0"},
+			after:        []string{"e0", "e1", "e2"},
+			complete:     true,
+			wantFilled:   true,
+			wantComplete: true,
 		},
 		"the same three, not all read before": {
 			before:     []string{"e0", "e1", "e2"},
@@ -180,15 +181,15 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			got := carry(&slotState{
-				filled: true,
-				whole:  c.whole,
+			got := carryOver(&slotState{
+				filled:   true,
+				complete: c.complete,
 			}, 0, NewView(viewOf(1, c.before), 1), NewView(viewOf(2, c.after), 1))
 			if got, want := got.filled, c.wantFilled; got != want {
-				t.Errorf("counts: got %t, want %t", got, want)
+				t.Errorf("filled: got %t, want %t", got, want)
 			}
-			if got, want := got.whole, c.wantWhole; got != want {
-				t.Errorf("holds everything: got %t, want %t", got, want)
+			if got, want := got.complete, c.wantComplete; got != want {
+				t.Errorf("complete: got %t, want %t", got, want)
 			}
 		})
 	}
@@ -206,29 +207,29 @@
 	return view
 }
 
-// Two of a slot's three owners are lost at once, and with them, perhaps, the
-// record of a booking. A resend must not run it: the new owners count as absent
-// until the time is over for which a key holds. Keys made now are served.
-func TestLostMajorityLetsNoOldKeyRunWithinItsTime(t *testing.T) {
+// Two of a slot's three owners are lost at once, and possibly the record of a booking with
+// them. A resend must not run it: the new owners must not count until every earlier record
+// would have expired. Newly generated keys are served meanwhile.
+func TestLostMajorityBlocksOldKeysUntilTheyExpire(t *testing.T) {
 	next := entryView(2)
 	next.PreviousMembers = viewOf(1, []string{"e1", "e2"}).GetMembers()
 	owner := &Owner{
 		Self:  testIdentity,
 		Slots: 1,
 	}
-	owner.Step(testTime, Viewed{View: NewView(next, 1)})
+	owner.Step(testTime, ViewCommitted{View: NewView(next, 1)})
 	for name, c := range map[string]struct {
 		call  string
 		fresh bool
 		at    time.Duration
 		want  messages.RecordStatus
 	}{
-		"a key of the caller": {
+		"key from the caller": {
 			call: "a",
 			at:   initialKeepFor - time.Second,
 			want: messages.RecordStatus_RECORD_STATUS_UNFILLED,
 		},
-		"a key made now": {
+		"newly generated key": {
 			call:  "b",
 			fresh: true,
 			at:    initialKeepFor - time.Second,
@@ -240,14 +241,14 @@
 		asked.ViewNumber = 2
 		asked.Fresh = c.fresh
 		asked.Record.Key = bytes.Repeat([]byte(c.call), 32)
-		response := owner.Step(testTime, Asked{Request: asked})[0].(Reply).Response
+		response := owner.Step(testTime, RequestReceived{Request: asked})[0].(Reply).Response
 		if got, want := response.GetStatus(), c.want; got != want {
 			t.Errorf("%s: got %s, want %s", name, got, want)
 		}
 	}
 	owner.Step(testTime.Add(initialKeepFor), OwnerTicked{})
 	if got, want := owner.slots[0].filled, true; got != want {
-		t.Errorf("the owner counts after the time: got %t, want %t", got, want)
+		t.Errorf("filled after expiry: got %t, want %t", got, want)
 	}
 }
 
@@ -265,9 +266,9 @@
 	}
 }
 
-// A data centre is lost. Wherever three of them have entries, each slot must
-// keep a majority of its owners, or calls under its keys would end as unknown.
-func TestOwnersStandInThreeDataCentres(t *testing.T) {
+// A data centre is lost. If at least three data centres have entries, each slot must keep a
+// majority of its owners, or calls with its keys would end as unknown.
+func TestOwnersSpanThreeDataCentres(t *testing.T) {
 	view := entryView(1)
 	for i, name := range []string{"e1", "e2", "e3", "e4", "e5", "e6", "e7"} {
 		view.Members = append(view.Members, &messages.EntryMember{
@@ -313,7 +314,7 @@
 		Self:  testIdentity,
 		Slots: 1,
 	}
-	owner.Step(testTime, Viewed{View: NewView(entryView(1), 1)})
+	owner.Step(testTime, ViewCommitted{View: NewView(entryView(1), 1)})
 	return owner
 }
 
@@ -343,7 +344,7 @@
 }
 
 func storeIn(owner *Owner, record *messages.CallRecord) *messages.RecordResponse {
-	actions := owner.Step(testTime, Asked{
+	actions := owner.Step(testTime, RequestReceived{
 		Request: request(record, messages.RecordOperation_RECORD_OPERATION_STORE),
 	})
 	return actions[0].(Reply).Response
--- a/src/recorder/proposal.go
+++ b/src/recorder/proposal.go
@@ -7,66 +7,67 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// ProposerEvent is something a Proposer reacts to.
+// ProposerEvent is an input of Proposer.Step.
 type ProposerEvent interface{ proposerEvent() }
 
-// Begun asks whether the call may run, and holds its key if so.
-type Begun struct {
-	// Lease is how long the entry may hold the key before it dispatches.
+// ClaimRequested asks whether the call may run, and claims its key if so.
+type ClaimRequested struct {
+	// Lease is how long the entry may hold the key before it dispatches the call.
 	Lease time.Duration
 }
 
-// Looked asks what became of the call with this key.
-type Looked struct{}
+// LookupRequested asks for the outcome of the call with this key.
+type LookupRequested struct{}
 
-// Dispatched asks for the permission to send the call to an upstream.
-type Dispatched struct {
+// DispatchRequested asks for permission to send the call to an upstream.
+type DispatchRequested struct {
 	Attempt  units.Attempt
 	Upstream units.Upstream
 	// Lease is the time left until the call's deadline.
 	Lease time.Duration
 }
 
-// Ended tells how the call ended.
-type Ended struct {
+// CallEnded reports how the call ended.
+type CallEnded struct {
 	State  messages.CallState
 	Answer *messages.StoredAnswer
 }
 
-// OwnerAnswered is an owner's response; nil says that none came.
-type OwnerAnswered struct {
-	Asked    AskOwner
+// OwnerResponded is an owner's response; a nil Response means that none came.
+type OwnerResponded struct {
+	Ask      AskOwner
 	Response *messages.RecordResponse
 }
 
-// ViewChanged is a newer view.
+// ViewChanged reports a newer view.
 type ViewChanged struct {
 	View *View
 }
 
-// ProposerTicked says that time has passed.
+// ProposerTicked is the periodic tick of a proposer.
 type ProposerTicked struct{}
 
-func (Begun) proposerEvent()          {}
-func (Looked) proposerEvent()         {}
-func (Dispatched) proposerEvent()     {}
-func (Ended) proposerEvent()          {}
-func (OwnerAnswered) proposerEvent()  {}
-func (ViewChanged) proposerEvent()    {}
-func (ProposerTicked) proposerEvent() {}
+func (ClaimRequested) proposerEvent()    {}
+func (LookupRequested) proposerEvent()   {}
+func (DispatchRequested) proposerEvent() {}
+func (CallEnded) proposerEvent()         {}
+func (OwnerResponded) proposerEvent()    {}
+func (ViewChanged) proposerEvent()       {}
+func (ProposerTicked) proposerEvent()    {}
 
-// ProposerAction is something the caller of Proposer.Step must carry out.
+// ProposerAction is an output of Proposer.Step that its caller must carry out.
 type ProposerAction interface{ proposerAction() }
 
 // AskOwner sends a request to an owner.
 type AskOwner struct {
-	// Sequence tells the answers to this question from those to earlier ones.
+	// Sequence distinguishes responses to this request from those to earlier ones.
 	Sequence uint64
 	To       Member
 	Request  *messages.RecordRequest
 }
 
-// Concluded ends what the last Begun, Looked, Dispatched or Ended asked for.
+// Concluded is the outcome of the last ClaimRequested, LookupRequested, DispatchRequested or
+// CallEnded.
 type Concluded struct {
 	Outcome Outcome
 	Record  *messages.CallRecord
@@ -75,29 +76,31 @@
 func (AskOwner) proposerAction()  {}
 func (Concluded) proposerAction() {}
 
-// Outcome is what a proposer found or reached.
+// Outcome is how a proposer's operation ended.
 type Outcome int
 
 // The outcomes.
 const (
-	// Granted means that the call may go on: a majority of the owners holds it.
+	// Granted means that the call may continue: a majority of the owners has stored its record.
 	Granted Outcome = iota + 1
-	// Found means that the call has ended before, with the record's answer.
+	// Found means that an earlier call was answered; the record holds the answer unless it
+	// was evicted.
 	Found
-	// Conflicting means that the key bears another request.
+	// Conflicting means that the key was used for a different request.
 	Conflicting
-	// Undecidable means that the call may have run and its answer is lost.
-	Undecidable
+	// RunUnknown means that the call may have run and its answer is lost.
+	RunUnknown
 	// Unavailable means that no majority of the owners answered.
 	Unavailable
-	// Overtaken means that another entry took the key before this one dispatched.
-	Overtaken
-	// LeaseOver means that the time to dispatch has passed.
-	LeaseOver
-	// Stored means that a majority keeps the end of the call.
+	// Superseded means that another entry took over the key before this one dispatched.
+	Superseded
+	// LeaseExpired means that it is too late to dispatch the call.
+	LeaseExpired
+	// Stored means that a majority has stored the end of the call.
 	Stored
-	// Running means that an entry works on the call.
+	// Running means that an entry is running the call.
 	Running
-	// Absent means that a majority knows no call with this key.
+	// Absent means that no call with this key has run: a majority has no such record, or
+	// only one whose call provably did not run.
 	Absent
 )
--- a/src/recorder/proposer.go
+++ b/src/recorder/proposer.go
@@ -9,52 +9,65 @@
 )
 
 const (
-	// resendAfter is how long an owner may be silent before it is asked again.
-	resendAfter = 100 * time.Millisecond
-	// pollInterval is how often a call that waits for another asks after it.
+	// resendInterval is how long a request to an owner waits for its response before it is
+	// sent again.
+	resendInterval = 100 * time.Millisecond
+	// pollInterval is how often a call that waits for an earlier call with its key checks
+	// whether that call has ended.
 	pollInterval = 25 * time.Millisecond
-	// patience is how long a proposer tries to reach a majority.
-	patience = 2 * time.Second
-	// backoffMin and backoffSpread part proposers that compete for a key.
+	// majorityTimeout is how long a proposer tries to reach a majority of the owners.
+	majorityTimeout = 2 * time.Second
+	// backoffMin and backoffSpread desynchronize proposers that compete for a key.
 	backoffMin    = 5 * time.Millisecond
 	backoffSpread = 40 * time.Millisecond
-	// leaseMargin is how long before the end of its lease an entry stops dispatching.
+	// leaseMargin is how long before the end of its lease an entry no longer dispatches.
 	leaseMargin = 50 * time.Millisecond
-	// leaseGrace is how much longer than the runner the owners count the lease,
-	// more than clocks drift and messages take.
+	// leaseGrace is how much longer the lease lasts for the owners than for the runner. It
+	// exceeds clock drift and message delay.
 	leaseGrace = time.Second
 )
 
+// phase is what a proposer is waiting for.
 type phase int
 
 const (
 	idle phase = iota
-	looking
+	// lookingUp reads the key's record without claiming the key.
+	lookingUp
+	// claiming stores the admission in round 0.
 	claiming
+	// waiting waits for the entry that runs the key's call.
 	waiting
+	// preparing asks for promises in a new round.
 	preparing
+	// backingOff waits a random time before the next round.
 	backingOff
+	// admitting stores the admission after the promises of a round.
 	admitting
-	settling
-	intending
-	ending
+	// storingUnknown stores that the outcome of an earlier call is unknown.
+	storingUnknown
+	// storingIntent stores the intent to dispatch the call.
+	storingIntent
+	// storingEnd stores how the call ended.
+	storingEnd
 )
 
-// Proposer decides for one call at one entry; its fields are set before use.
+// Proposer decides for one call at one entry; its fields must be set before use.
 type Proposer struct {
 	Self        Identity
 	Key         []byte
 	ContentHash []byte
 	Call        units.CallID
-	// Fresh says that the key was made for this call, so that no other bears it.
+	// Fresh is set where the key was generated for this call, so that no other call has it.
 	Fresh bool
-	// Made says that the caller sends a key that the system made earlier, so
-	// that a record must exist or have existed.
-	Made   bool
-	View   *View
-	Random *rand.Rand
+	// GeneratedKey is set where the caller sent a key that was generated for an earlier
+	// call, so that a record exists or has existed.
+	GeneratedKey bool
+	View         *View
+	Random       *rand.Rand
 
-	phase     phase
+	phase phase
+	// lookOnly is set for a lookup, which must not claim the key.
 	lookOnly  bool
 	sequence  uint64
 	owners    []Member
@@ -62,33 +75,35 @@
 	// proposed is what the owners are asked to store, with this call's ballot.
 	proposed  *messages.CallRecord
 	operation messages.RecordOperation
-	// highest is the highest round seen.
-	highest  uint64
-	giveUpAt time.Time
+	// maxRound is the highest round in any response.
+	maxRound uint64
+	// deadline is when the proposer stops trying to reach a majority.
+	deadline time.Time
 	resendAt time.Time
-	resumeAt time.Time
-	leaseEnd time.Time
-	intended bool
+	// resumeAt is when waiting or backing off ends.
+	resumeAt     time.Time
+	leaseEnd     time.Time
+	intentStored bool
 }
 
 // Step takes one event and returns the actions to carry out.
 func (p *Proposer) Step(now time.Time, event ProposerEvent) []ProposerAction {
 	switch e := event.(type) {
-	case Begun:
-		p.giveUpAt = now.Add(patience)
+	case ClaimRequested:
+		p.deadline = now.Add(majorityTimeout)
 		p.proposed = p.newRecord(messages.CallState_CALL_STATE_ADMITTED, e.Lease+leaseGrace)
 		return p.claim(now)
-	case Looked:
-		p.giveUpAt = now.Add(patience)
+	case LookupRequested:
+		p.deadline = now.Add(majorityTimeout)
 		p.lookOnly = true
 		p.proposed = p.newRecord(messages.CallState_CALL_STATE_UNSPECIFIED, 0)
 		return p.claim(now)
-	case Dispatched:
+	case DispatchRequested:
 		return p.dispatch(now, e)
-	case Ended:
+	case CallEnded:
 		return p.end(now, e)
-	case OwnerAnswered:
-		return p.take(now, e)
+	case OwnerResponded:
+		return p.handleResponse(now, e)
 	case ViewChanged:
 		p.View = e.View
 		return p.restart(now)
@@ -111,17 +126,18 @@
 	}
 }
 
-// claim asks for the key, or only reads where the call must not run for want of a record.
+// claim claims the key, or only reads its record for a lookup and for a generated key: a
+// missing record does not mean that a call with a generated key may run.
 func (p *Proposer) claim(now time.Time) []ProposerAction {
-	if p.lookOnly || p.Made {
-		return p.ask(now, looking, messages.RecordOperation_RECORD_OPERATION_READ)
+	if p.lookOnly || p.GeneratedKey {
+		return p.askOwners(now, lookingUp, messages.RecordOperation_RECORD_OPERATION_READ)
 	}
-	p.proposed = p.with(p.proposed.GetState(), 0)
-	return p.ask(now, claiming, messages.RecordOperation_RECORD_OPERATION_STORE)
+	p.proposed = p.withState(p.proposed.GetState(), 0)
+	return p.askOwners(now, claiming, messages.RecordOperation_RECORD_OPERATION_STORE)
 }
 
-// with returns the proposed record with another state and round.
-func (p *Proposer) with(state messages.CallState, round uint64) *messages.CallRecord {
+// withState returns the proposed record with another state and round.
+func (p *Proposer) withState(state messages.CallState, round uint64) *messages.CallRecord {
 	next := copyRecord(p.proposed)
 	next.State = state
 	next.Accepted = &messages.Ballot{
@@ -131,49 +147,49 @@
 	return next
 }
 
-func (p *Proposer) dispatch(now time.Time, e Dispatched) []ProposerAction {
-	if p.intended {
-		return p.permit(now)
+func (p *Proposer) dispatch(now time.Time, e DispatchRequested) []ProposerAction {
+	if p.intentStored {
+		return p.permitDispatch(now)
 	}
 	p.leaseEnd = now.Add(e.Lease)
-	p.giveUpAt = now.Add(patience)
+	p.deadline = now.Add(majorityTimeout)
 	if p.proposed == nil {
 		p.proposed = p.newRecord(messages.CallState_CALL_STATE_UNSPECIFIED, 0)
 	}
-	p.proposed = p.with(messages.CallState_CALL_STATE_DISPATCHING, p.proposed.GetAccepted().GetRound())
+	p.proposed = p.withState(messages.CallState_CALL_STATE_DISPATCHING, p.proposed.GetAccepted().GetRound())
 	p.proposed.Attempt = uint32(e.Attempt)
 	p.proposed.Upstream = string(e.Upstream)
 	p.proposed.LeaseMs = (e.Lease + leaseGrace).Milliseconds()
-	return p.ask(now, intending, messages.RecordOperation_RECORD_OPERATION_STORE)
+	return p.askOwners(now, storingIntent, messages.RecordOperation_RECORD_OPERATION_STORE)
 }
 
-// permit allows the first byte unless the lease is about to end. An entry that
-// was frozen after its intent was stored would else run a call long after its
-// caller was told that nobody knows.
-func (p *Proposer) permit(now time.Time) []ProposerAction {
+// permitDispatch allows the call to be sent unless the lease is about to end. Otherwise an
+// entry that was suspended after its intent was stored could run the call long after its
+// caller was told that the outcome is unknown.
+func (p *Proposer) permitDispatch(now time.Time) []ProposerAction {
 	if now.Add(leaseMargin).After(p.leaseEnd) {
-		return p.conclude(LeaseOver, nil)
+		return p.conclude(LeaseExpired, nil)
 	}
-	p.intended = true
+	p.intentStored = true
 	return p.conclude(Granted, nil)
 }
 
-func (p *Proposer) end(now time.Time, e Ended) []ProposerAction {
-	p.giveUpAt = now.Add(patience)
+func (p *Proposer) end(now time.Time, e CallEnded) []ProposerAction {
+	p.deadline = now.Add(majorityTimeout)
 	if p.proposed == nil {
 		p.proposed = p.newRecord(messages.CallState_CALL_STATE_UNSPECIFIED, 0)
 	}
-	p.proposed = p.with(e.State, p.proposed.GetAccepted().GetRound())
+	p.proposed = p.withState(e.State, p.proposed.GetAccepted().GetRound())
 	p.proposed.Answer = e.Answer
 	p.proposed.LeaseMs = 0
 	if e.State == messages.CallState_CALL_STATE_NOT_RUN {
-		return p.ask(now, ending, messages.RecordOperation_RECORD_OPERATION_STORE)
+		return p.askOwners(now, storingEnd, messages.RecordOperation_RECORD_OPERATION_STORE)
 	}
-	return p.ask(now, ending, messages.RecordOperation_RECORD_OPERATION_FINISH)
+	return p.askOwners(now, storingEnd, messages.RecordOperation_RECORD_OPERATION_FINISH)
 }
 
-// ask begins a new question to all owners.
-func (p *Proposer) ask(now time.Time, next phase, operation messages.RecordOperation) []ProposerAction {
+// askOwners starts a new request to all owners.
+func (p *Proposer) askOwners(now time.Time, next phase, operation messages.RecordOperation) []ProposerAction {
 	p.phase = next
 	p.operation = operation
 	p.sequence++
@@ -182,15 +198,15 @@
 	if p.View != nil {
 		p.owners = p.View.Owners(slotOf(p.Key, len(p.View.owners)))
 	}
-	return p.send(now)
+	return p.sendPending(now)
 }
 
-// send asks the owners that have not given a usable answer.
-func (p *Proposer) send(now time.Time) []ProposerAction {
-	p.resendAt = now.Add(resendAfter)
+// sendPending sends the request to the owners that have not given a usable response.
+func (p *Proposer) sendPending(now time.Time) []ProposerAction {
+	p.resendAt = now.Add(resendInterval)
 	var actions []ProposerAction
 	for _, owner := range p.owners {
-		if usable(p.responses[owner.Identity]) {
+		if isUsable(p.responses[owner.Identity]) {
 			continue
 		}
 		actions = append(actions, AskOwner{
@@ -207,12 +223,14 @@
 	return actions
 }
 
-func usable(response *messages.RecordResponse) bool {
+// isUsable reports whether an owner has decided on the request.
+func isUsable(response *messages.RecordResponse) bool {
 	status := response.GetStatus()
 	return status == messages.RecordStatus_RECORD_STATUS_DONE || status == messages.RecordStatus_RECORD_STATUS_HELD
 }
 
-// restart asks again in a new view: answers of two views are never counted together.
+// restart repeats the request in a new view; responses from two views are never counted
+// together.
 func (p *Proposer) restart(now time.Time) []ProposerAction {
 	switch p.phase {
 	case idle, waiting, backingOff:
@@ -220,7 +238,7 @@
 	case preparing:
 		return p.prepare(now)
 	default:
-		return p.ask(now, p.phase, p.operation)
+		return p.askOwners(now, p.phase, p.operation)
 	}
 }
 
@@ -232,25 +250,25 @@
 		if now.Before(p.resumeAt) {
 			return nil
 		}
-		p.giveUpAt = now.Add(patience)
+		p.deadline = now.Add(majorityTimeout)
 		return p.claim(now)
 	case p.phase == backingOff:
 		if now.Before(p.resumeAt) {
 			return nil
 		}
 		return p.prepare(now)
-	case now.After(p.giveUpAt):
+	case now.After(p.deadline):
 		return p.giveUp()
 	case now.Before(p.resendAt):
 		return nil
 	default:
-		return p.send(now)
+		return p.sendPending(now)
 	}
 }
 
 func (p *Proposer) giveUp() []ProposerAction {
-	if p.phase == settling {
-		return p.conclude(Undecidable, nil)
+	if p.phase == storingUnknown {
+		return p.conclude(RunUnknown, nil)
 	}
 	return p.conclude(Unavailable, nil)
 }
@@ -263,22 +281,24 @@
 	}}
 }
 
-// prepare asks for promises in a round above all seen.
+// prepare asks for promises in a round above all rounds seen.
 func (p *Proposer) prepare(now time.Time) []ProposerAction {
-	p.highest++
-	p.proposed = p.with(messages.CallState_CALL_STATE_ADMITTED, p.highest)
-	return p.ask(now, preparing, messages.RecordOperation_RECORD_OPERATION_PREPARE)
+	p.maxRound++
+	p.proposed = p.withState(messages.CallState_CALL_STATE_ADMITTED, p.maxRound)
+	return p.askOwners(now, preparing, messages.RecordOperation_RECORD_OPERATION_PREPARE)
 }
 
-// backOff waits a random time, so that two competing proposers do not go on
-// overtaking each other.
+// backOff waits a random time, so that competing proposers do not keep superseding each
+// other.
 func (p *Proposer) backOff(now time.Time) []ProposerAction {
 	p.phase = backingOff
 	p.resumeAt = now.Add(backoffMin + time.Duration(p.Random.Int64N(int64(backoffSpread))))
 	return nil
 }
 
-func (p *Proposer) wait(now time.Time) []ProposerAction {
+// waitForRunner claims the key again after pollInterval, when the other entry's call may
+// have ended.
+func (p *Proposer) waitForRunner(now time.Time) []ProposerAction {
 	p.phase = waiting
 	p.resumeAt = now.Add(pollInterval)
 	return nil
--- a/src/recorder/proposer_test.go
+++ b/src/recorder/proposer_test.go
@@ -8,14 +8,14 @@
 	"github.com/rosecroft/rosecroft/src/messages"
 )
 
-// A call's entry dies when two owners hold its intent and the third only its
-// admission under the same ballot. A majority with the third must still show
-// that the call may have run; the admission alone would let a resend run it.
-func TestStateSetLastStands(t *testing.T) {
+// An entry crashes when two owners hold its call's intent and the third only the
+// admission under the same ballot. A majority that includes the third must still show
+// that the call may have run; with the admission alone, a resend would run it again.
+func TestLaterRecordPrefersTheLastState(t *testing.T) {
 	first, last := proposed("a", 1, admitted), proposed("a", 1, dispatching)
 	for name, got := range map[string]*messages.CallRecord{
-		"intent second": later(first, last),
-		"intent first":  later(last, first),
+		"intent second": laterRecord(first, last),
+		"intent first":  laterRecord(last, first),
 	} {
 		if got, want := got.GetState(), dispatching; got != want {
 			t.Errorf("%s: got %s, want %s", name, got, want)
@@ -23,9 +23,9 @@
 	}
 }
 
-// An entry is frozen just after its owners have stored the intent and wakes
-// when the lease has passed. Its caller was told "unknown" long ago, so that the
-// call must not run now.
+// An entry is suspended just after its owners have stored the intent and resumes after
+// the lease has expired. By then its caller has been told "unknown", so the call must not
+// run any more.
 func TestFrozenRunnerDoesNotDispatchAfterItsLease(t *testing.T) {
 	for name, c := range map[string]struct {
 		wake time.Duration
@@ -36,12 +36,12 @@
 			want: Granted,
 		},
 		"within the margin": {
-			wake: benchLease - leaseMargin/2,
-			want: LeaseOver,
+			wake: simLease - leaseMargin/2,
+			want: LeaseExpired,
 		},
 		"after the lease": {
 			wake: time.Hour,
-			want: LeaseOver,
+			want: LeaseExpired,
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -53,9 +53,9 @@
 				View:   NewView(entryView(1), 1),
 				Random: rand.New(rand.NewPCG(1, 1)),
 			}
-			asked := proposer.Step(testTime, Dispatched{Lease: benchLease})[0].(AskOwner)
-			actions := proposer.Step(testTime.Add(c.wake), OwnerAnswered{
-				Asked:    asked,
+			asked := proposer.Step(testTime, DispatchRequested{Lease: simLease})[0].(AskOwner)
+			actions := proposer.Step(testTime.Add(c.wake), OwnerResponded{
+				Ask:      asked,
 				Response: &messages.RecordResponse{Status: messages.RecordStatus_RECORD_STATUS_DONE},
 			})
 			if got, want := actions[0].(Concluded).Outcome, c.want; got != want {
@@ -65,11 +65,10 @@
 	}
 }
 
-// Two entries hold a key at once; one asks for promises to break the tie, and
-// before they are made the other has stored its intent and runs the booking. The
-// first must wait for that answer: "unknown" would be said of a call that is
-// about to be answered.
-func TestTieBreakWaitsForTheOneThatRuns(t *testing.T) {
+// Two entries claim a key at once. One asks for promises to break the tie; before they are
+// made, the other stores its intent and runs the booking. The first must wait for that
+// answer instead of reporting "unknown" for a call that is about to be answered.
+func TestTieBreakWaitsForRunningCall(t *testing.T) {
 	proposer := &Proposer{
 		Self:   testIdentity,
 		Key:    testKey,
@@ -77,9 +76,9 @@
 		View:   NewView(entryView(1), 1),
 		Random: rand.New(rand.NewPCG(1, 1)),
 	}
-	asked := proposer.Step(testTime, Begun{Lease: benchLease})[0].(AskOwner)
-	asked = proposer.Step(testTime, OwnerAnswered{
-		Asked: asked,
+	asked := proposer.Step(testTime, ClaimRequested{Lease: simLease})[0].(AskOwner)
+	asked = proposer.Step(testTime, OwnerResponded{
+		Ask: asked,
 		Response: &messages.RecordResponse{
 			Status: messages.RecordStatus_RECORD_STATUS_HELD,
 			Record: proposed("b", 0, admitted),
@@ -88,9 +87,9 @@
 	running := proposed("b", 0, dispatching)
 	running.Runner = string(testIdentity.Name)
 	running.RunnerIncarnation = uint64(testIdentity.Incarnation)
-	running.LeaseMs = benchLease.Milliseconds()
-	proposer.Step(testTime, OwnerAnswered{
-		Asked: asked,
+	running.LeaseMs = simLease.Milliseconds()
+	proposer.Step(testTime, OwnerResponded{
+		Ask: asked,
 		Response: &messages.RecordResponse{
 			Status: messages.RecordStatus_RECORD_STATUS_DONE,
 			Record: running,
@@ -101,24 +100,24 @@
 	}
 }
 
-// A caller had a key made by the system and sends the call again under it, but no
-// owner knows it: its record was lost. It must be told "unknown"; taking the key
-// for a new one would run the call twice.
-func TestMadeKeyWithoutRecordIsUnknown(t *testing.T) {
+// A caller sends a call again with the key that was generated for it, but its record was
+// lost and no owner has it. The call must be refused as "unknown"; treating the key as new
+// would run the call twice.
+func TestGeneratedKeyWithoutRecordIsUnknown(t *testing.T) {
 	proposer := &Proposer{
-		Self:   testIdentity,
-		Key:    testKey,
-		Call:   "a",
-		Made:   true,
-		View:   NewView(entryView(1), 1),
-		Random: rand.New(rand.NewPCG(1, 1)),
+		Self:         testIdentity,
+		Key:          testKey,
+		Call:         "a",
+		GeneratedKey: true,
+		View:         NewView(entryView(1), 1),
+		Random:       rand.New(rand.NewPCG(1, 1)),
 	}
-	asked := proposer.Step(testTime, Begun{Lease: benchLease})[0].(AskOwner)
-	actions := proposer.Step(testTime, OwnerAnswered{
-		Asked:    asked,
+	asked := proposer.Step(testTime, ClaimRequested{Lease: simLease})[0].(AskOwner)
+	actions := proposer.Step(testTime, OwnerResponded{
+		Ask:      asked,
 		Response: &messages.RecordResponse{Status: messages.RecordStatus_RECORD_STATUS_DONE},
 	})
-	if got, want := actions[0].(Concluded).Outcome, Undecidable; got != want {
+	if got, want := actions[0].(Concluded).Outcome, RunUnknown; got != want {
 		t.Errorf("outcome: got %d, want %d", got, want)
 	}
 }
--- a/src/recorder/recorder.go
+++ b/src/recorder/recorder.go
@@ -23,59 +23,61 @@
 	// MethodFill carries an owner's request to an earlier owner.
 	MethodFill connector.Method = "record/fill"
 
-	boxSize      = 4096
-	tickInterval = 20 * time.Millisecond
-	askTimeout   = 500 * time.Millisecond
-	fillTimeout  = 2 * time.Second
+	eventQueueSize = 4096
+	tickInterval   = 20 * time.Millisecond
+	askTimeout     = 500 * time.Millisecond
+	fillTimeout    = 2 * time.Second
 )
 
-// Caller calls the other entries.
+// Caller sends requests to the other entries.
 type Caller interface {
 	Call(ctx context.Context, address string, method connector.Method, request, response proto.Message) error
 }
 
-// Recorder runs one entry's part of the record of calls; its fields are set before Run.
+// Recorder runs one entry's owner and proposers; its fields must be set before Run.
 type Recorder struct {
 	Self   Identity
 	Client Caller
 	Scope  tally.Scope
-	// EntryView returns the newest committed view, nil before the first.
+	// EntryView returns the latest committed view, nil before the first.
 	EntryView func() *messages.EntryView
-	// Bounds returns how long and how many bytes of ended calls are kept.
+	// Bounds returns how long records of ended calls are kept, and in how many bytes.
 	Bounds func() (time.Duration, int64)
 
-	once     sync.Once
-	box      chan OwnerEvent
-	inspect  chan chan Dump
-	view     atomic.Pointer[View]
+	once         sync.Once
+	events       chan OwnerEvent
+	dumpRequests chan chan Dump
+	// view is the owner's latest view, for the proposers.
+	view atomic.Pointer[View]
+	// sessions holds the *session of each call that has begun and not finished, by call id.
 	sessions sync.Map
-	// storing counts the ends of calls that are still being stored.
-	storing sync.WaitGroup
-	silent  silence
+	// pendingWrites waits for the ends of calls that are being stored in the background.
+	pendingWrites sync.WaitGroup
+	unresponsive  unresponsivePeers
 }
 
-func (r *Recorder) prepare() {
+func (r *Recorder) initialize() {
 	r.once.Do(func() {
-		r.box = make(chan OwnerEvent, boxSize)
-		r.inspect = make(chan chan Dump)
+		r.events = make(chan OwnerEvent, eventQueueSize)
+		r.dumpRequests = make(chan chan Dump)
 	})
 }
 
-// Handle registers the methods that other entries call.
+// Handle registers the methods that serve requests of other entries.
 func (r *Recorder) Handle(server *connector.Server) {
-	r.prepare()
+	r.initialize()
 	connector.Handle(server, MethodAsk, func(ctx context.Context, peer connector.Peer, request *messages.RecordRequest) (*messages.RecordResponse, error) {
 		if err := peer.Plays(certifier.Entry); err != nil {
 			return nil, err
 		}
-		return r.askHere(ctx, request)
+		return r.askLocal(ctx, request)
 	})
 	connector.Handle(server, MethodFill, func(ctx context.Context, peer connector.Peer, request *messages.FillRequest) (*messages.FillResponse, error) {
 		if err := peer.Plays(certifier.Entry); err != nil {
 			return nil, err
 		}
-		return post(ctx, r.box, func(reply chan *messages.FillResponse) OwnerEvent {
-			return FillAsked{
+		return post(ctx, r.events, func(reply chan *messages.FillResponse) OwnerEvent {
+			return FillRequested{
 				Token:   reply,
 				Request: request,
 			}
@@ -83,9 +85,9 @@
 	})
 }
 
-// Run owns the records until ctx ends.
+// Run serves the records that this entry owns until ctx ends.
 func (r *Recorder) Run(ctx context.Context) error {
-	r.prepare()
+	r.initialize()
 	owner := &Owner{
 		Self:  r.Self,
 		Slots: SlotCount,
@@ -98,17 +100,17 @@
 			return nil
 		case <-ticker.C:
 			r.tick(ctx, owner)
-		case event := <-r.box:
+		case event := <-r.events:
 			r.step(ctx, owner, event)
-		case reply := <-r.inspect:
+		case reply := <-r.dumpRequests:
 			reply <- r.dump(owner)
 		}
 	}
 }
 
-// Ready reports whether this entry's life is in the view that it knows. Before,
-// the others would take its calls for those of an entry that is gone, and tell
-// resends "unknown" while they run.
+// Ready reports whether this incarnation of the entry is in the latest view that it has.
+// Until then, the other entries would treat its calls as those of a lost entry and
+// answer resends with "unknown" while the calls still run.
 func (r *Recorder) Ready() bool {
 	view := r.view.Load()
 	return view != nil && view.Has(r.Self)
@@ -116,22 +118,22 @@
 
 func (r *Recorder) tick(ctx context.Context, owner *Owner) {
 	if committed := r.EntryView(); committed.GetNumber() > owner.ViewNumber() {
-		r.step(ctx, owner, Viewed{View: NewView(committed, SlotCount)})
+		r.step(ctx, owner, ViewCommitted{View: NewView(committed, SlotCount)})
 	}
 	keepFor, keepBytes := r.Bounds()
 	if keepFor > 0 {
-		r.step(ctx, owner, Bounded{
+		r.step(ctx, owner, RetentionChanged{
 			KeepFor:   keepFor,
 			KeepBytes: keepBytes,
 		})
 	}
 	r.step(ctx, owner, OwnerTicked{})
-	r.gauge(owner)
+	r.reportGauges(owner)
 }
 
 func (r *Recorder) step(ctx context.Context, owner *Owner, event OwnerEvent) {
 	actions := owner.Step(time.Now(), event)
-	// Proposers must know a view no later than the first owner that serves it.
+	// Proposers must have a new view before this owner's first response in it is sent.
 	if owner.view != r.view.Load() {
 		r.view.Store(owner.view)
 	}
@@ -142,41 +144,43 @@
 		case FillReply:
 			a.Token.(chan *messages.FillResponse) <- a.Response
 		case AskFill:
-			go r.fill(ctx, a)
+			go r.requestFill(ctx, a)
 		}
 	}
 }
 
-func (r *Recorder) fill(ctx context.Context, ask AskFill) {
+// requestFill sends a fill request to an earlier owner and passes the response to this
+// entry's owner.
+func (r *Recorder) requestFill(ctx context.Context, ask AskFill) {
 	ctx, cancel := context.WithTimeout(ctx, fillTimeout)
 	defer cancel()
 	response := &messages.FillResponse{}
 	if err := r.Client.Call(ctx, ask.To.Address, MethodFill, ask.Request, response); err != nil {
-		r.silent.note(ask.To.Identity, time.Now())
+		r.unresponsive.record(ask.To.Identity, time.Now())
 		return
 	}
 	select {
-	case r.box <- FillAnswered{Asked: ask, Response: response}:
+	case r.events <- FillResponded{Ask: ask, Response: response}:
 	case <-ctx.Done():
 	}
 }
 
-// askHere puts a request to this entry's own owner.
-func (r *Recorder) askHere(ctx context.Context, request *messages.RecordRequest) (*messages.RecordResponse, error) {
-	return post(ctx, r.box, func(reply chan *messages.RecordResponse) OwnerEvent {
-		return Asked{
+// askLocal sends a request to this entry's own owner.
+func (r *Recorder) askLocal(ctx context.Context, request *messages.RecordRequest) (*messages.RecordResponse, error) {
+	return post(ctx, r.events, func(reply chan *messages.RecordResponse) OwnerEvent {
+		return RequestReceived{
 			Token:   reply,
 			Request: request,
 		}
 	})
 }
 
-// post puts an event into the box and waits for its reply.
-func post[Response any](ctx context.Context, box chan<- OwnerEvent, event func(chan Response) OwnerEvent) (Response, error) {
+// post queues an event for the owner and waits for the reply.
+func post[Response any](ctx context.Context, events chan<- OwnerEvent, event func(chan Response) OwnerEvent) (Response, error) {
 	reply := make(chan Response, 1)
 	var none Response
 	select {
-	case box <- event(reply):
+	case events <- event(reply):
 	case <-ctx.Done():
 		return none, ctx.Err()
 	}
@@ -188,23 +192,23 @@
 	}
 }
 
-// ask carries a question to one owner; it returns nil where no answer came.
-func (r *Recorder) ask(ctx context.Context, question AskOwner) *messages.RecordResponse {
+// askOwner sends a proposer's request to one owner; it returns nil if there is no response.
+func (r *Recorder) askOwner(ctx context.Context, ask AskOwner) *messages.RecordResponse {
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
-	if question.To.Identity == r.Self {
-		response, _ := r.askHere(ctx, question.Request)
+	if ask.To.Identity == r.Self {
+		response, _ := r.askLocal(ctx, ask.Request)
 		return response
 	}
 	response := &messages.RecordResponse{}
-	if err := r.Client.Call(ctx, question.To.Address, MethodAsk, question.Request, response); err != nil {
-		r.silent.note(question.To.Identity, time.Now())
+	if err := r.Client.Call(ctx, ask.To.Address, MethodAsk, ask.Request, response); err != nil {
+		r.unresponsive.record(ask.To.Identity, time.Now())
 		return nil
 	}
 	return response
 }
 
-// newProposer returns the proposer of one call.
+// newProposer returns the proposer for one call.
 func (r *Recorder) newProposer(key, hash []byte, call units.CallID) *Proposer {
 	return &Proposer{
 		Self:        r.Self,
@@ -216,11 +220,11 @@
 	}
 }
 
-// Drain waits until the ends of calls are stored, or ctx ends.
+// Drain waits until the ends of all finished calls are stored, or ctx ends.
 func (r *Recorder) Drain(ctx context.Context) {
 	stored := make(chan struct{})
 	go func() {
-		r.storing.Wait()
+		r.pendingWrites.Wait()
 		close(stored)
 	}()
 	select {
@@ -229,12 +233,12 @@
 	}
 }
 
-func (r *Recorder) gauge(owner *Owner) {
+func (r *Recorder) reportGauges(owner *Owner) {
 	r.Scope.Gauge("record-count").Update(float64(len(owner.store.records)))
 	r.Scope.Gauge("record-bytes").Update(float64(owner.store.bytes))
-	r.Scope.Gauge("record-unfilled-slots").Update(float64(owner.unfilled()))
+	r.Scope.Gauge("record-unfilled-slots").Update(float64(owner.unfilledSlots()))
 }
 
-func (r *Recorder) observe(name string, began time.Time) {
+func (r *Recorder) recordLatency(name string, began time.Time) {
 	r.Scope.Histogram(name, meter.LatencyBuckets).RecordDuration(time.Since(began))
 }
--- a/src/recorder/schedule_test.go
+++ b/src/recorder/schedule_test.go
@@ -8,39 +8,39 @@
 	"pgregory.net/rapid"
 )
 
-// Callers send the same keys to several entries at once and again, while
-// entries freeze, wake, die and restart empty, views change under way, and
-// messages are late, crossed, repeated and lost. Whatever happens: no key runs
-// twice, each resend that gets an answer gets the one of that run, who is told
-// "not run" had no run, and a majority of the owners held each intent before
-// its dispatch, which was not after the lease.
+// Callers send the same keys to several entries concurrently and repeatedly, while
+// entries are suspended, resume, crash and restart without records, views change, and
+// messages are delayed, reordered, duplicated and lost. In all schedules: no key runs
+// twice; each resend that gets an answer gets the answer of that run; a key that is
+// reported as not run has not run; and each call is dispatched only within its lease and
+// after a majority of the owners has stored its intent.
 func TestKeysRunAtMostOnceUnderAllSchedules(t *testing.T) {
-	reached := make(map[string]int)
+	outcomes := make(map[string]int)
 	rapid.Check(t, func(t *rapid.T) {
-		b := newBench(t, reached)
-		anyNode := func() *benchNode { return b.nodes[b.anyIndex(len(b.nodes))] }
+		s := newSimulation(t, outcomes)
+		anyNode := func() *simNode { return s.nodes[s.anyIndex(len(s.nodes))] }
 		deliver := func(t *rapid.T) {
-			b.t = t
+			s.t = t
 			for range 8 {
-				if index := b.anyIndex(len(b.wires)); index >= 0 {
-					b.deliver(index, b.random.IntN(10) == 0)
+				if index := s.anyIndex(len(s.inFlight)); index >= 0 {
+					s.deliver(index, s.random.IntN(10) == 0)
 				}
 			}
 		}
 		advance := func(t *rapid.T) {
-			b.t = t
-			if index := b.anyIndex(len(b.calls)); index >= 0 {
-				b.advance(b.calls[index])
+			s.t = t
+			if index := s.anyIndex(len(s.calls)); index >= 0 {
+				s.advance(s.calls[index])
 			}
 		}
 		tick := func(t *rapid.T) {
-			b.t = t
-			b.tick(time.Duration(5+b.random.IntN(56)) * time.Millisecond)
+			s.t = t
+			s.tick(time.Duration(5+s.random.IntN(56)) * time.Millisecond)
 		}
-		learn := func(t *rapid.T) {
-			b.t = t
+		deliverView := func(t *rapid.T) {
+			s.t = t
 			if node := anyNode(); !node.frozen {
-				b.stepOwner(node, Viewed{View: NewView(b.view, benchSlots)})
+				s.stepOwner(node, ViewCommitted{View: NewView(s.view, simSlots)})
 			}
 		}
 		t.Repeat(map[string]func(*rapid.T){
@@ -52,46 +52,46 @@
 			"advance another": advance,
 			"tick":            tick,
 			"tick on":         tick,
-			"":                func(*rapid.T) { reached["steps"]++ },
-			"learn":           learn,
-			"learn more":      learn,
+			"":                func(*rapid.T) { outcomes["steps"]++ },
+			"learn":           deliverView,
+			"learn more":      deliverView,
 			"begin": func(t *rapid.T) {
-				b.t = t
-				b.begin(anyNode())
+				s.t = t
+				s.begin(anyNode())
 			},
 			"lose": func(t *rapid.T) {
-				b.t = t
-				if index := b.anyIndex(len(b.wires)); index >= 0 {
-					b.wires = slices.Delete(b.wires, index, index+1)
+				s.t = t
+				if index := s.anyIndex(len(s.inFlight)); index >= 0 {
+					s.inFlight = slices.Delete(s.inFlight, index, index+1)
 				}
 			},
 			"end a lease": func(t *rapid.T) {
-				b.t = t
-				if b.random.IntN(13) == 0 {
-					b.tick(benchLease + 2*leaseGrace)
+				s.t = t
+				if s.random.IntN(13) == 0 {
+					s.tick(simLease + 2*leaseGrace)
 				}
 			},
 			"restart": func(t *rapid.T) {
-				b.t = t
-				if b.random.IntN(25) == 0 {
-					b.restart(b.anyIndex(len(b.nodes)))
+				s.t = t
+				if s.random.IntN(25) == 0 {
+					s.restart(s.anyIndex(len(s.nodes)))
 				}
 			},
 			"freeze or wake": func(t *rapid.T) {
-				b.t = t
+				s.t = t
 				node := anyNode()
-				node.frozen = !node.frozen && b.random.IntN(5) == 0
+				node.frozen = !node.frozen && s.random.IntN(5) == 0
 			},
 			"change the view": func(t *rapid.T) {
-				b.t = t
-				if b.random.IntN(10) == 0 {
-					// Most views lose one entry at most; some shrink to a few.
-					most := benchEntries - 1
-					if b.random.IntN(3) == 0 {
-						most = 1
+				s.t = t
+				if s.random.IntN(10) == 0 {
+					// Most views lose at most one entry; some shrink to a few.
+					minMembers := simEntries - 1
+					if s.random.IntN(3) == 0 {
+						minMembers = 1
 					}
-					out := b.random.Perm(benchEntries + 1)[:1+b.random.IntN(benchEntries-most+1)]
-					b.commit(func(i int) bool { return !slices.Contains(out, i) })
+					absent := s.random.Perm(simEntries + 1)[:1+s.random.IntN(simEntries-minMembers+1)]
+					s.commit(func(i int) bool { return !slices.Contains(absent, i) })
 				}
 			},
 		})
@@ -100,9 +100,9 @@
 		"beginning 1", "beginning 2", "beginning 4", "beginning 5",
 		"intending 1", "intending 6", "ending 8",
 	} {
-		if got := reached[want]; got == 0 {
+		if got := outcomes[want]; got == 0 {
 			t.Errorf("outcome %q over all schedules: got %d, want some", want, got)
 		}
 	}
-	t.Log(reached)
+	t.Log(outcomes)
 }
--- a/src/recorder/session.go
+++ b/src/recorder/session.go
@@ -16,33 +16,35 @@
 
 const (
 	inboxSize = 64
-	// admissionLease is how long a call that may not be repeated can be held
-	// before its intent is stored.
+	// admissionLease is the maximum time between the admission of a non-repeatable call
+	// and its intent.
 	admissionLease = 2 * time.Second
-	// answerPatience is how long an answer waits for its owners.
-	answerPatience = time.Second
+	// storeTimeout is the maximum time for which an answer is held back until its owners
+	// have stored it.
+	storeTimeout = time.Second
 )
 
-// session is one call's proposer with what comes back from its owners.
+// session is one call's proposer with the queue of its owners' responses.
 type session struct {
 	proposer *Proposer
-	inbox    chan OwnerAnswered
-	// dispatched says that the intent is stored and the call may have been sent.
+	inbox    chan OwnerResponded
+	// dispatched is set once the intent is stored and the call may have been sent.
 	dispatched bool
 }
 
 func (r *Recorder) newSession(call *dispatcher.Call) *session {
 	s := &session{
 		proposer: r.newProposer(keyHash(call.Account.Name, call.Key), contentHash(call), call.ID),
-		inbox:    make(chan OwnerAnswered, inboxSize),
+		inbox:    make(chan OwnerResponded, inboxSize),
 	}
 	s.proposer.Fresh = !call.KeyGiven
-	s.proposer.Made = call.KeyGiven && !call.Adopted && strings.HasPrefix(call.Key, dispatcher.MadeKeyPrefix)
+	s.proposer.GeneratedKey = call.KeyGiven && !call.Adopted && strings.HasPrefix(call.Key, dispatcher.MadeKeyPrefix)
 	return s
 }
 
-// drive steps a proposer from one event to its outcome; false means that ctx ended first.
-func (r *Recorder) drive(ctx context.Context, s *session, event ProposerEvent) (Concluded, bool) {
+// runProposer steps a proposer from one event to its outcome; it returns false if ctx ends
+// first.
+func (r *Recorder) runProposer(ctx context.Context, s *session, event ProposerEvent) (Concluded, bool) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	if view := r.view.Load(); view != s.proposer.View {
@@ -54,84 +56,86 @@
 			case Concluded:
 				return a, true
 			case AskOwner:
-				go r.carry(context.WithoutCancel(ctx), s, a)
+				go r.askAsync(context.WithoutCancel(ctx), s, a)
 			}
 		}
 		select {
 		case answered := <-s.inbox:
 			event = answered
 		case <-ticker.C:
-			event = r.tickOf(s)
+			event = r.tickEvent(s)
 		case <-ctx.Done():
 			return Concluded{}, false
 		}
 	}
 }
 
-func (r *Recorder) tickOf(s *session) ProposerEvent {
+// tickEvent returns the event of a tick, which is a change of view if there is a newer one.
+func (r *Recorder) tickEvent(s *session) ProposerEvent {
 	if view := r.view.Load(); view != s.proposer.View {
 		return ViewChanged{View: view}
 	}
 	return ProposerTicked{}
 }
 
-func (r *Recorder) carry(ctx context.Context, s *session, question AskOwner) {
-	response := r.ask(ctx, question)
+// askAsync sends a request to one owner and queues the response for the session.
+func (r *Recorder) askAsync(ctx context.Context, s *session, ask AskOwner) {
+	response := r.askOwner(ctx, ask)
 	select {
-	case s.inbox <- OwnerAnswered{Asked: question, Response: response}:
+	case s.inbox <- OwnerResponded{Ask: ask, Response: response}:
 	default:
-		// The proposer asks again; a full inbox must not hold this goroutine.
+		// The proposer will ask again; a full inbox must not block this goroutine.
 	}
 }
 
-// Begin returns the earlier answer to the same key, or nil for a new call.
+// Begin returns the answer to an earlier call with the same key, or nil for a new call.
 func (r *Recorder) Begin(ctx context.Context, call *dispatcher.Call) (*dispatcher.Answer, error) {
 	if !call.KeyGiven && call.Repeatable {
 		return nil, nil
 	}
 	s := r.newSession(call)
 	if s.proposer.View == nil {
-		return nil, unlessRepeatable(call)
+		return nil, refuseUnlessRepeatable(call)
 	}
 	r.sessions.Store(call.ID, s)
 	if !call.KeyGiven {
 		return nil, nil
 	}
 	began := time.Now()
-	concluded, ended := r.drive(ctx, s, Begun{Lease: leaseOf(call)})
-	r.observe("record-begin", began)
+	concluded, ended := r.runProposer(ctx, s, ClaimRequested{Lease: leaseOf(call)})
+	r.recordLatency("record-begin", began)
 	if ended && concluded.Outcome == Granted {
 		return nil, nil
 	}
 	r.sessions.Delete(call.ID)
 	if !ended {
-		return nil, stillRuns()
+		return nil, stillRunningRefusal()
 	}
-	return r.earlier(call, concluded)
+	return r.earlierAnswer(call, concluded)
 }
 
-// Look returns the answer kept for a key, or whether an entry works on its call.
+// Look returns the stored answer for a key, and whether an entry is running its call.
 func (r *Recorder) Look(ctx context.Context, account units.Account, key string) (*dispatcher.Answer, bool, error) {
 	s := &session{
 		proposer: r.newProposer(keyHash(account, key), nil, units.CallID(uuid.NewString())),
-		inbox:    make(chan OwnerAnswered, inboxSize),
+		inbox:    make(chan OwnerResponded, inboxSize),
 	}
 	if s.proposer.View == nil {
 		return nil, false, errUnreachable
 	}
-	concluded, ended := r.drive(ctx, s, Looked{})
+	concluded, ended := r.runProposer(ctx, s, LookupRequested{})
 	switch {
 	case !ended || concluded.Outcome == Unavailable:
 		return nil, false, errUnreachable
 	case concluded.Outcome == Found:
-		return answerOf(concluded.Record), false, nil
+		return restoreAnswer(concluded.Record), false, nil
 	default:
 		return nil, concluded.Outcome == Running, nil
 	}
 }
 
-// leaseOf returns how long a call may be held before its intent is stored; one
-// that may be repeated stores none and runs under this lease.
+// leaseOf returns the maximum time from a call's admission until its intent is stored. A
+// repeatable call stores no intent and runs within this lease until its deadline.
 func leaseOf(call *dispatcher.Call) time.Duration {
 	left := time.Until(call.Deadline)
 	if call.Repeatable {
@@ -140,65 +144,67 @@
 	return min(left, admissionLease)
 }
 
-func (r *Recorder) earlier(call *dispatcher.Call, concluded Concluded) (*dispatcher.Answer, error) {
+// earlierAnswer returns the answer to an earlier call with the same key, or the refusal that
+// its outcome calls for; both are nil where the call may go on without a record.
+func (r *Recorder) earlierAnswer(call *dispatcher.Call, concluded Concluded) (*dispatcher.Answer, error) {
 	switch concluded.Outcome {
 	case Found:
-		if answer := answerOf(concluded.Record); answer != nil {
+		if answer := restoreAnswer(concluded.Record); answer != nil {
 			r.Scope.Counter("record-resends-answered").Inc(1)
 			return answer, nil
 		}
-		return nil, forgotten()
+		return nil, evictedRefusal()
 	case Conflicting:
-		return nil, conflict()
-	case Undecidable:
+		return nil, conflictRefusal()
+	case RunUnknown:
 		r.Scope.Counter("record-unknown").Inc(1)
-		return nil, unknown()
+		return nil, unknownRefusal()
 	default:
 		r.Scope.Counter("record-unavailable").Inc(1)
-		return nil, unlessRepeatable(call)
+		return nil, refuseUnlessRepeatable(call)
 	}
 }
 
-// unlessRepeatable lets a call that does no harm when it runs twice go on without a record.
-func unlessRepeatable(call *dispatcher.Call) error {
+// refuseUnlessRepeatable refuses a call without a reachable record unless it is repeatable.
+func refuseUnlessRepeatable(call *dispatcher.Call) error {
 	if call.Repeatable {
 		return nil
 	}
-	return withoutRecord(call)
+	return unavailableRefusal(call)
 }
 
-// Dispatching returns once a majority of the owners holds the intent to run a
-// call that may not be repeated.
+// Dispatching returns once a majority of the owners has stored the intent to run a
+// non-repeatable call.
 func (r *Recorder) Dispatching(ctx context.Context, call *dispatcher.Call, attempt units.Attempt, upstream units.Upstream) error {
 	if call.Repeatable {
 		return nil
 	}
-	s := r.session(call)
+	s := r.findSession(call)
 	if s == nil {
-		return withoutRecord(call)
+		return unavailableRefusal(call)
 	}
 	began := time.Now()
-	concluded, ended := r.drive(ctx, s, Dispatched{
+	concluded, ended := r.runProposer(ctx, s, DispatchRequested{
 		Attempt:  attempt,
 		Upstream: upstream,
 		Lease:    time.Until(call.Deadline),
 	})
-	r.observe("record-intent", began)
+	r.recordLatency("record-intent", began)
 	switch {
-	case !ended || concluded.Outcome == LeaseOver:
-		return lateRefusal()
+	case !ended || concluded.Outcome == LeaseExpired:
+		return leaseExpiredRefusal()
 	case concluded.Outcome == Granted:
 		s.dispatched = true
 		return nil
-	case concluded.Outcome == Overtaken:
-		return overtaken()
+	case concluded.Outcome == Superseded:
+		return supersededRefusal()
 	default:
 		r.Scope.Counter("record-unavailable").Inc(1)
-		return withoutRecord(call)
+		return unavailableRefusal(call)
 	}
 }
 
-func (r *Recorder) session(call *dispatcher.Call) *session {
+func (r *Recorder) findSession(call *dispatcher.Call) *session {
 	known, exists := r.sessions.Load(call.ID)
 	if !exists {
 		return nil
@@ -206,25 +212,25 @@
 	return known.(*session)
 }
 
-// Finish keeps the end of a call and returns the refusal to give. A refusal that
-// says "not run" to a caller that may have sent the key before is proved first:
-// another entry could have run the call while this one was frozen.
+// Finish stores the end of a call and returns the refusal to send. If the caller may have
+// sent the key before, a refusal that says "not run" is returned only once a majority has
+// stored it: another entry could have run the call while this one was suspended.
 func (r *Recorder) Finish(ctx context.Context, call *dispatcher.Call, answer *dispatcher.Answer, refusal *dispatcher.Refusal) *dispatcher.Refusal {
-	s := r.session(call)
+	s := r.findSession(call)
 	if s == nil {
 		return refusal
 	}
 	r.sessions.Delete(call.ID)
-	ended := endOf(call, s, answer, refusal)
-	saysNo := refusal != nil && refusal.Executed == dispatcher.ExecutedNo
-	if !saysNo || !call.KeyGiven || call.Repeatable {
-		stored := r.storeLater(ctx, s, ended)
+	ended := endEvent(call, s, answer, refusal)
+	notRun := refusal != nil && refusal.Executed == dispatcher.ExecutedNo
+	if !notRun || !call.KeyGiven || call.Repeatable {
+		stored := r.storeAsync(ctx, s, ended)
 		if answer != nil && !call.Repeatable {
-			await(stored, answerPatience)
+			awaitStored(stored, storeTimeout)
 		}
 		return refusal
 	}
-	concluded, done := r.drive(context.WithoutCancel(ctx), s, ended)
+	concluded, done := r.runProposer(context.WithoutCancel(ctx), s, ended)
 	if done && concluded.Outcome == Stored {
 		return refusal
 	}
@@ -233,21 +239,21 @@
 	return &weaker
 }
 
-// storeLater stores the end of a call beside the caller's answer; the channel is
-// closed once it is stored or given up.
-func (r *Recorder) storeLater(ctx context.Context, s *session, ended Ended) <-chan struct{} {
+// storeAsync stores the end of a call in the background; the channel is closed once it is
+// stored or the attempt has ended.
+func (r *Recorder) storeAsync(ctx context.Context, s *session, ended CallEnded) <-chan struct{} {
 	stored := make(chan struct{})
-	r.storing.Go(func() {
+	r.pendingWrites.Go(func() {
 		defer close(stored)
-		r.drive(context.WithoutCancel(ctx), s, ended)
+		r.runProposer(context.WithoutCancel(ctx), s, ended)
 	})
 	return stored
 }
 
-// await holds an answer until it is stored, so that a caller that has it can have
-// it again, but not for long: the caller's answer is worth more than a resend's.
-func await(stored <-chan struct{}, patience time.Duration) {
-	timer := time.NewTimer(patience)
+// awaitStored holds back an answer until it is stored, so that a resend of an answered call
+// can get it too, but not beyond the timeout: the caller's answer matters more than a resend.
+func awaitStored(stored <-chan struct{}, timeout time.Duration) {
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
 	case <-stored:
@@ -255,17 +261,17 @@
 	}
 }
 
-func endOf(call *dispatcher.Call, s *session, answer *dispatcher.Answer, refusal *dispatcher.Refusal) Ended {
+func endEvent(call *dispatcher.Call, s *session, answer *dispatcher.Answer, refusal *dispatcher.Refusal) CallEnded {
 	switch {
 	case answer != nil:
-		return Ended{
+		return CallEnded{
 			State:  messages.CallState_CALL_STATE_ANSWERED,
-			Answer: storedAnswer(answer),
+			Answer: encodeAnswer(answer),
 		}
 	case call.Repeatable || !s.dispatched || refusal != nil && refusal.Executed == dispatcher.ExecutedNo:
-		return Ended{State: messages.CallState_CALL_STATE_NOT_RUN}
+		return CallEnded{State: messages.CallState_CALL_STATE_NOT_RUN}
 	default:
-		return Ended{State: messages.CallState_CALL_STATE_UNKNOWN}
+		return CallEnded{State: messages.CallState_CALL_STATE_UNKNOWN}
 	}
 }
 
@@ -288,7 +294,7 @@
 	return hash.Sum(nil)
 }
 
-func storedAnswer(answer *dispatcher.Answer) *messages.StoredAnswer {
+func encodeAnswer(answer *dispatcher.Answer) *messages.StoredAnswer {
 	stored := &messages.StoredAnswer{
 		Status: int32(answer.Status),
 		Body:   answer.Body,
@@ -302,8 +308,8 @@
 	return stored
 }
 
-// answerOf returns the answer that a record keeps, nil where it is kept no more.
-func answerOf(record *messages.CallRecord) *dispatcher.Answer {
+// restoreAnswer returns the answer in a record, or nil if it was evicted.
+func restoreAnswer(record *messages.CallRecord) *dispatcher.Answer {
 	stored := record.GetAnswer()
 	if stored == nil {
 		return nil
--- a/src/recorder/store.go
+++ b/src/recorder/store.go
@@ -7,17 +7,17 @@
 	"github.com/rosecroft/rosecroft/src/messages"
 )
 
-// recordBytes is what a record without its answer is taken to need.
+// recordBytes is the assumed size of a record without its answer.
 const recordBytes = 512
 
-// held is one record with the times that go with it. The record is replaced,
-// never changed, since replies share it.
-type held struct {
+// storedRecord is one record with its times. The record is replaced and never modified,
+// since replies share it.
+type storedRecord struct {
 	record     *messages.CallRecord
 	leaseUntil time.Time
 	changedAt  time.Time
-	// place is the record's element among those with an answer, nil without one.
-	place *list.Element
+	// answerElement is the record's element in store.answers, nil without an answer.
+	answerElement *list.Element
 }
 
 // store holds an owner's records.
@@ -25,9 +25,9 @@
 	keepFor   time.Duration
 	keepBytes int64
 
-	records map[string]*held
-	slots   map[Slot]map[string]*held
-	// answers are the records with an answer, the longest unchanged first.
+	records map[string]*storedRecord
+	slots   map[Slot]map[string]*storedRecord
+	// answers lists the records with an answer, the least recently changed first.
 	answers *list.List
 	bytes   int64
 	slotFor func(key []byte) Slot
@@ -35,95 +35,95 @@
 
 func newStore(slotFor func(key []byte) Slot) *store {
 	return &store{
-		records: make(map[string]*held),
-		slots:   make(map[Slot]map[string]*held),
+		records: make(map[string]*storedRecord),
+		slots:   make(map[Slot]map[string]*storedRecord),
 		answers: list.New(),
 		slotFor: slotFor,
 	}
 }
 
-func (s *store) get(key []byte) *held { return s.records[string(key)] }
+func (s *store) get(key []byte) *storedRecord { return s.records[string(key)] }
 
-// full reports whether there is no room for a new record even without the answers.
-func (s *store) full() bool {
+// isFull reports whether a new record would not fit even if all answers were evicted.
+func (s *store) isFull() bool {
 	return int64(len(s.records)+1)*recordBytes > s.keepBytes
 }
 
-// put replaces or adds a record.
+// put adds or replaces a record.
 func (s *store) put(now time.Time, record *messages.CallRecord) {
 	key := string(record.GetKey())
 	h := s.records[key]
 	if h == nil {
 		h = s.add(key, record)
 	} else {
-		s.discount(h)
+		s.subtract(h)
 	}
 	h.record = record
 	h.changedAt = now.Add(-time.Duration(record.GetAgeMs()) * time.Millisecond)
 	h.leaseUntil = now.Add(time.Duration(record.GetLeaseMs()) * time.Millisecond)
 	s.bytes += sizeOf(record)
 	if record.GetAnswer() != nil {
-		h.place = s.answers.PushBack(h)
+		h.answerElement = s.answers.PushBack(h)
 	}
-	s.shed()
+	s.evictAnswers()
 }
 
-func (s *store) add(key string, record *messages.CallRecord) *held {
-	h := &held{}
+func (s *store) add(key string, record *messages.CallRecord) *storedRecord {
+	h := &storedRecord{}
 	s.records[key] = h
 	slot := s.slotFor(record.GetKey())
 	if s.slots[slot] == nil {
-		s.slots[slot] = make(map[string]*held)
+		s.slots[slot] = make(map[string]*storedRecord)
 	}
 	s.slots[slot][key] = h
 	return h
 }
 
-// discount takes a record out of the sums.
-func (s *store) discount(h *held) {
+// subtract removes a record from the byte count and from the list of answers.
+func (s *store) subtract(h *storedRecord) {
 	s.bytes -= sizeOf(h.record)
-	if h.place != nil {
-		s.answers.Remove(h.place)
-		h.place = nil
+	if h.answerElement != nil {
+		s.answers.Remove(h.answerElement)
+		h.answerElement = nil
 	}
 }
 
-// shed drops the oldest answers until the rest fits. The record without its
-// answer stays until its time is over: a key forgotten earlier would let a
-// resend run the call again.
-func (s *store) shed() {
+// evictAnswers removes the oldest answers until the store fits into keepBytes. The records
+// stay until they expire: without the record of its key, a resend would run the call again.
+func (s *store) evictAnswers() {
 	for s.bytes > s.keepBytes && s.answers.Len() > 0 {
-		h := s.answers.Front().Value.(*held)
-		s.discount(h)
+		h := s.answers.Front().Value.(*storedRecord)
+		s.subtract(h)
 		h.record = copyRecord(h.record)
 		h.record.Answer = nil
 		s.bytes += sizeOf(h.record)
 	}
 }
 
-// expire drops the records of one slot that ended, or whose runner's lease
-// ended, longer than keepFor ago.
+// expire removes the records of one slot that last changed, and whose runner's lease ended,
+// at least keepFor ago.
 func (s *store) expire(now time.Time, slot Slot) {
 	for _, h := range s.slots[slot] {
 		if now.Sub(h.changedAt) >= s.keepFor && now.Sub(h.leaseUntil) >= s.keepFor {
-			s.drop(h)
+			s.remove(h)
 		}
 	}
 }
 
-func (s *store) drop(h *held) {
+func (s *store) remove(h *storedRecord) {
 	key := string(h.record.GetKey())
-	s.discount(h)
+	s.subtract(h)
 	delete(s.records, key)
 	delete(s.slots[s.slotFor(h.record.GetKey())], key)
 }
 
-// show returns a record with its age and the time left of its lease.
-func (h *held) show(now time.Time) *messages.CallRecord {
-	shown := copyRecord(h.record)
-	shown.AgeMs = now.Sub(h.changedAt).Milliseconds()
-	shown.LeaseMs = max(0, h.leaseUntil.Sub(now).Milliseconds())
-	return shown
+// export returns a copy of the record with its current age and remaining lease, as it is
+// sent to other entries.
+func (h *storedRecord) export(now time.Time) *messages.CallRecord {
+	exported := copyRecord(h.record)
+	exported.AgeMs = now.Sub(h.changedAt).Milliseconds()
+	exported.LeaseMs = max(0, h.leaseUntil.Sub(now).Milliseconds())
+	return exported
 }
 
 func sizeOf(record *messages.CallRecord) int64 {
@@ -139,7 +139,7 @@
 	return size
 }
 
-// copyRecord returns a copy that shares the answer.
+// copyRecord returns a copy of the record that shares its answer.
 func copyRecord(r *messages.CallRecord) *messages.CallRecord {
 	return &messages.CallRecord{
 		Key:               r.GetKey(),
--- a/src/recorder/view.go
+++ b/src/recorder/view.go
@@ -11,16 +11,17 @@
 )
 
 const (
-	// SlotCount is how many slots the keys are spread over; owners are chosen by slot.
+	// SlotCount is the number of hash slots of the keys; owners are chosen for each slot.
 	SlotCount = 1024
-	// ownerCount is how many entries hold each record, where there are as many.
+	// ownerCount is how many entries hold each record, if the view has as many.
 	ownerCount = 3
 )
 
-// Slot numbers a part of the keys, all of whose records have the same owners.
+// Slot is the number of a hash slot: a fixed subset of the keys, whose records all have the
+// same owners.
 type Slot uint32
 
-// Identity is one life of an entry; a restarted entry is another one without records.
+// Identity is one incarnation of an entry; a restarted entry has a new one and no records.
 type Identity struct {
 	Name        units.Instance
 	Incarnation units.Incarnation
@@ -33,17 +34,17 @@
 	Address    string
 }
 
-// View is a numbered set of entries; it is not changed once built.
+// View is a numbered, immutable set of entries.
 type View struct {
 	Number  uint64
 	Members []Member
 
 	wire *messages.EntryView
-	// owners holds each slot's owners as indexes of members.
+	// owners holds each slot's owners as indexes into Members.
 	owners [][]int16
 }
 
-// NewView returns the view that control has committed, with the owners of each of slots slots.
+// NewView builds a view that control has committed and chooses the owners of its slots.
 func NewView(wire *messages.EntryView, slots int) *View {
 	v := &View{
 		Number: wire.GetNumber(),
@@ -76,16 +77,16 @@
 	return owners
 }
 
-// Has reports whether an entry's life belongs to the view.
+// Has reports whether an incarnation of an entry is a member of the view.
 func (v *View) Has(id Identity) bool { return hasMember(v.Members, id) }
 
 func hasMember(members []Member, id Identity) bool {
 	return slices.ContainsFunc(members, func(m Member) bool { return m.Identity == id })
 }
 
-// chooseOwners takes the members of the highest weight, each of another data
-// centre while there are such, so that the loss of a data centre leaves a majority
-// wherever there are three of them.
+// chooseOwners chooses the members with the highest weights for the slot (rendezvous
+// hashing), each from a different data centre as far as possible. With members in three
+// data centres, a majority survives the loss of one.
 func chooseOwners(members []Member, seeds []uint64, slot Slot) []int16 {
 	chosen := make([]int16, 0, ownerCount)
 	for len(chosen) < min(ownerCount, len(members)) {
@@ -98,34 +99,34 @@
 	return chosen
 }
 
-// heaviest returns the member of the highest weight that is not chosen yet, nor,
-// where apart, in the data centre of one that is; -1 for none.
-func heaviest(members []Member, seeds []uint64, slot Slot, chosen []int16, apart bool) int16 {
-	spread := mix(uint64(slot))
+// heaviest returns the member with the highest weight that is not yet chosen and, if
+// distinctDataCentre is set, not in the data centre of a chosen one; -1 for none.
+func heaviest(members []Member, seeds []uint64, slot Slot, chosen []int16, distinctDataCentre bool) int16 {
+	slotHash := mix(uint64(slot))
 	best := int16(-1)
-	var most uint64
+	var maxWeight uint64
 	for i := range members {
-		weight := mix(seeds[i] ^ spread)
-		if best >= 0 && weight <= most || excluded(members, chosen, int16(i), apart) {
+		weight := mix(seeds[i] ^ slotHash)
+		if best >= 0 && weight <= maxWeight || excluded(members, chosen, int16(i), distinctDataCentre) {
 			continue
 		}
 		best = int16(i)
-		most = weight
+		maxWeight = weight
 	}
 	return best
 }
 
-func excluded(members []Member, chosen []int16, index int16, apart bool) bool {
+func excluded(members []Member, chosen []int16, index int16, distinctDataCentre bool) bool {
 	for _, other := range chosen {
-		if other == index || apart && members[other].DataCentre == members[index].DataCentre {
+		if other == index || distinctDataCentre && members[other].DataCentre == members[index].DataCentre {
 			return true
 		}
 	}
 	return false
 }
 
-// seedsOf returns what each member's weights are made of. The name alone counts, so
-// that a restarted entry owns the slots that it owned before.
+// seedsOf returns a seed for the weights of each member. It depends only on the name, so
+// that a restarted entry owns the same slots as before.
 func seedsOf(members []Member) []uint64 {
 	seeds := make([]uint64, len(members))
 	for i, member := range members {
@@ -134,7 +135,7 @@
 	return seeds
 }
 
-// mix spreads a number over all bits (the finalizer of SplitMix64).
+// mix is the finalizer of SplitMix64.
 func mix(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
@@ -147,5 +148,5 @@
 	return Slot(binary.LittleEndian.Uint32(key) % uint32(slots))
 }
 
-// majority returns how many of count owners decide.
+// majority returns how many of count owners are a majority.
 func majority(count int) int { return count/2 + 1 }
