--- a/src/exchanger/doc.go
+++ b/src/exchanger/doc.go
@@ -1,13 +1,13 @@
 // Package exchanger runs one attempt of a call at one upstream over pooled HTTP/1.1 connections.
 //
-// The load it answers: many short calls over few connections, each upstream
-// bounded in its connections over all entries; connections that died or fell
-// silent while idle; answers that are cut, late, doubled or of another call. The
-// exchange keeps apart what provably did not run, what may have run, and what was
-// answered, and an answer is taken only from the attempt that it names.
+// It is built for many short calls over few connections, where each upstream limits its
+// connections from all entries together; for connections that died or went silent while
+// idle; and for answers that are truncated, late, duplicated or belong to another call.
+// Results distinguish calls that provably did not run, calls that may have run, and calls
+// that were answered. An answer is accepted only if it names the attempt that it belongs
+// to.
 //
-// Connections are this package's own and not those of the standard library's
-// transport, which sends a request again by itself, hands a connection out while
-// bytes that nobody asked for wait on it, and does not tell whether a byte of the
-// request has left.
+// The package manages its own connections. The standard library's transport resends
+// requests by itself, reuses a connection on which unrequested bytes are waiting, and
+// does not report whether any byte of a request was sent.
 package exchanger
--- a/src/exchanger/events.go
+++ b/src/exchanger/events.go
@@ -13,18 +13,18 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// mostEvent bounds one event of a stream.
-const mostEvent = 1 << 20
+// maxEventBytes bounds the size of one event of a stream.
+const maxEventBytes = 1 << 20
 
-// idField begins the line of an event that holds its id.
+// idField is the beginning of the line that holds an event's id.
 var idField = []byte("id:")
 
-// events passes a stream on, whole events only, each at once: a caller that loses
-// its connection then goes on exactly behind the last event it has.
-func (e *exchange) events(ctx context.Context, response *http.Response, verdict Verdict) dispatcher.Result {
+// forwardStream forwards a stream's complete events as they arrive. A caller that loses
+// its connection can then resume exactly after the last event that it received.
+func (e *exchange) forwardStream(ctx context.Context, response *http.Response, verdict Verdict) dispatcher.Result {
 	joins, err := e.stream.Begin(response.Header, e.upstream, verdict.Version)
 	if err != nil {
-		return callerGone(err)
+		return callerGoneResult(err)
 	}
 	if !joins {
 		return dispatcher.Result{
@@ -35,22 +35,22 @@
 			},
 		}
 	}
-	e.resumed = e.stream.Offset() > 0
+	e.replaying = e.stream.Offset() > 0
 	reader := bufio.NewReaderSize(response.Body, readBuffer)
 	batcher, _ := e.stream.Sink.(dispatcher.Batcher)
 	var event []byte
 	for {
 		event, err = readEvent(reader, event[:0])
 		if err != nil && !errors.Is(err, io.EOF) {
-			return e.cut(ctx, err)
+			return e.streamCutResult(ctx, err)
 		}
 		if len(event) > 0 {
-			e.answering()
+			e.markAnswerStarted()
 			if batcher != nil {
 				batcher.Hold(err == nil && reader.Buffered() > 0)
 			}
-			if passErr := e.pass(event); passErr != nil {
-				return callerGone(passErr)
+			if forwardErr := e.forwardEvent(event); forwardErr != nil {
+				return callerGoneResult(forwardErr)
 			}
 		}
 		if err != nil {
@@ -59,46 +59,46 @@
 	}
 	e.finish(response, nil)
 	if err := e.stream.Sink.End(); err != nil {
-		return callerGone(err)
+		return callerGoneResult(err)
 	}
 	return dispatcher.Result{Kind: dispatcher.Answered}
 }
 
-func callerGone(err error) dispatcher.Result {
+func callerGoneResult(err error) dispatcher.Result {
 	return dispatcher.Result{
 		Kind: dispatcher.CallerGone,
 		Err:  err,
 	}
 }
 
-// cut says what becomes of a stream that broke off.
-func (e *exchange) cut(ctx context.Context, err error) dispatcher.Result {
-	result := e.lost(ctx, err)
+// streamCutResult returns the result for a stream that was cut.
+func (e *exchange) streamCutResult(ctx context.Context, err error) dispatcher.Result {
+	result := e.lostResult(ctx, err)
 	if result.Kind == dispatcher.Lost && !e.call.Repeatable {
 		result.Kind = dispatcher.Broken
 	}
 	return result
 }
 
-// pass hands one event to the caller unless it has it. An event without an id
-// belongs behind the one before it, so that the caller has it where it has that one.
-func (e *exchange) pass(event []byte) error {
-	place := placeOf(event)
-	if place == 0 {
-		if e.resumed {
+// forwardEvent forwards one event unless the caller already has it. An event without an
+// id belongs to the one before it: the caller has it if it has that one.
+func (e *exchange) forwardEvent(event []byte) error {
+	position := positionOf(event)
+	if position == 0 {
+		if e.replaying {
 			return nil
 		}
 		return e.stream.Beside(event)
 	}
-	if place > e.stream.Offset() {
-		e.resumed = false
+	if position > e.stream.Offset() {
+		e.replaying = false
 	}
-	return e.stream.Event(place, event, nil)
+	return e.stream.Event(position, event, nil)
 }
 
-// placeOf returns the place of an event in its stream, from 1, and 0 for an event
-// without an id; ids begin at 0.
-func placeOf(event []byte) units.Tokens {
+// positionOf returns the position of an event in its stream, from 1, or 0 for an event
+// without an id. Ids begin at 0.
+func positionOf(event []byte) units.Tokens {
 	for line := range bytes.Lines(event) {
 		if !bytes.HasPrefix(line, idField) {
 			continue
@@ -111,8 +111,8 @@
 	return 0
 }
 
-// readEvent reads up to and including the empty line that ends an event. At the
-// end of the stream it returns what stands behind the last one, with io.EOF.
+// readEvent appends to event up to and including the empty line that ends the event. At
+// the end of the stream it returns what follows the last event, with io.EOF.
 func readEvent(reader *bufio.Reader, event []byte) ([]byte, error) {
 	for {
 		line, err := reader.ReadSlice('\n')
@@ -120,8 +120,8 @@
 		if err != nil && !errors.Is(err, bufio.ErrBufferFull) {
 			return event, err
 		}
-		if len(event) > mostEvent {
-			return event, errors.New("an event is too large")
+		if len(event) > maxEventBytes {
+			return event, errors.New("event exceeds the size limit")
 		}
 		if err == nil && len(bytes.TrimRight(line, "\r\n")) == 0 {
 			return event, nil
--- a/src/exchanger/exchanger.go
+++ b/src/exchanger/exchanger.go
@@ -18,63 +18,63 @@
 )
 
 const (
-	// mostAnswer bounds an answer that is kept whole before it is passed on.
-	mostAnswer = 8 << 20
-	// directBody is the largest body that is sent before the answer is awaited;
-	// a larger one goes out beside it, since an upstream may answer before it has
-	// read the body and read on only then.
-	directBody = 32 << 10
+	// maxAnswerBytes bounds an answer that is buffered before it is forwarded.
+	maxAnswerBytes = 8 << 20
+	// maxInlineBody is the size of the largest body that is sent before the answer
+	// is read. A larger one is sent concurrently, since an upstream may answer
+	// before it has read the body and read the rest only afterwards.
+	maxInlineBody = 32 << 10
 )
 
-// Verdict is what the head of an answer says.
+// Verdict is what a Dialect reads from the head of an answer.
 type Verdict struct {
-	// Own says that the answer names the attempt it belongs to.
+	// Own is set where the answer names this attempt.
 	Own bool
-	// NotRun says that the upstream has not run the call.
+	// NotRun is set where the upstream states that it did not run the call.
 	NotRun bool
-	// Whole says that the upstream vouches for the answer.
+	// Whole is set where the answer carries the upstream's proof that the protocol requires.
 	Whole bool
-	// Version names the weights that generate a stream, "" where it is not said.
+	// Version is the version of the weights that generate a stream, "" if not stated.
 	Version units.ModelVersion
-	// Events says that the answer is a stream of events.
+	// Events is set where the answer is a stream of events.
 	Events bool
-	// RetryAfter is what a refusing upstream asks for.
+	// RetryAfter is the wait that a refusing upstream asks for.
 	RetryAfter time.Duration
-	// Limit is what the upstream says of how many calls it takes, nil where the answer is
-	// not that upstream's.
+	// Limit is the call rate limit that the upstream states, nil if the answer is not
+	// from that upstream or its limit cannot be read.
 	Limit *Limit
 }
 
-// Limit is how many calls an upstream says that it takes.
+// Limit is an upstream's own limit on its rate of calls.
 type Limit struct {
-	// Stated is false where it takes as many as come.
+	// Stated is false where the upstream states no limit and takes any number of calls.
 	Stated bool
 	Rate   units.CallRate
 }
 
-// Sending is what the head of an attempt says beside its call.
+// Sending is what the head of a request contains besides its call.
 type Sending struct {
 	Upstream *tracker.Upstream
-	// Donor is the upstream that may hold what this one lacks of the prompt, nil for
-	// none.
+	// Donor is the upstream that may hold the prompt prefixes that this one lacks, nil
+	// for none.
 	Donor *tracker.Upstream
-	// Left is how long the caller waits.
+	// Left is how much longer the caller waits.
 	Left time.Duration
-	// From is the event behind which a stream goes on.
+	// From is the position of the event after which a stream resumes.
 	From units.Tokens
 }
 
-// Dialect knows the heads of requests and answers in the upstreams' protocol.
+// Dialect writes and reads heads of requests and answers in the upstreams' protocol.
 type Dialect interface {
-	// Head returns the header of an attempt.
+	// Head returns the header of an attempt's request.
 	Head(call *dispatcher.Call, sending Sending) http.Header
-	// Read judges the head of an answer.
+	// Read checks the head of an answer.
 	Read(call *dispatcher.Call, upstream *tracker.Upstream, status int, header http.Header) Verdict
 }
 
-// Guard says whether a call may still go out.
+// Guard decides whether a call may still be sent.
 type Guard interface {
-	// Check returns what is left of the call's time, or why it may not go out.
+	// Check returns the time left for the call, or why it may not be sent.
 	Check(call *dispatcher.Call) (left time.Duration, err error)
 }
 
@@ -82,20 +82,20 @@
 type Exchanger struct {
 	Pool    *Pool
 	Dialect Dialect
-	// Guard is asked right before the first byte of an attempt goes out.
+	// Guard is checked right before the first byte of an attempt is sent.
 	Guard Guard
-	// Donor returns the upstream that may hold what the chosen one lacks of the
-	// prompt, nil for none; it may be nil.
+	// Donor returns the upstream that may hold the prompt prefixes that the chosen one
+	// lacks, nil for none; it may be nil.
 	Donor func(call *dispatcher.Call, chosen *tracker.Upstream) *tracker.Upstream
-	// Began is told that a call has begun to run, or may have: of one whose answer
-	// is lost nobody knows, and most have. It may be nil.
+	// Began is called once a call has started to run or may have: it includes calls whose
+	// answer is lost, most of which have run. It may be nil.
 	Began func(call *dispatcher.Call, upstream *tracker.Upstream)
-	// Limited takes what an upstream says of how many calls it takes, in an answer to a call
-	// that was sent then; it may be nil.
+	// Limited is called with the limit that an upstream states in an answer, and the time
+	// at which that answer's call was sent; it may be nil.
 	Limited func(upstream *tracker.Upstream, limit Limit, sentAt time.Time)
 }
 
-// ForeignError says that bytes arrived that do not answer the attempt.
+// ForeignError is the error for received bytes that do not answer the attempt.
 type ForeignError struct {
 	Upstream units.Upstream
 	Reason   string
@@ -112,10 +112,10 @@
 ) dispatcher.Result {
 	c, err := x.Pool.get(ctx, upstream, false)
 	if err != nil {
-		var full *FullError
+		var limitErr *ConnectionLimitError
 		return dispatcher.Result{
 			Kind:      dispatcher.NotRun,
-			Unreached: !errors.As(err, &full) && ctx.Err() == nil,
+			Unreached: !errors.As(err, &limitErr) && ctx.Err() == nil,
 			Unsent:    true,
 			Err:       err,
 		}
@@ -127,7 +127,7 @@
 		upstream:  upstream,
 		stream:    stream,
 	}
-	// A caller who leaves, or a deadline, ends the wait at once.
+	// Ends blocking reads and writes at once when the caller leaves or the deadline passes.
 	stop := context.AfterFunc(ctx, func() { _ = c.SetDeadline(time.Unix(1, 0)) })
 	result := e.run(ctx)
 	stopped := stop()
@@ -140,32 +140,34 @@
 	return result
 }
 
-// exchange is one attempt under way.
+// exchange is one running attempt.
 type exchange struct {
 	*Exchanger
 	conn     *conn
 	call     *dispatcher.Call
 	upstream *tracker.Upstream
 	stream   *dispatcher.Stream
-	// sent ends with the writing of a large body.
-	sent     chan error
+	// bodySent receives the result of writing a body that is sent concurrently, nil
+	// where the body was sent with the head.
+	bodySent chan error
 	reusable bool
-	// told says that Began was called.
-	told bool
-	// resumed says that the caller has what the stream begins with.
-	resumed bool
-	// answeringAt is when the answer's first event came, or the head of one without events.
-	answeringAt time.Time
+	// startReported is set once Began was called.
+	startReported bool
+	// replaying is set while the stream may repeat events that the caller has.
+	replaying bool
+	// answerStartedAt is when the first event of a streamed answer arrived, or the head of
+	// another answer.
+	answerStartedAt time.Time
 }
 
 func (e *exchange) run(ctx context.Context) dispatcher.Result {
 	sentAt := timekeeper.Now()
-	if result, sent := e.send(); !sent {
+	if result, ok := e.send(); !ok {
 		return result
 	}
 	prompt := e.call.Unread()
 	e.upstream.Local.PrefillTokens.Add(int64(prompt))
-	response, result := e.head(ctx) //nolint:bodyclose // Closing would read a stream to its end; the connection is closed instead.
+	response, result := e.readHead(ctx) //nolint:bodyclose // Closing would read a stream to its end; the connection is closed instead.
 	e.upstream.Local.PrefillTokens.Add(-int64(prompt))
 	if response == nil {
 		return result
@@ -175,10 +177,10 @@
 		e.Limited(e.upstream, *verdict.Limit, sentAt)
 	}
 	if !verdict.Own {
-		return e.foreign("it names another attempt")
+		return e.foreignResult("it names another attempt")
 	}
 	if verdict.NotRun {
-		// The body of a refusal is short; reading it saves the connection.
+		// The body of a refusal is short; reading it allows the connection to be reused.
 		_, err := io.Copy(io.Discard, io.LimitReader(response.Body, readBuffer))
 		e.finish(response, err)
 		return dispatcher.Result{
@@ -188,24 +190,25 @@
 		}
 	}
 	if !verdict.Whole {
-		return e.foreign(fmt.Sprintf("status %d without the upstream's proof, or encoded", response.StatusCode))
+		return e.foreignResult(fmt.Sprintf("status %d without the upstream's proof, or encoded", response.StatusCode))
 	}
-	e.began()
+	e.reportStart()
 	if e.call.Stream && verdict.Events && response.StatusCode == http.StatusOK {
-		return e.events(ctx, response, verdict)
+		return e.forwardStream(ctx, response, verdict)
 	}
-	return e.answer(ctx, response)
+	return e.readAnswer(ctx, response)
 }
 
-// began tells that the call has begun to run, once.
-func (e *exchange) began() {
-	if e.Began != nil && !e.told {
-		e.told = true
+// reportStart calls Began, at most once.
+func (e *exchange) reportStart() {
+	if e.Began != nil && !e.startReported {
+		e.startReported = true
 		e.Began(e.call, e.upstream)
 	}
 }
 
-// send writes the request; where nothing of it has left, it says so.
+// send writes the request. If that fails it returns false and the result, which
+// distinguishes whether any byte was sent.
 func (e *exchange) send() (dispatcher.Result, bool) {
 	left, err := e.Guard.Check(e.call)
 	if err != nil {
@@ -224,11 +227,11 @@
 		sending.Donor = e.Donor(e.call, e.upstream)
 	}
 	header := e.Dialect.Head(e.call, sending)
-	buffer := heads.Get().(*[]byte)
-	defer heads.Put(buffer)
+	buffer := headBuffers.Get().(*[]byte)
+	defer headBuffers.Put(buffer)
 	*buffer = appendHead((*buffer)[:0], e.call, header)
 	body := e.call.Body
-	if len(body) <= directBody {
+	if len(body) <= maxInlineBody {
 		*buffer = append(*buffer, body...)
 		body = nil
 	}
@@ -245,22 +248,22 @@
 		}, false
 	}
 	if len(body) > 0 {
-		e.sent = make(chan error, 1)
+		e.bodySent = make(chan error, 1)
 		go func() {
 			_, err := e.conn.Write(body)
-			e.sent <- err
+			e.bodySent <- err
 		}()
 	}
 	return dispatcher.Result{}, true
 }
 
-// head reads the head of the answer, skipping those that only announce one.
-func (e *exchange) head(ctx context.Context) (*http.Response, dispatcher.Result) {
+// readHead reads the head of the final answer and skips informational ones.
+func (e *exchange) readHead(ctx context.Context) (*http.Response, dispatcher.Result) {
 	request := &http.Request{Method: e.call.Method}
 	for {
 		response, err := http.ReadResponse(e.conn.reader, request)
 		if err != nil {
-			return nil, e.lost(ctx, err)
+			return nil, e.lostResult(ctx, err)
 		}
 		if response.StatusCode >= http.StatusOK || response.StatusCode == http.StatusSwitchingProtocols {
 			return response, dispatcher.Result{}
@@ -268,14 +271,14 @@
 	}
 }
 
-func (e *exchange) answer(ctx context.Context, response *http.Response) dispatcher.Result {
-	e.answering()
-	body, err := io.ReadAll(io.LimitReader(response.Body, mostAnswer+1))
-	if err == nil && len(body) > mostAnswer {
-		err = errors.New("the answer is too large")
+func (e *exchange) readAnswer(ctx context.Context, response *http.Response) dispatcher.Result {
+	e.markAnswerStarted()
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes+1))
+	if err == nil && len(body) > maxAnswerBytes {
+		err = errors.New("answer exceeds the size limit")
 	}
 	if err != nil {
-		return e.lost(ctx, err)
+		return e.lostResult(ctx, err)
 	}
 	e.finish(response, nil)
 	kind := dispatcher.Answered
@@ -292,26 +295,26 @@
 	}
 }
 
-// finish decides whether the connection may serve another call: not after an
-// answer that came before the body had left, since the upstream would take the
-// next call's head for the rest of it.
+// finish decides whether the connection may be reused. It may not after an answer that
+// arrived before the whole body was sent, since the upstream would take the next call's
+// head for the rest of the body.
 func (e *exchange) finish(response *http.Response, err error) {
-	if e.sent != nil {
+	if e.bodySent != nil {
 		select {
-		case sendErr := <-e.sent:
+		case sendErr := <-e.bodySent:
 			err = errors.Join(err, sendErr)
 		default:
 			return
 		}
 	}
 	e.reusable = err == nil && !response.Close && (response.ContentLength >= 0 || len(response.TransferEncoding) > 0)
-	if seconds, found := keepAlive(response.Header.Get("Keep-Alive")); found {
-		e.conn.idle = seconds
+	if seconds, found := parseKeepAlive(response.Header.Get("Keep-Alive")); found {
+		e.conn.idleTimeout = seconds
 	}
 }
 
-// keepAlive reads the idle timeout that an upstream states.
-func keepAlive(value string) (time.Duration, bool) {
+// parseKeepAlive returns the idle timeout in a Keep-Alive header.
+func parseKeepAlive(value string) (time.Duration, bool) {
 	for _, field := range strings.Split(value, ",") {
 		name, text, found := strings.Cut(strings.TrimSpace(field), "=")
 		if !found || !strings.EqualFold(name, "timeout") {
@@ -324,15 +327,16 @@
 	return 0, false
 }
 
-// answering notes that the answer has begun to come.
-func (e *exchange) answering() {
-	if e.answeringAt.IsZero() {
-		e.answeringAt = time.Now()
+// markAnswerStarted records when the answer began to arrive.
+func (e *exchange) markAnswerStarted() {
+	if e.answerStartedAt.IsZero() {
+		e.answerStartedAt = time.Now()
 	}
 }
 
-// lost says that nobody knows whether the call ran.
-func (e *exchange) lost(ctx context.Context, err error) dispatcher.Result {
+// lostResult returns the result for an exchange of which it is unknown whether the call
+// ran, or that ended because the caller left.
+func (e *exchange) lostResult(ctx context.Context, err error) dispatcher.Result {
 	result := dispatcher.Result{
 		Kind: dispatcher.Lost,
 		Err:  err,
@@ -341,17 +345,18 @@
 		result.Kind = dispatcher.CallerGone
 		result.Err = ctx.Err()
 	} else if ctx.Err() == nil {
-		e.began()
-		result.Cut = isCut(err)
+		e.reportStart()
+		result.Cut = isDisconnect(err)
 	}
-	if !e.answeringAt.IsZero() {
-		result.Answering = time.Since(e.answeringAt)
+	if !e.answerStartedAt.IsZero() {
+		result.Answering = time.Since(e.answerStartedAt)
 	}
 	return result
 }
 
-// isCut reports whether an error says that the other end of a connection is gone.
-func isCut(err error) bool {
+// isDisconnect reports whether an error means that the peer has closed or lost the
+// connection.
+func isDisconnect(err error) bool {
 	for _, end := range []error{io.EOF, io.ErrUnexpectedEOF, syscall.ECONNRESET, syscall.EPIPE, syscall.ETIMEDOUT} {
 		if errors.Is(err, end) {
 			return true
@@ -360,7 +365,7 @@
 	return false
 }
 
-func (e *exchange) foreign(reason string) dispatcher.Result {
+func (e *exchange) foreignResult(reason string) dispatcher.Result {
 	return dispatcher.Result{
 		Kind: dispatcher.Lost,
 		Err: &ForeignError{
--- a/src/exchanger/exchanger_test.go
+++ b/src/exchanger/exchanger_test.go
@@ -18,12 +18,12 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// upstream is a server that answers each request with bytes of the test's choice.
-type upstream struct {
+// fakeUpstream is a server that answers each request with bytes that the test provides.
+type fakeUpstream struct {
 	*tracker.Upstream
 	listener net.Listener
-	// answer gets the number of the connection and of the request on it; an empty
-	// answer closes the connection, and what stands behind closeMark does too.
+	// answer receives the number of the connection and of the request on it. An empty
+	// answer closes the connection at once, and one that ends with closeMarker after it.
 	answer func(connection, request int, head string) string
 
 	mu          sync.Mutex
@@ -31,16 +31,16 @@
 	heads       []string
 }
 
-// closeMark ends an answer with the end of its connection.
-const closeMark = "\x00close"
+// closeMarker at the end of an answer closes the connection after it.
+const closeMarker = "\x00close"
 
-func newUpstream(t *testing.T, answer func(connection, request int, head string) string) *upstream {
+func newUpstream(t *testing.T, answer func(connection, request int, head string) string) *fakeUpstream {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	u := &upstream{
+	u := &fakeUpstream{
 		Upstream: &tracker.Upstream{
 			Name:    "u1",
 			Service: "s",
@@ -70,7 +70,7 @@
 	return u
 }
 
-func (u *upstream) serve(c net.Conn) {
+func (u *fakeUpstream) serve(c net.Conn) {
 	defer func() { _ = c.Close() }()
 	u.mu.Lock()
 	u.connections++
@@ -91,7 +91,7 @@
 		u.heads = append(u.heads, head)
 		u.mu.Unlock()
 		text := u.answer(connection, number, head)
-		text, ends := strings.CutSuffix(text, closeMark)
+		text, ends := strings.CutSuffix(text, closeMarker)
 		_, _ = io.WriteString(c, text)
 		if text == "" || ends {
 			return
@@ -99,16 +99,16 @@
 	}
 }
 
-func (u *upstream) counts() (connections, requests int) {
+func (u *fakeUpstream) counts() (connections, requests int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.connections, len(u.heads)
 }
 
-// dialect is a protocol of three headers.
-type dialect struct{}
+// fakeDialect is a minimal protocol that uses only headers.
+type fakeDialect struct{}
 
-func (dialect) Head(call *dispatcher.Call, sending Sending) http.Header {
+func (fakeDialect) Head(call *dispatcher.Call, sending Sending) http.Header {
 	header := http.Header{"Id": {string(call.ID)}}
 	if sending.From > 0 {
 		header["From"] = []string{strconv.FormatInt(int64(sending.From), 10)}
@@ -116,7 +116,7 @@
 	return header
 }
 
-func (dialect) Read(call *dispatcher.Call, _ *tracker.Upstream, status int, header http.Header) Verdict {
+func (fakeDialect) Read(call *dispatcher.Call, _ *tracker.Upstream, status int, header http.Header) Verdict {
 	return Verdict{
 		Own:     header.Get("Id") == string(call.ID),
 		NotRun:  header.Get("Not-Run") != "",
@@ -126,33 +126,33 @@
 	}
 }
 
-// guard lets calls out until it is closed.
-type guard struct{ err error }
+// fakeGuard refuses calls with err if it is set.
+type fakeGuard struct{ err error }
 
-func (g *guard) Check(*dispatcher.Call) (time.Duration, error) { return time.Second, g.err }
+func (g *fakeGuard) Check(*dispatcher.Call) (time.Duration, error) { return time.Second, g.err }
 
-// sink keeps what the caller gets.
-type sink struct {
+// recordingSink records what the caller receives.
+type recordingSink struct {
 	text  strings.Builder
 	ended bool
 }
 
-func (s *sink) Answer(*dispatcher.Answer) error { return nil }
-func (s *sink) Begin(http.Header) error         { return nil }
-func (s *sink) Event(_ units.Tokens, data []byte) error {
+func (s *recordingSink) Answer(*dispatcher.Answer) error { return nil }
+func (s *recordingSink) Begin(http.Header) error         { return nil }
+func (s *recordingSink) Event(_ units.Tokens, data []byte) error {
 	s.text.Write(data)
 	return nil
 }
 
-func (s *sink) End() error {
+func (s *recordingSink) End() error {
 	s.ended = true
 	return nil
 }
 
-func newExchanger(g *guard) *Exchanger {
+func newExchanger(g *fakeGuard) *Exchanger {
 	return &Exchanger{
 		Pool:    &Pool{Most: func(*tracker.Upstream) int { return 2 }},
-		Dialect: dialect{},
+		Dialect: fakeDialect{},
 		Guard:   g,
 	}
 }
@@ -168,52 +168,52 @@
 }
 
 const (
-	okHead = "HTTP/1.1 200 OK\r\nId: c1\r\nProof: p\r\n"
-	whole  = okHead + "Content-Length: 2\r\n\r\nhi"
+	okHead      = "HTTP/1.1 200 OK\r\nId: c1\r\nProof: p\r\n"
+	wholeAnswer = okHead + "Content-Length: 2\r\n\r\nhi"
 )
 
-// An upstream answers late, twice, with another call's answer, cut short or not
-// at all. A caller must get the whole answer to its own call or learn that
-// nobody knows; what provably did not run must be told apart, since it alone may
-// be sent again where a call may run once.
-func TestEndsOfAnExchange(t *testing.T) {
+// An upstream answers late, twice, with another call's answer, with a truncated one or
+// not at all. A caller must get the complete answer to its own call or the information
+// that the outcome is unknown. Calls that provably did not run must be reported as such,
+// since only these may be resent where a call may run at most once.
+func TestExchangeResults(t *testing.T) {
 	cases := map[string]struct {
 		answer string
 		want   dispatcher.ResultKind
 		body   string
-		// again says that the next call may use the connection.
-		again bool
+		// reusable is set where the next call may use the connection.
+		reusable bool
 	}{
-		"whole":                      {answer: whole, want: dispatcher.Answered, body: "hi", again: true},
-		"in chunks":                  {answer: okHead + "Transfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n", want: dispatcher.Answered, body: "hi", again: true},
-		"ends with its connection":   {answer: okHead + "\r\nhi" + closeMark, want: dispatcher.Answered, body: "hi"},
-		"behind an announcement":     {answer: "HTTP/1.1 102 Processing\r\n\r\n" + whole, want: dispatcher.Answered, body: "hi", again: true},
+		"whole":                      {answer: wholeAnswer, want: dispatcher.Answered, body: "hi", reusable: true},
+		"in chunks":                  {answer: okHead + "Transfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n", want: dispatcher.Answered, body: "hi", reusable: true},
+		"ends with its connection":   {answer: okHead + "\r\nhi" + closeMarker, want: dispatcher.Answered, body: "hi"},
+		"after an informational one": {answer: "HTTP/1.1 102 Processing\r\n\r\n" + wholeAnswer, want: dispatcher.Answered, body: "hi", reusable: true},
 		"asks to close":              {answer: okHead + "Connection: close\r\nContent-Length: 2\r\n\r\nhi", want: dispatcher.Answered, body: "hi"},
-		"bytes behind it":            {answer: whole + "HTTP/1.1 200 OK\r\n", want: dispatcher.Answered, body: "hi"},
-		"a failure of its own":       {answer: "HTTP/1.1 500 No\r\nId: c1\r\nContent-Length: 0\r\n\r\n", want: dispatcher.Answered, again: true},
+		"bytes after it":             {answer: wholeAnswer + "HTTP/1.1 200 OK\r\n", want: dispatcher.Answered, body: "hi"},
+		"a failure of its own":       {answer: "HTTP/1.1 500 No\r\nId: c1\r\nContent-Length: 0\r\n\r\n", want: dispatcher.Answered, reusable: true},
 		"of another call":            {answer: "HTTP/1.1 200 OK\r\nId: c2\r\nProof: p\r\nContent-Length: 2\r\n\r\nhi", want: dispatcher.Lost},
 		"without its proof":          {answer: "HTTP/1.1 200 OK\r\nId: c1\r\nContent-Length: 2\r\n\r\nhi", want: dispatcher.Lost},
-		"cut in the body":            {answer: okHead + "Content-Length: 5\r\n\r\nhi" + closeMark, want: dispatcher.Lost},
-		"cut in the chunks":          {answer: okHead + "Transfer-Encoding: chunked\r\n\r\n5\r\nhi" + closeMark, want: dispatcher.Lost},
-		"cut in the head":            {answer: "HTTP/1.1 200 OK\r\nId: c1" + closeMark, want: dispatcher.Lost},
+		"cut in the body":            {answer: okHead + "Content-Length: 5\r\n\r\nhi" + closeMarker, want: dispatcher.Lost},
+		"cut in the chunks":          {answer: okHead + "Transfer-Encoding: chunked\r\n\r\n5\r\nhi" + closeMarker, want: dispatcher.Lost},
+		"cut in the head":            {answer: "HTTP/1.1 200 OK\r\nId: c1" + closeMarker, want: dispatcher.Lost},
 		"no answer":                  {answer: "", want: dispatcher.Lost},
-		"no HTTP":                    {answer: "garbage\r\n\r\n" + closeMark, want: dispatcher.Lost},
-		"refused before it ran":      {answer: "HTTP/1.1 503 Busy\r\nId: c1\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n", want: dispatcher.NotRun, again: true},
+		"no HTTP":                    {answer: "garbage\r\n\r\n" + closeMarker, want: dispatcher.Lost},
+		"refused before it ran":      {answer: "HTTP/1.1 503 Busy\r\nId: c1\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n", want: dispatcher.NotRun, reusable: true},
 		"refusal of another call":    {answer: "HTTP/1.1 503 Busy\r\nId: c2\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n", want: dispatcher.Lost},
-		"refused and then cut short": {answer: "HTTP/1.1 503 Busy\r\nId: c1\r\nNot-Run: 1\r\nContent-Length: 9\r\n\r\n" + closeMark, want: dispatcher.NotRun},
+		"refused and then cut short": {answer: "HTTP/1.1 503 Busy\r\nId: c1\r\nNot-Run: 1\r\nContent-Length: 9\r\n\r\n" + closeMarker, want: dispatcher.NotRun},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			u := newUpstream(t, func(int, int, string) string { return c.answer })
-			x := newExchanger(&guard{})
-			result := x.Exchange(t.Context(), newCall(), 1, u.Upstream, &dispatcher.Stream{Sink: &sink{}})
+			x := newExchanger(&fakeGuard{})
+			result := x.Exchange(t.Context(), newCall(), 1, u.Upstream, &dispatcher.Stream{Sink: &recordingSink{}})
 			if result.Kind != c.want {
-				t.Fatalf("end: got %v (%v), want %v", result.Kind, result.Err, c.want)
+				t.Fatalf("result: got %v (%v), want %v", result.Kind, result.Err, c.want)
 			}
 			if result.Answer != nil && string(result.Answer.Body) != c.body {
 				t.Errorf("body: got %q, want %q", result.Answer.Body, c.body)
 			}
-			if got, want := x.Pool.Idle(u.Upstream), c.again; got != want {
+			if got, want := x.Pool.Idle(u.Upstream), c.reusable; got != want {
 				t.Errorf("connection kept: got %t, want %t", got, want)
 			}
 			if got, want := u.heads[0], "POST /a/b?c=%20d h.example body"; got != want {
@@ -223,13 +223,13 @@
 	}
 }
 
-// An upstream closes a connection that waits in the pool, or puts bytes on it
-// that nobody asked for. The next call must go out on a new one: on the old one it
-// would be lost, or get those bytes as its answer.
+// An upstream closes an idle connection, or sends unrequested bytes on it. The next call
+// must use a new connection: on the old one it would be lost, or get those bytes as its
+// answer.
 func TestDeadConnectionsAreNotUsed(t *testing.T) {
 	cases := map[string]string{
-		"closed":             whole + closeMark,
-		"an answer too many": whole + whole,
+		"closed":          wholeAnswer + closeMarker,
+		"an extra answer": wholeAnswer + wholeAnswer,
 	}
 	for name, first := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -237,17 +237,17 @@
 				if connection == 1 {
 					return first
 				}
-				return whole
+				return wholeAnswer
 			})
-			x := newExchanger(&guard{})
+			x := newExchanger(&fakeGuard{})
 			for range 3 {
-				result := x.Exchange(t.Context(), newCall(), 1, u.Upstream, &dispatcher.Stream{Sink: &sink{}})
+				result := x.Exchange(t.Context(), newCall(), 1, u.Upstream, &dispatcher.Stream{Sink: &recordingSink{}})
 				if result.Kind != dispatcher.Answered {
-					t.Fatalf("end: got %v (%v), want it answered", result.Kind, result.Err)
+					t.Fatalf("result: got %v (%v), want it answered", result.Kind, result.Err)
 				}
-				// What follows the first answer arrives before the next call.
+				// Waits until what follows the first answer has arrived.
 				for deadline := time.Now().Add(time.Second); x.Pool.Idle(u.Upstream) && time.Now().Before(deadline); {
-					stale := x.Pool.stale()
+					stale := x.Pool.removeStale()
 					for _, c := range stale {
 						x.Pool.drop(c)
 					}
@@ -257,21 +257,21 @@
 				}
 			}
 			if got, _ := u.counts(); got != 2 {
-				t.Errorf("connections: got %d, want the first and one that stays", got)
+				t.Errorf("connections: got %d, want 2: the first and one that is reused", got)
 			}
 		})
 	}
 }
 
-// A machine is suspended, or a key is taken away, between the choice of an
-// upstream and the first byte. Nothing may go out, and that must be known.
-func TestGuardStopsBeforeTheFirstByte(t *testing.T) {
-	u := newUpstream(t, func(int, int, string) string { return whole })
-	closed := errors.New("too late")
-	x := newExchanger(&guard{err: closed})
-	result := x.Exchange(t.Context(), newCall(), 1, u.Upstream, &dispatcher.Stream{Sink: &sink{}})
-	if result.Kind != dispatcher.NotRun || !errors.Is(result.Err, closed) {
-		t.Errorf("end: got %v (%v), want it not run", result.Kind, result.Err)
+// The instance is suspended, or a key is revoked, between the choice of an upstream and
+// the first byte. Nothing may be sent, and the result must say so.
+func TestGuardRefusesBeforeTheFirstByte(t *testing.T) {
+	u := newUpstream(t, func(int, int, string) string { return wholeAnswer })
+	refusal := errors.New("too late")
+	x := newExchanger(&fakeGuard{err: refusal})
+	result := x.Exchange(t.Context(), newCall(), 1, u.Upstream, &dispatcher.Stream{Sink: &recordingSink{}})
+	if result.Kind != dispatcher.NotRun || !errors.Is(result.Err, refusal) {
+		t.Errorf("result: got %v (%v), want it not run", result.Kind, result.Err)
 	}
 	if _, requests := u.counts(); requests != 0 {
 		t.Errorf("requests at the upstream: got %d, want none", requests)
@@ -281,14 +281,14 @@
 func TestUnreachableUpstreamDidNotRun(t *testing.T) {
 	u := newUpstream(t, nil)
 	_ = u.listener.Close()
-	result := newExchanger(&guard{}).Exchange(t.Context(), newCall(), 1, u.Upstream, &dispatcher.Stream{Sink: &sink{}})
+	result := newExchanger(&fakeGuard{}).Exchange(t.Context(), newCall(), 1, u.Upstream, &dispatcher.Stream{Sink: &recordingSink{}})
 	if result.Kind != dispatcher.NotRun || !result.Unreached {
-		t.Errorf("end: got %v, unreached %t, want it not run and unreached", result.Kind, result.Unreached)
+		t.Errorf("result: got %v, unreached %t, want it not run and unreached", result.Kind, result.Unreached)
 	}
 }
 
-// A caller leaves while its call waits. The upstream must see the connection end,
-// or it works on for nobody.
+// A caller leaves while its call waits. The connection must be closed; otherwise the
+// upstream would continue to work for nobody.
 func TestCallerWhoLeavesEndsTheExchange(t *testing.T) {
 	reached := make(chan struct{})
 	release := make(chan struct{})
@@ -297,35 +297,35 @@
 		<-release
 		return ""
 	})
-	ctx, leave := context.WithCancel(t.Context())
+	ctx, cancel := context.WithCancel(t.Context())
 	go func() {
 		<-reached
-		leave()
+		cancel()
 	}()
-	x := newExchanger(&guard{})
-	result := x.Exchange(ctx, newCall(), 1, u.Upstream, &dispatcher.Stream{Sink: &sink{}})
+	x := newExchanger(&fakeGuard{})
+	result := x.Exchange(ctx, newCall(), 1, u.Upstream, &dispatcher.Stream{Sink: &recordingSink{}})
 	close(release)
 	if result.Kind != dispatcher.CallerGone {
-		t.Errorf("end: got %v, want the caller gone", result.Kind)
+		t.Errorf("result: got %v, want the caller gone", result.Kind)
 	}
 	if x.Pool.Idle(u.Upstream) {
 		t.Error("connection kept: got it, want it closed")
 	}
 }
 
-// The bound on connections is the upstream's, over all entries; beyond it the
-// upstream resets connections that carry calls.
+// An upstream limits its connections from all entries together; beyond the limit it
+// resets connections that carry calls.
 func TestConnectionsAreBounded(t *testing.T) {
 	release := make(chan struct{})
 	u := newUpstream(t, func(int, int, string) string {
 		<-release
-		return whole
+		return wholeAnswer
 	})
-	x := newExchanger(&guard{})
+	x := newExchanger(&fakeGuard{})
 	var calls sync.WaitGroup
 	for range 2 {
 		calls.Go(func() {
-			_ = x.Exchange(t.Context(), newCall(), 1, u.Upstream, &dispatcher.Stream{Sink: &sink{}})
+			_ = x.Exchange(t.Context(), newCall(), 1, u.Upstream, &dispatcher.Stream{Sink: &recordingSink{}})
 		})
 	}
 	for {
@@ -333,12 +333,12 @@
 			break
 		}
 	}
-	result := x.Exchange(t.Context(), newCall(), 1, u.Upstream, &dispatcher.Stream{Sink: &sink{}})
+	result := x.Exchange(t.Context(), newCall(), 1, u.Upstream, &dispatcher.Stream{Sink: &recordingSink{}})
 	close(release)
 	calls.Wait()
-	var full *FullError
-	if result.Kind != dispatcher.NotRun || !errors.As(result.Err, &full) || result.Unreached {
-		t.Errorf("third call: got %v (%v), want it not run for want of a connection", result.Kind, result.Err)
+	var limitErr *ConnectionLimitError
+	if result.Kind != dispatcher.NotRun || !errors.As(result.Err, &limitErr) || result.Unreached {
+		t.Errorf("third call: got %v (%v), want it not run because of the connection limit", result.Kind, result.Err)
 	}
 }
 
@@ -348,76 +348,76 @@
 	return strconv.FormatInt(int64(len(text)), 16) + "\r\n" + text + "\r\n"
 }
 
-// An engine dies in the middle of an event, and another goes on. The caller must
-// get each event once, whole and in order, and see the end only where the last
-// engine said it.
-func TestStreamGoesOnBehindTheLastWholeEvent(t *testing.T) {
+// An engine dies in the middle of an event, and another one resumes the stream. The caller
+// must get each event once, complete and in order, and the end of the stream only when the
+// last engine sent it.
+func TestStreamResumesAfterTheLastCompleteEvent(t *testing.T) {
 	answers := []string{
-		streamHead + chunk("id: 0\ndata: a\n\n") + chunk("id: 1\ndata: b\n\nid: 2\ndata: ha") + closeMark,
+		streamHead + chunk("id: 0\ndata: a\n\n") + chunk("id: 1\ndata: b\n\nid: 2\ndata: ha") + closeMarker,
 		streamHead + chunk("id: 1\ndata: b\n\n") + chunk("id: 2\ndata: c\n\n") + chunk("data: last\n\n") + "0\r\n\r\n",
 	}
 	u := newUpstream(t, func(connection, _ int, _ string) string { return answers[connection-1] })
-	x := newExchanger(&guard{})
+	x := newExchanger(&fakeGuard{})
 	call := newCall()
 	call.Stream = true
 	call.Repeatable = true
-	s := &sink{}
+	s := &recordingSink{}
 	stream := &dispatcher.Stream{Sink: s}
 	if got, want := x.Exchange(t.Context(), call, 1, u.Upstream, stream).Kind, dispatcher.Lost; got != want {
 		t.Fatalf("first engine: got %v, want %v", got, want)
 	}
 	if got, want := s.text.String(), "id: 0\ndata: a\n\nid: 1\ndata: b\n\n"; got != want || s.ended {
-		t.Fatalf("caller has %q (ended %t), want %q", got, s.ended, want)
+		t.Fatalf("caller received %q (ended %t), want %q", got, s.ended, want)
 	}
 	if got, want := x.Exchange(t.Context(), call, 2, u.Upstream, stream).Kind, dispatcher.Answered; got != want {
 		t.Fatalf("second engine: got %v, want %v", got, want)
 	}
 	if got, want := s.text.String(), "id: 0\ndata: a\n\nid: 1\ndata: b\n\nid: 2\ndata: c\n\ndata: last\n\n"; got != want || !s.ended {
-		t.Errorf("caller has %q (ended %t), want %q", got, s.ended, want)
+		t.Errorf("caller received %q (ended %t), want %q", got, s.ended, want)
 	}
 }
 
-// A stream that may not be repeated is lost with its engine: another run would
-// answer a question that was already answered in part.
+// A stream that may not be repeated is lost with its engine: running the call again would
+// answer it a second time although a part was already delivered.
 func TestCutStreamThatMayNotBeRepeatedIsBroken(t *testing.T) {
 	u := newUpstream(t, func(int, int, string) string {
-		return streamHead + chunk("id: 0\ndata: a\n\n") + closeMark
+		return streamHead + chunk("id: 0\ndata: a\n\n") + closeMarker
 	})
 	call := newCall()
 	call.Stream = true
-	result := newExchanger(&guard{}).Exchange(t.Context(), call, 1, u.Upstream, &dispatcher.Stream{Sink: &sink{}})
+	result := newExchanger(&fakeGuard{}).Exchange(t.Context(), call, 1, u.Upstream, &dispatcher.Stream{Sink: &recordingSink{}})
 	if got, want := result.Kind, dispatcher.Broken; got != want {
-		t.Errorf("end: got %v, want %v", got, want)
+		t.Errorf("result: got %v, want %v", got, want)
 	}
 }
 
-// The engine that goes on has other weights than the one before. Half an answer
-// of each is an answer that no model gave.
-func TestStreamIsNotJoinedOverVersions(t *testing.T) {
+// The engine that resumes a stream has other weights than the one before. An answer with
+// parts from both is one that no model would give.
+func TestStreamIsNotResumedWithAnotherVersion(t *testing.T) {
 	u := newUpstream(t, func(connection, _ int, _ string) string {
 		if connection == 1 {
-			return streamHead + chunk("id: 0\ndata: a\n\n") + closeMark
+			return streamHead + chunk("id: 0\ndata: a\n\n") + closeMarker
 		}
 		return strings.Replace(streamHead, "Version: 1", "Version: 2", 1) + chunk("id: 1\ndata: b\n\n") + "0\r\n\r\n"
 	})
-	x := newExchanger(&guard{})
+	x := newExchanger(&fakeGuard{})
 	call := newCall()
 	call.Stream = true
 	call.Repeatable = true
-	s := &sink{}
+	s := &recordingSink{}
 	stream := &dispatcher.Stream{Sink: s}
 	_ = x.Exchange(t.Context(), call, 1, u.Upstream, stream)
 	if got, want := x.Exchange(t.Context(), call, 2, u.Upstream, stream).Kind, dispatcher.Broken; got != want {
-		t.Errorf("end: got %v, want %v", got, want)
+		t.Errorf("result: got %v, want %v", got, want)
 	}
 	if strings.Contains(s.text.String(), "data: b") {
-		t.Error("caller got events of another version")
+		t.Error("caller got events of another version, want none")
 	}
 }
 
-// An upstream answers a large request before it has read it, and reads on. The
-// next call's head would be taken for the rest of the body.
-func TestConnectionOfAnEarlyAnswerIsClosed(t *testing.T) {
+// An upstream answers a large request before it has read the body, and continues to read.
+// It would take the next call's head for the rest of the body.
+func TestConnectionIsClosedAfterAnEarlyAnswer(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -430,17 +430,17 @@
 		}
 		defer func() { _ = c.Close() }()
 		_, _ = bufio.NewReader(c).ReadString('\n')
-		_, _ = io.WriteString(c, whole)
-		// Nothing is read until the caller gives the connection up.
+		_, _ = io.WriteString(c, wholeAnswer)
+		// The body is not read before the answer is sent.
 		_, _ = io.Copy(io.Discard, c)
 	})
 	u := &tracker.Upstream{Name: "u1", Address: listener.Addr().String(), Local: &tracker.LocalState{}}
-	x := newExchanger(&guard{})
+	x := newExchanger(&fakeGuard{})
 	call := newCall()
 	call.Body = make([]byte, 64<<20)
-	result := x.Exchange(t.Context(), call, 1, u, &dispatcher.Stream{Sink: &sink{}})
+	result := x.Exchange(t.Context(), call, 1, u, &dispatcher.Stream{Sink: &recordingSink{}})
 	if got, want := result.Kind, dispatcher.Answered; got != want {
-		t.Errorf("end: got %v (%v), want %v", got, result.Err, want)
+		t.Errorf("result: got %v (%v), want %v", got, result.Err, want)
 	}
 	if x.Pool.Idle(u) {
 		t.Error("connection kept: got it, want it closed")
@@ -449,7 +449,7 @@
 	served.Wait()
 }
 
-func TestKeepAlive(t *testing.T) {
+func TestParseKeepAlive(t *testing.T) {
 	cases := map[string]struct {
 		value string
 		want  time.Duration
@@ -462,7 +462,7 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			if got, found := keepAlive(c.value); got != c.want || found != c.found {
+			if got, found := parseKeepAlive(c.value); got != c.want || found != c.found {
 				t.Errorf("idle timeout: got %v %t, want %v %t", got, found, c.want, c.found)
 			}
 		})
--- a/src/exchanger/pool.go
+++ b/src/exchanger/pool.go
@@ -16,51 +16,51 @@
 )
 
 const (
-	// mostDial bounds the set-up of a connection: some hundred round trips within a
-	// region, and short beside any call's timeout. leastDial is longer than a busy
-	// instance takes to see an answer, and dialTimes how many times the usual set-up one
-	// may take.
-	mostDial  = 400 * time.Millisecond
-	leastDial = 80 * time.Millisecond
-	dialTimes = 20
-	// defaultIdle is how long an idle connection is kept where the upstream does
-	// not say how long it keeps it.
-	defaultIdle = 4 * time.Second
-	// idleUse is the part of the upstream's idle timeout that is used: closer to
-	// its end a request would cross the upstream's close.
-	idleUse = 0.5
-	// ackTimeout ends a connection whose bytes nobody acknowledges. One that has
-	// gone silent would otherwise take calls until the system gives it up after
-	// minutes.
+	// The dial timeout is dialTimeoutFactor times the mean dial time, within these bounds.
+	// maxDialTimeout is some hundred round trips within a region, and short compared to
+	// any call's timeout. minDialTimeout is longer than a busy instance takes to notice
+	// an answer.
+	maxDialTimeout    = 400 * time.Millisecond
+	minDialTimeout    = 80 * time.Millisecond
+	dialTimeoutFactor = 20
+	// defaultIdleTimeout is the upstream's idle timeout where it states none.
+	defaultIdleTimeout = 4 * time.Second
+	// idleTimeoutFraction is the fraction of the upstream's idle timeout for which a
+	// connection is reused. Closer to its end, the upstream could close the
+	// connection while a request is on its way.
+	idleTimeoutFraction = 0.5
+	// ackTimeout is how long sent bytes may stay unacknowledged before the connection
+	// is closed. A silent connection would otherwise get calls until the operating
+	// system gives it up after minutes.
 	ackTimeout = 1200 * time.Millisecond
 	readBuffer = 4 << 10
-	// sweepInterval is how often idle connections are looked through for those
-	// that the upstream has closed.
+	// sweepInterval is how often idle connections that the upstream has closed, or
+	// that are too old, are removed.
 	sweepInterval = time.Second
 )
 
-// Pool keeps connections to upstreams; its fields are set before use.
+// Pool holds connections to upstreams; its exported fields are set before use.
 type Pool struct {
-	// Most returns how many connections to an upstream this entry may have.
+	// Most returns the maximum number of connections of this entry to an upstream.
 	Most func(upstream *tracker.Upstream) int
-	// Opened counts connections that were made; it may be nil.
+	// Opened counts the connections that were opened; it may be nil.
 	Opened interface{ Inc(delta int64) }
 
 	mu    sync.Mutex
-	hosts map[hostKey]*host
-	// usual is how long the set-up of a connection takes, by the last ones.
-	usual time.Duration
+	hosts map[hostKey]*hostConns
+	// meanDialTime is the moving average of the time to open a connection.
+	meanDialTime time.Duration
 }
 
-// hostKey is one life of one upstream at one address: connections to an earlier
-// life lead nowhere, or to another upstream.
+// hostKey identifies one incarnation of an upstream at one address. Connections to an
+// earlier incarnation are dead or lead to another upstream.
 type hostKey struct {
 	address     string
 	name        units.Upstream
 	incarnation units.Incarnation
 }
 
-type host struct {
+type hostConns struct {
 	idle []*conn
 	open int
 }
@@ -71,24 +71,25 @@
 	reader *bufio.Reader
 	key    hostKey
 	live   *tracker.LocalState
-	// reused says that an earlier call went over it.
-	reused bool
-	idleAt time.Time
-	idle   time.Duration
+	// reused is set where the connection has served an earlier call.
+	reused      bool
+	idleSince   time.Time
+	idleTimeout time.Duration
 }
 
-// FullError says that this entry has as many connections to the upstream as it may.
-type FullError struct {
+// ConnectionLimitError is the error where this entry has its maximum number of connections
+// to the upstream open.
+type ConnectionLimitError struct {
 	Upstream units.Upstream
 }
 
 // Error names the remedy.
-func (e *FullError) Error() string {
+func (e *ConnectionLimitError) Error() string {
 	return "all connections to " + string(e.Upstream) + " are in use; raise its limit or add upstreams"
 }
 
-// get returns an idle connection that looks alive, or makes one. fresh asks for a
-// new one, which alone shows that the upstream can be reached.
+// get returns an idle connection that appears to be open, or opens a new one. With fresh
+// it always opens a new one: only that shows that the upstream is reachable.
 func (p *Pool) get(ctx context.Context, upstream *tracker.Upstream, fresh bool) (*conn, error) {
 	key := hostKey{
 		address:     upstream.Address,
@@ -100,7 +101,7 @@
 		if c == nil {
 			break
 		}
-		if c.usable() {
+		if c.isUsable() {
 			c.reused = true
 			return c, nil
 		}
@@ -109,31 +110,32 @@
 	if err := p.reserve(key, upstream); err != nil {
 		return nil, err
 	}
-	began := time.Now()
-	c, err := dial(ctx, upstream.Address, p.patience())
+	started := time.Now()
+	c, err := dial(ctx, upstream.Address, p.dialTimeout())
 	if err != nil {
 		p.release(key)
 		return nil, err
 	}
-	p.learn(time.Since(began))
+	p.recordDialTime(time.Since(started))
 	if p.Opened != nil {
 		p.Opened.Inc(1)
 	}
 	return &conn{
-		Conn:   c,
-		reader: bufio.NewReaderSize(c, readBuffer),
-		key:    key,
-		live:   upstream.Local,
-		idle:   defaultIdle,
+		Conn:        c,
+		reader:      bufio.NewReaderSize(c, readBuffer),
+		key:         key,
+		live:        upstream.Local,
+		idleTimeout: defaultIdleTimeout,
 	}, nil
 }
 
-// Reach makes a connection to an upstream, which is kept for the next call, or says why there
-// is none; an upstream with as many connections as it may have was reached before.
+// Reach opens a connection to an upstream, which is kept for the next call, or returns why
+// it could not. An upstream to which the maximum number of connections is open counts as
+// reachable.
 func (p *Pool) Reach(ctx context.Context, upstream *tracker.Upstream) error {
 	c, err := p.get(ctx, upstream, true)
-	var full *FullError
-	if errors.As(err, &full) {
+	var limitErr *ConnectionLimitError
+	if errors.As(err, &limitErr) {
 		return nil
 	}
 	if err != nil {
@@ -143,36 +145,37 @@
 	return nil
 }
 
-// usualPart is how far one set-up moves the measure of what is usual.
-const usualPart = 0.1
+// dialTimeGain is the weight of the latest dial time in the moving average.
+const dialTimeGain = 0.1
 
-// learn follows how long the set-up of a connection takes.
-func (p *Pool) learn(took time.Duration) {
+// recordDialTime updates the moving average of the time to open a connection.
+func (p *Pool) recordDialTime(dialTime time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.usual == 0 {
-		p.usual = took
+	if p.meanDialTime == 0 {
+		p.meanDialTime = dialTime
 		return
 	}
-	p.usual += time.Duration(usualPart * float64(took-p.usual))
+	p.meanDialTime += time.Duration(dialTimeGain * float64(dialTime-p.meanDialTime))
 }
 
-// patience returns how long the set-up of a connection may take.
+// dialTimeout returns how long opening a connection may take.
 //
-// An upstream that has gone dark answers nothing, and each of hundreds of entries finds
-// it out for itself. With one bound for all networks a call waited as long for it as its
-// caller wants to wait at all. A packet that is lost is sent again after a second, which
-// no such bound outlasts.
-func (p *Pool) patience() time.Duration {
+// An unreachable upstream sends no response, and each of hundreds of entries has to find
+// that out by itself. With one timeout for all networks, a call would spend as long on it
+// as its caller is willing to wait altogether. The timeout does not cover a lost packet,
+// which is resent only after a second.
+func (p *Pool) dialTimeout() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.usual == 0 {
-		return mostDial
+	if p.meanDialTime == 0 {
+		return maxDialTimeout
 	}
-	return min(mostDial, max(leastDial, dialTimes*p.usual))
+	return min(maxDialTimeout, max(minDialTimeout, dialTimeoutFactor*p.meanDialTime))
 }
 
-// pop takes the connection that was used last, which is least likely to be dead.
+// pop returns the most recently used idle connection, which is the least likely to be
+// dead.
 func (p *Pool) pop(key hostKey) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -190,15 +193,15 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.hosts == nil {
-		p.hosts = make(map[hostKey]*host)
+		p.hosts = make(map[hostKey]*hostConns)
 	}
 	h := p.hosts[key]
 	if h == nil {
-		h = &host{}
+		h = &hostConns{}
 		p.hosts[key] = h
 	}
 	if h.open >= p.Most(upstream) {
-		return &FullError{Upstream: upstream.Name}
+		return &ConnectionLimitError{Upstream: upstream.Name}
 	}
 	h.open++
 	return nil
@@ -214,9 +217,9 @@
 	}
 }
 
-// put keeps a connection for the next call.
+// put returns a connection to the pool for the next call.
 func (p *Pool) put(c *conn) {
-	c.idleAt = time.Now()
+	c.idleSince = time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	h := p.hosts[c.key]
@@ -224,13 +227,13 @@
 	c.live.IdleConnections.Add(1)
 }
 
-// drop closes a connection.
+// drop closes a connection and releases its reservation.
 func (p *Pool) drop(c *conn) {
 	_ = c.Close()
 	p.release(c.key)
 }
 
-// Run closes connections that have been idle too long, or that the upstream has
+// Run closes connections that have been idle for too long or that the upstream has
 // closed, until ctx ends.
 func (p *Pool) Run(ctx context.Context) {
 	ticker := time.NewTicker(sweepInterval)
@@ -240,22 +243,22 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			for _, c := range p.stale() {
+			for _, c := range p.removeStale() {
 				p.drop(c)
 			}
 		}
 	}
 }
 
-// stale takes out the idle connections that are of no more use.
-func (p *Pool) stale() []*conn {
+// removeStale removes the idle connections that are no longer usable, and returns them.
+func (p *Pool) removeStale() []*conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var stale []*conn
 	for _, h := range p.hosts {
 		kept := h.idle[:0]
 		for _, c := range h.idle {
-			if c.usable() {
+			if c.isUsable() {
 				kept = append(kept, c)
 				continue
 			}
@@ -267,7 +270,7 @@
 	return stale
 }
 
-// Idle reports whether a connection to the upstream waits for use.
+// Idle reports whether the pool holds an idle connection to the upstream.
 func (p *Pool) Idle(upstream *tracker.Upstream) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -279,28 +282,28 @@
 	return h != nil && len(h.idle) > 0
 }
 
-// usable reports whether a connection is young enough, open, and without bytes
-// that nobody asked for: those would be taken for the next call's answer.
-func (c *conn) usable() bool {
-	if time.Since(c.idleAt) > time.Duration(float64(c.idle)*idleUse) || c.reader.Buffered() > 0 {
+// isUsable reports whether a connection has not been idle for too long, is open, and has
+// no unrequested bytes waiting, which would be taken for the next call's answer.
+func (c *conn) isUsable() bool {
+	if time.Since(c.idleSince) > time.Duration(float64(c.idleTimeout)*idleTimeoutFraction) || c.reader.Buffered() > 0 {
 		return false
 	}
 	raw, err := c.Conn.(syscall.Conn).SyscallConn()
 	if err != nil {
 		return false
 	}
-	quiet := false
+	noData := false
 	err = raw.Read(func(fd uintptr) bool {
 		var b [1]byte
 		_, _, err := unix.Recvfrom(int(fd), b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		quiet = errors.Is(err, unix.EAGAIN)
+		noData = errors.Is(err, unix.EAGAIN)
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && noData
 }
 
-func dial(ctx context.Context, address string, patience time.Duration) (net.Conn, error) {
-	ctx, cancel := context.WithTimeout(ctx, patience)
+func dial(ctx context.Context, address string, timeout time.Duration) (net.Conn, error) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	dialer := &net.Dialer{
 		KeepAliveConfig: net.KeepAliveConfig{
@@ -310,11 +313,11 @@
 			Count:    3,
 		},
 		Control: func(_, _ string, raw syscall.RawConn) error {
-			var failed error
+			var optionErr error
 			err := raw.Control(func(fd uintptr) {
-				failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(ackTimeout.Milliseconds()))
+				optionErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(ackTimeout.Milliseconds()))
 			})
-			return errors.Join(err, failed)
+			return errors.Join(err, optionErr)
 		},
 	}
 	return dialer.DialContext(ctx, "tcp", address)
--- a/src/exchanger/request.go
+++ b/src/exchanger/request.go
@@ -8,15 +8,15 @@
 	"github.com/rosecroft/rosecroft/src/dispatcher"
 )
 
-// heads are reused buffers for the heads of requests.
-var heads = sync.Pool{
+// headBuffers holds reused buffers for the heads of requests.
+var headBuffers = sync.Pool{
 	New: func() any {
 		buffer := make([]byte, 0, 2<<10)
 		return &buffer
 	},
 }
 
-// hopHeaders concern one connection alone and are not passed on.
+// hopHeaders apply to a single connection and are not forwarded.
 var hopHeaders = map[string]bool{
 	"Connection":          true,
 	"Keep-Alive":          true,
@@ -32,12 +32,12 @@
 	"Host":                true,
 }
 
-// IsHop reports whether a header concerns one connection alone.
+// IsHop reports whether a header applies to a single connection only.
 func IsHop(name string) bool { return hopHeaders[name] }
 
-// appendHead writes the head of a request. The body has been read whole, so that
-// its length stands here whatever form the caller sent it in; two lengths that
-// disagree would let one request hide in another.
+// appendHead appends the head of a request to b. The caller's body has been read
+// completely, so the head always states its length, whichever encoding the caller used.
+// Two lengths that disagree would allow request smuggling.
 func appendHead(b []byte, call *dispatcher.Call, header http.Header) []byte {
 	b = append(b, call.Method...)
 	b = append(b, ' ')
--- a/src/forwarder/collect.go
+++ b/src/forwarder/collect.go
@@ -11,13 +11,14 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// discard is the sink of a call whose caller gets the answer whole.
-type discard struct{}
+// discardSink is the sink of a call whose streamed answer is collected into one
+// response.
+type discardSink struct{}
 
-func (discard) Answer(*dispatcher.Answer) error  { return nil }
-func (discard) Begin(http.Header) error          { return nil }
-func (discard) Event(units.Tokens, []byte) error { return nil }
-func (discard) End() error                       { return nil }
+func (discardSink) Answer(*dispatcher.Answer) error  { return nil }
+func (discardSink) Begin(http.Header) error          { return nil }
+func (discardSink) Event(units.Tokens, []byte) error { return nil }
+func (discardSink) End() error                       { return nil }
 
 type wholeAnswer struct {
 	ID      units.CallID    `json:"id"`
@@ -39,12 +40,12 @@
 	Content string `json:"content"`
 }
 
-// collect puts the whole answer together from the stream.
+// collect assembles the whole answer from the stream.
 func (e *exchange) collect() dispatcher.Result {
-	// Without these the caller could not tell a whole answer from one that was
-	// stopped by its limit, nor be billed.
+	// Without a finish reason the caller could not tell a complete answer from one
+	// that was stopped by its token limit, and without usage it could not be billed.
 	if e.stream.FinishReason == nil || e.stream.Usage == nil {
-		return lost(errors.New("the stream ended without a finish reason and usage"))
+		return lostResult(errors.New("the stream ended without a finish reason and usage"))
 	}
 	text := string(e.stream.Text())
 	answer := &wholeAnswer{
@@ -67,7 +68,7 @@
 	}
 	body, err := json.Marshal(answer)
 	if err != nil {
-		return lost(fmt.Errorf("form the whole answer: %w", err))
+		return lostResult(fmt.Errorf("encode the collected answer: %w", err))
 	}
 	return dispatcher.Result{
 		Kind: dispatcher.Answered,
--- a/src/forwarder/doc.go
+++ b/src/forwarder/doc.go
@@ -1,2 +1,2 @@
-// Package forwarder runs one attempt of a call at one upstream and passes on only whole answers.
+// Package forwarder runs one attempt of a call at one upstream and forwards only complete answers.
 package forwarder
--- a/src/forwarder/event.go
+++ b/src/forwarder/event.go
@@ -17,8 +17,8 @@
 	finishKey  = []byte(`"finish_reason":"`)
 )
 
-// chunk is the part of a stream's event that the entry checks.
-type chunk struct {
+// eventFields holds the fields of a stream's event that the entry checks.
+type eventFields struct {
 	ID      string `json:"id"`
 	Choices []struct {
 		Text         string          `json:"text"`
@@ -30,58 +30,60 @@
 	Usage json.RawMessage `json:"usage"`
 }
 
-// eventReader reads one stream's events into buffers that it uses again.
+// eventReader reads one stream's events into reused buffers.
 type eventReader struct {
 	id units.CallID
-	// prefix is how an event of this call begins where its id stands first.
-	prefix []byte
-	text   []byte
-	// several says that the event just read has more than one token or none.
-	several bool
-	finish  json.RawMessage
-	usage   json.RawMessage
+	// eventPrefix is the beginning of an event of this call whose id comes first.
+	eventPrefix []byte
+	text        []byte
+	// multiple is set where the last event does not have exactly one choice: it may
+	// hold several tokens or none.
+	multiple bool
+	finish   json.RawMessage
+	usage    json.RawMessage
 }
 
 func newEventReader(id units.CallID) *eventReader {
 	return &eventReader{
-		id:     id,
-		prefix: []byte(`{"id":"` + string(id) + `",`),
+		id:          id,
+		eventPrefix: []byte(`{"id":"` + string(id) + `",`),
 	}
 }
 
-// read checks an event and returns its text, which holds until the next event.
+// read checks an event and returns its text, which is valid until the next call.
 //
-// Decoding each event whole would cost more than all else that is done for a
-// token, so that an event of the usual form is searched instead.
+// Decoding each event would cost more than all other work per token, so the text of an
+// event of the usual form is found by a search instead.
 func (r *eventReader) read(data []byte) ([]byte, error) {
-	r.several = false
+	r.multiple = false
 	r.finish = nil
 	r.usage = nil
-	if text, ok := r.plainText(data); ok {
+	if text, ok := r.scanText(data); ok {
 		return text, nil
 	}
 	return r.decode(data)
 }
 
-// plainText finds the text of an event that has this call's id first, one text
-// without escapes, and neither usage nor a reason to finish.
-func (r *eventReader) plainText(data []byte) ([]byte, bool) {
-	if !bytes.HasPrefix(data, r.prefix) || !json.Valid(data) {
+// scanText finds the text of an event without decoding it. It applies only to an event
+// that begins with this call's id and has one text without escapes and neither usage nor
+// a finish reason.
+func (r *eventReader) scanText(data []byte) ([]byte, bool) {
+	if !bytes.HasPrefix(data, r.eventPrefix) || !json.Valid(data) {
 		return nil, false
 	}
 	if bytes.Contains(data, usageKey) || bytes.Contains(data, finishKey) {
 		return nil, false
 	}
 	key := contentKey
-	at := bytes.Index(data, key)
+	start := bytes.Index(data, key)
 	other := bytes.Index(data, textKey)
-	if at < 0 {
-		key, at, other = textKey, other, at
+	if start < 0 {
+		key, start, other = textKey, other, start
 	}
-	if at < 0 || other >= 0 || data[at-1] == '\\' {
+	if start < 0 || other >= 0 || data[start-1] == '\\' {
 		return nil, false
 	}
-	rest := data[at+len(key):]
+	rest := data[start+len(key):]
 	end := bytes.IndexByte(rest, '"')
 	if end < 0 || bytes.IndexByte(rest[:end], '\\') >= 0 || bytes.Contains(rest[end:], key) {
 		return nil, false
@@ -90,14 +92,14 @@
 }
 
 func (r *eventReader) decode(data []byte) ([]byte, error) {
-	var event chunk
+	var event eventFields
 	if err := json.Unmarshal(data, &event); err != nil {
-		return nil, fmt.Errorf("an event is not whole JSON: %w", err)
+		return nil, fmt.Errorf("event is not valid JSON: %w", err)
 	}
 	if event.ID != string(r.id) {
-		return nil, fmt.Errorf("an event belongs to call %q", event.ID)
+		return nil, fmt.Errorf("event belongs to another call, %q", event.ID)
 	}
-	r.several = len(event.Choices) != 1
+	r.multiple = len(event.Choices) != 1
 	r.text = r.text[:0]
 	for _, choice := range event.Choices {
 		r.text = append(r.text, choice.Text...)
@@ -112,8 +114,8 @@
 	return r.text, nil
 }
 
-// note keeps what the event just read says of the stream's end.
-func (r *eventReader) note(stream *dispatcher.Stream) {
+// recordEnd records the finish reason and the usage of the last event in the stream.
+func (r *eventReader) recordEnd(stream *dispatcher.Stream) {
 	if r.finish != nil {
 		stream.FinishReason = r.finish
 	}
--- a/src/forwarder/event_test.go
+++ b/src/forwarder/event_test.go
@@ -17,10 +17,10 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// The text that an entry keeps of a stream is what another engine goes on from.
-// If the quick search for it ever differed from decoding the event, the second
-// half of an answer would follow on something that no caller has seen.
-func TestQuickReadingEqualsDecoding(t *testing.T) {
+// Another engine resumes a stream from the text that the entry has kept of it. If
+// scanning an event ever gave another text than decoding it, the rest of an answer would
+// continue from a text that no caller has seen.
+func TestScanEqualsDecoding(t *testing.T) {
 	words := rapid.SampledFrom([]string{
 		`"text":"`, `\"content\":\"`, `"`, `\`, `{`, `}`, "é", "\n", "usage", "stop", " ", "content", `":"`, "<", "a",
 	})
@@ -49,18 +49,18 @@
 		if cut := rapid.IntRange(0, 5).Draw(t, "cut"); cut == 0 {
 			data = data[:rapid.IntRange(0, len(data)).Draw(t, "length")]
 		}
-		quick := newEventReader("call-1")
-		whole := newEventReader("call-1")
-		got, gotErr := quick.read(data)
-		want, wantErr := whole.decode(data)
+		scanned := newEventReader("call-1")
+		decoded := newEventReader("call-1")
+		got, gotErr := scanned.read(data)
+		want, wantErr := decoded.decode(data)
 		if (gotErr == nil) != (wantErr == nil) {
 			t.Fatalf("%s: got error %v, want %v", data, gotErr, wantErr)
 		}
 		if !bytes.Equal(got, want) {
 			t.Fatalf("%s: got %q, want %q", data, got, want)
 		}
-		if string(quick.finish) != string(whole.finish) {
-			t.Fatalf("%s: got finish %q, want %q", data, quick.finish, whole.finish)
+		if string(scanned.finish) != string(decoded.finish) {
+			t.Fatalf("%s: got finish %q, want %q", data, scanned.finish, decoded.finish)
 		}
 	})
 }
@@ -96,9 +96,8 @@
 	return host
 }
 
-// A caller who wants a whole answer must see no trace of the stream that carried
-// it between entry and engine: finish reason, usage and text must be those that
-// the engine gives to a call that is not streamed.
+// A collected answer must not differ from one that was never streamed: finish reason,
+// usage and text must be those that the engine gives to a call that is not streamed.
 func TestCollectedAnswerEqualsTheEngines(t *testing.T) {
 	host := engineHost(t)
 	cases := map[string]struct {
@@ -118,9 +117,9 @@
 		f := &Forwarder{
 			Pools: &Pools{},
 		}
-		result := f.try(t, call, host.URL, &dispatcher.Stream{})
+		result := f.exchangeAt(t, call, host.URL, &dispatcher.Stream{})
 		if result.Kind != dispatcher.Answered {
-			t.Fatalf("%s: got %v with %v, want an answer", name, result.Kind, result.Err)
+			t.Fatalf("%s: got %v (error %v), want an answer", name, result.Kind, result.Err)
 		}
 		var got wholeAnswer
 		if err := json.Unmarshal(result.Answer.Body, &got); err != nil {
@@ -142,24 +141,24 @@
 	}
 }
 
-// All connections to an engine go silent at once while two of them are idle. A
-// caller who waited for the watchdog on each idle one in turn would wait long and
-// lose the engine; after the first silence a new connection must be made.
-func TestSilenceEmptiesThePool(t *testing.T) {
+// All connections to an engine go silent at the same time while several of them are idle.
+// A call that waited for the watchdog on each of them in turn would wait long and then
+// give up the engine; after the first silent one a new connection must be made.
+func TestSilenceDiscardsThePool(t *testing.T) {
 	host := engineHost(t)
 	f := &Forwarder{
 		Pools: &Pools{},
 	}
-	var both sync.WaitGroup
+	var running sync.WaitGroup
 	for _, id := range []units.CallID{"a", "b", "c"} {
-		both.Go(func() {
+		running.Go(func() {
 			call := streamCall()
 			call.ID = id
 			call.Body = []byte(`{"model":"ember-1","stream":true,"max_tokens":200,"prompt":"x"}`)
-			f.try(t, call, host.URL, &dispatcher.Stream{Sink: &recorded{}})
+			f.exchangeAt(t, call, host.URL, &dispatcher.Stream{Sink: &recordingSink{}})
 		})
 	}
-	both.Wait()
+	running.Wait()
 	request, err := http.NewRequestWithContext(t.Context(), http.MethodPut, host.URL+"/faults", strings.NewReader(`{"silence":true}`))
 	if err != nil {
 		t.Fatal(err)
@@ -169,8 +168,8 @@
 		t.Fatal(err)
 	}
 	_ = response.Body.Close()
-	result := f.try(t, streamCall(), host.URL, &dispatcher.Stream{Sink: &recorded{}})
+	result := f.exchangeAt(t, streamCall(), host.URL, &dispatcher.Stream{Sink: &recordingSink{}})
 	if got, want := result.Kind, dispatcher.Answered; got != want {
-		t.Errorf("call after the silence: got %v with %v, want %v", got, result.Err, want)
+		t.Errorf("call after the silence: got %v (error %v), want %v", got, result.Err, want)
 	}
 }
--- a/src/forwarder/exchange.go
+++ b/src/forwarder/exchange.go
@@ -18,12 +18,13 @@
 )
 
 const (
-	// maxFruitless bounds the connections to one upstream that bring no token.
-	maxFruitless  = 2
-	cancelTimeout = time.Second
+	// maxConnectionsWithoutProgress bounds the consecutive connections to one
+	// upstream that deliver no token.
+	maxConnectionsWithoutProgress = 2
+	cancelTimeout                 = time.Second
 )
 
-var errMoved = errors.New("the stream goes on at another upstream")
+var errMoved = errors.New("the stream was moved to another upstream")
 
 // exchange is one attempt of one call at one upstream, over one or more connections.
 type exchange struct {
@@ -34,59 +35,63 @@
 	stream    *dispatcher.Stream
 	plan      *plan
 	limits    watcher.Limits
-	// watchdog is the open connection's, nil where none watches.
+	// watchdog watches the open connection; it is nil where there is none.
 	watchdog *watcher.Watchdog
 	client   *http.Client
-	// waiting is whether the prompt counts as waiting at the upstream.
-	waiting bool
-	id      mover.StreamID
-	// progress is the stream's offset for readers elsewhere.
+	// prefilling is set while the prompt counts towards the upstream's
+	// unanswered prefill tokens.
+	prefilling bool
+	streamID   mover.StreamID
+	// progress is a copy of the stream's offset for other goroutines.
 	progress atomic.Int64
 
 	mu     sync.Mutex
 	cancel context.CancelCauseFunc
 	moved  bool
-	next   *tracker.Upstream
+	// target is where a moved stream resumes, nil for any upstream.
+	target *tracker.Upstream
 }
 
-// run exchanges until the answer is whole or this upstream gives no more.
+// run exchanges until the answer is complete or this upstream makes no more progress.
 //
-// A connection that is cut or silent says nothing of the engine behind it, so
-// the stream goes on over a new one under the same attempt: an engine that still
-// runs the call hands on what it generates and runs nothing twice.
+// A cut or silent connection does not show that the engine behind it has failed, so the
+// stream resumes over a new connection under the same attempt: an engine that still runs
+// the call continues to deliver its output and runs nothing twice.
 func (e *exchange) run(ctx context.Context) dispatcher.Result {
-	e.limits = watcher.For(e.upstream, recomputes(e.call, e.stream))
-	e.wait(true)
-	defer e.wait(false)
+	e.limits = watcher.For(e.upstream, contextTokens(e.call, e.stream))
+	e.setPrefilling(true)
+	defer e.setPrefilling(false)
 	ran := false
-	for fruitless := 0; ; fruitless++ {
+	for withoutProgress := 0; ; withoutProgress++ {
 		before := e.stream.Offset()
 		result := e.connect(ctx)
 		if e.stream.Offset() > before {
-			fruitless = 0
+			withoutProgress = 0
 		}
 		ran = ran || result.Kind != dispatcher.NotRun
-		if result.Kind == dispatcher.Lost && e.streamed() && fruitless+1 < maxFruitless && ctx.Err() == nil {
+		if result.Kind == dispatcher.Lost && e.isStreamed() && withoutProgress+1 < maxConnectionsWithoutProgress && ctx.Err() == nil {
 			continue
 		}
-		return e.end(ctx, result, ran)
+		return e.finish(ctx, result, ran)
 	}
 }
 
-// end settles what the attempt came to.
-func (e *exchange) end(ctx context.Context, result dispatcher.Result, ran bool) dispatcher.Result {
+// finish turns the last connection's result into the result of the attempt, and cancels
+// the call at the upstream if it may still run there.
+func (e *exchange) finish(ctx context.Context, result dispatcher.Result, ran bool) dispatcher.Result {
 	if result.Kind == dispatcher.Answered {
 		return result
 	}
-	// A refusal on a second connection says nothing of what the first began.
+	// A refusal on a later connection does not show that the call did not run on
+	// an earlier one.
 	if result.Kind == dispatcher.NotRun && ran {
 		result.Kind = dispatcher.Lost
 	}
 	if errors.Is(ctx.Err(), context.Canceled) {
-		result = callerGone(ctx.Err())
+		result = callerGoneResult(ctx.Err())
 	}
 	if ran && e.call.Kind == parser.ModelService {
-		go e.tellCancelled(context.WithoutCancel(ctx))
+		go e.cancelUpstream(context.WithoutCancel(ctx))
 	}
 	if result.Kind == dispatcher.Lost && e.stream.Offset() > 0 && !e.plan.resumable {
 		result.Kind = dispatcher.Broken
@@ -94,9 +99,9 @@
 	return result
 }
 
-// tellCancelled asks the upstream to end the call, so that a slot and its
-// memory serve no one who reads no more.
-func (e *exchange) tellCancelled(ctx context.Context) {
+// cancelUpstream asks the upstream to end the call, so that its slot and memory are freed
+// when nobody reads the answer any more.
+func (e *exchange) cancelUpstream(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, cancelTimeout)
 	defer cancel()
 	url := e.upstream.Address + "/v1/calls/" + string(e.call.ID)
@@ -110,134 +115,138 @@
 	}
 }
 
-// streamed says whether the upstream streams its answer to this call.
-func (e *exchange) streamed() bool {
-	return e.call.Kind == parser.ModelService && (e.call.Stream || e.plan.collected)
+// isStreamed reports whether the upstream streams its answer to this call.
+func (e *exchange) isStreamed() bool {
+	return e.call.Kind == parser.ModelService && (e.call.Stream || e.plan.collects)
 }
 
-// movable says whether the stream may go on at another upstream by plan.
-func (e *exchange) movable() bool {
-	return e.streamed() && e.plan.resumable && e.call.Repeatable && e.call.Policy == parser.PrefixCost
+// isMovable reports whether the stream may be moved to another upstream while it runs.
+func (e *exchange) isMovable() bool {
+	return e.isStreamed() && e.plan.resumable && e.call.Repeatable && e.call.Policy == parser.PrefixCost
 }
 
-// wait counts the prompt as waiting at the upstream, once.
-func (e *exchange) wait(waiting bool) {
-	if e.waiting == waiting {
+// setPrefilling adds the prompt to the upstream's unanswered prefill tokens, or removes
+// it; it has no effect if the state does not change.
+func (e *exchange) setPrefilling(prefilling bool) {
+	if e.prefilling == prefilling {
 		return
 	}
-	e.waiting = waiting
+	e.prefilling = prefilling
 	prompt := int64(e.call.Prompt)
-	if !waiting {
+	if !prefilling {
 		prompt = -prompt
 	}
 	e.upstream.Local.PrefillTokens.Add(prompt)
 }
 
-// connect exchanges over one connection.
+// connect runs the exchange over one connection.
 func (e *exchange) connect(ctx context.Context) dispatcher.Result {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	if !e.open(cancel) {
-		return e.movedOn()
+	if !e.setCancel(cancel) {
+		return e.movedResult()
 	}
 	request, err := e.request(ctx)
 	if err != nil {
-		return notRun(err)
+		return notRunResult(err)
 	}
 	e.client = e.forwarder.Pools.Client(e.upstream.Address)
-	e.watch(cancel)
-	result := e.pass(request)
+	e.startWatchdog(cancel)
+	result := e.roundTrip(request)
 	if e.watchdog != nil {
 		e.watchdog.Stop()
 	}
 	if result.Kind == dispatcher.Lost && errors.Is(context.Cause(ctx), errMoved) {
-		return e.movedOn()
+		return e.movedResult()
 	}
-	// A connection that was silent or crossed answers has company in the pool.
+	// If one connection was silent or mixed up answers, others in the pool are
+	// likely to do the same.
 	if result.Kind == dispatcher.Lost {
-		e.forwarder.Pools.Renew(e.upstream.Address, e.client)
+		e.forwarder.Pools.Discard(e.upstream.Address, e.client)
 	}
 	return result
 }
 
-// watch sets a watchdog for the answer's header. A plain call that may not be
-// repeated has none: nothing better than its deadline can be done for it.
-func (e *exchange) watch(cancel context.CancelCauseFunc) {
+// startWatchdog starts a watchdog for the answer's header. A plain call that may not be
+// repeated has none: it can only wait until its deadline.
+func (e *exchange) startWatchdog(cancel context.CancelCauseFunc) {
 	e.watchdog = nil
 	limit := e.limits.Accept
 	if e.call.Kind != parser.ModelService {
 		if !e.call.Repeatable {
 			return
 		}
-		limit = max(minSilent, time.Until(e.call.Deadline)/silentShare)
-	} else if !e.streamed() {
-		limit = max(minSilent, time.Until(e.call.Deadline)/silentShare) + e.limits.FirstToken
+		limit = max(minSilence, time.Until(e.call.Deadline)/silenceDivisor)
+	} else if !e.isStreamed() {
+		limit = max(minSilence, time.Until(e.call.Deadline)/silenceDivisor) + e.limits.FirstToken
 	}
 	e.watchdog = watcher.Start(limit, func() {
-		cancel(fmt.Errorf("%s was silent for too long", e.upstream.Name))
+		cancel(fmt.Errorf("%s was silent for longer than its limit", e.upstream.Name))
 	})
 }
 
-// fed allows so much time until the upstream's next sign of life.
-func (e *exchange) fed(limit time.Duration) {
+// feedWatchdog restarts the watchdog with limit as the time until the next data from the
+// upstream.
+func (e *exchange) feedWatchdog(limit time.Duration) {
 	if e.watchdog != nil {
 		e.watchdog.Feed(limit)
 	}
 }
 
-func (e *exchange) pass(request *http.Request) dispatcher.Result {
+func (e *exchange) roundTrip(request *http.Request) dispatcher.Result {
 	response, err := e.client.Do(request)
 	if err != nil {
-		return failed(err)
+		return failedResult(err)
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.Header.Get(HeaderExecuted) == string(dispatcher.ExecutedNo) {
-		return refused(response)
+		return refusedResult(response)
 	}
-	// A connection that crossed answers would hand one caller another's; the id
-	// tells, and an answer without the right one counts as lost.
+	// A connection that mixes up answers would give a caller the answer to another
+	// call; an answer that does not echo the call's id therefore counts as lost.
 	if echoed := response.Header.Get(HeaderCall); echoed != string(e.call.ID) {
-		return lost(fmt.Errorf("the upstream answered call %q", echoed))
+		return lostResult(fmt.Errorf("the upstream answered call %q", echoed))
 	}
-	// An engine that changed its version since it announced itself answers with
-	// another model than the configuration asks for.
+	// An engine that has changed its model version since its announcement answers
+	// with a model other than the one that the configuration asks for.
 	version := units.ModelVersion(response.Header.Get(HeaderModelVersion))
 	if announced := e.upstream.ModelVersion; announced != "" && version != "" && version != announced {
-		return lost(fmt.Errorf("the upstream answered with version %q and announced %q", version, announced))
+		return lostResult(fmt.Errorf("the upstream answered with version %q but announced %q", version, announced))
 	}
-	if e.streamed() && response.StatusCode == http.StatusOK {
-		e.fed(e.limits.FirstToken)
-		return e.passStream(response)
+	if e.isStreamed() && response.StatusCode == http.StatusOK {
+		e.feedWatchdog(e.limits.FirstToken)
+		return e.forwardStream(response)
 	}
-	return passWhole(e.call, response)
+	return readAnswer(e.call, response)
 }
 
-// open lets the stream be moved while the connection is open; it reports false
-// where it has been moved already.
-func (e *exchange) open(cancel context.CancelCauseFunc) bool {
+// setCancel sets the function with which move cancels the open connection. It reports
+// false if the stream has been moved already.
+func (e *exchange) setCancel(cancel context.CancelCauseFunc) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.cancel = cancel
 	return !e.moved
 }
 
-// move ends the exchange so that the stream goes on at next, nil for any upstream.
-func (e *exchange) move(next *tracker.Upstream) {
+// move ends the exchange so that the stream resumes at target, or at any upstream if
+// target is nil.
+func (e *exchange) move(target *tracker.Upstream) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.moved = true
-	e.next = next
+	e.target = target
 	if e.cancel != nil {
 		e.cancel(errMoved)
 	}
 }
 
-func (e *exchange) movedOn() dispatcher.Result {
+func (e *exchange) movedResult() dispatcher.Result {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return dispatcher.Result{
 		Kind: dispatcher.Moved,
-		Next: e.next,
+		Next: e.target,
 		Err:  errMoved,
 	}
 }
--- a/src/forwarder/forwarder.go
+++ b/src/forwarder/forwarder.go
@@ -18,27 +18,27 @@
 )
 
 const (
-	maxAnswer = 16 << 20
-	// silentShare is the part of the time left that a repeatable plain call
-	// waits at a silent upstream before it tries another.
-	silentShare = 2
-	minSilent   = 500 * time.Millisecond
+	maxAnswerBytes = 16 << 20
+	// silenceDivisor divides the time left until the deadline: a repeatable plain
+	// call waits that long at a silent upstream before it tries another.
+	silenceDivisor = 2
+	minSilence     = 500 * time.Millisecond
 )
 
 // Forwarder exchanges calls with upstreams; its fields are set before use.
 type Forwarder struct {
 	Pools *Pools
-	// Reclaimer moves streams away from upstreams that leave; it may be nil.
+	// Reclaimer moves streams away from leaving upstreams; it may be nil.
 	Reclaimer *Reclaimer
 }
 
-// Exchange runs one attempt and says how it ended.
+// Exchange runs one attempt and returns its result.
 func (f *Forwarder) Exchange(ctx context.Context, call *dispatcher.Call, attempt units.Attempt,
 	upstream *tracker.Upstream, stream *dispatcher.Stream,
 ) dispatcher.Result {
-	planned, err := planOf(call)
+	planned, err := newPlan(call)
 	if err != nil {
-		return notRun(err)
+		return notRunResult(err)
 	}
 	e := &exchange{
 		forwarder: f,
@@ -48,76 +48,76 @@
 		stream:    stream,
 		plan:      planned,
 	}
-	if f.Reclaimer != nil && e.movable() {
-		f.Reclaimer.join(e)
-		defer f.Reclaimer.part(e)
+	if f.Reclaimer != nil && e.isMovable() {
+		f.Reclaimer.register(e)
+		defer f.Reclaimer.deregister(e)
 	}
 	return e.run(ctx)
 }
 
-// refused reads a refusal that says that nothing ran.
-func refused(response *http.Response) dispatcher.Result {
-	result := notRun(fmt.Errorf("the upstream refused with status %d", response.StatusCode))
+// refusedResult returns the result for a refusal that states that the call did not run.
+func refusedResult(response *http.Response) dispatcher.Result {
+	result := notRunResult(fmt.Errorf("the upstream refused with status %d", response.StatusCode))
 	if seconds, err := strconv.Atoi(response.Header.Get("Retry-After")); err == nil {
 		result.RetryAfter = time.Duration(seconds) * time.Second
 	}
 	return result
 }
 
-// passWhole reads an answer that is not streamed and checks that it is whole.
-func passWhole(call *dispatcher.Call, response *http.Response) dispatcher.Result {
-	// An answer whose end is only the connection's end may have been cut.
+// readAnswer reads an answer that is not streamed and checks that it is complete.
+func readAnswer(call *dispatcher.Call, response *http.Response) dispatcher.Result {
+	// An answer that is delimited only by the end of its connection may be truncated.
 	if response.ContentLength < 0 && len(response.TransferEncoding) == 0 {
-		return lost(errors.New("the upstream's answer has no length"))
+		return lostResult(errors.New("the upstream's answer has no length"))
 	}
-	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswer+1))
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes+1))
 	if err != nil {
-		return lost(fmt.Errorf("read the answer: %w", err))
+		return lostResult(fmt.Errorf("read the answer: %w", err))
 	}
-	if len(body) > maxAnswer {
-		return lost(fmt.Errorf("the answer is longer than %d bytes", maxAnswer))
+	if len(body) > maxAnswerBytes {
+		return lostResult(fmt.Errorf("the answer is longer than %d bytes", maxAnswerBytes))
 	}
 	if call.Kind == parser.ModelService && !json.Valid(body) {
-		return lost(errors.New("the answer is not whole JSON"))
+		return lostResult(errors.New("the answer is not valid JSON"))
 	}
 	return dispatcher.Result{
 		Kind: dispatcher.Answered,
 		Answer: &dispatcher.Answer{
 			Status: response.StatusCode,
-			Header: passHeaders(response.Header),
+			Header: forwardedHeaders(response.Header),
 			Body:   body,
 		},
 	}
 }
 
-// failed classes an error before any answer. Only a connection that was never
-// made proves that nothing ran.
-func failed(err error) dispatcher.Result {
+// failedResult returns the result for an error before any answer. Only a failure to
+// connect proves that the call did not run.
+func failedResult(err error) dispatcher.Result {
 	var operation *net.OpError
 	if errors.As(err, &operation) && operation.Op == "dial" {
-		result := notRun(err)
+		result := notRunResult(err)
 		result.Unreached = true
 		result.Unsent = true
 		return result
 	}
-	return lost(err)
+	return lostResult(err)
 }
 
-func notRun(err error) dispatcher.Result {
+func notRunResult(err error) dispatcher.Result {
 	return dispatcher.Result{
 		Kind: dispatcher.NotRun,
 		Err:  err,
 	}
 }
 
-func lost(err error) dispatcher.Result {
+func lostResult(err error) dispatcher.Result {
 	return dispatcher.Result{
 		Kind: dispatcher.Lost,
 		Err:  err,
 	}
 }
 
-func callerGone(err error) dispatcher.Result {
+func callerGoneResult(err error) dispatcher.Result {
 	return dispatcher.Result{
 		Kind: dispatcher.CallerGone,
 		Err:  errors.Join(io.ErrClosedPipe, err),
--- a/src/forwarder/forwarder_test.go
+++ b/src/forwarder/forwarder_test.go
@@ -31,19 +31,19 @@
 	os.Exit(m.Run())
 }
 
-// recorded is a sink that keeps what the caller would see.
-type recorded struct {
-	discard
+// recordingSink is a sink that records what the caller would receive.
+type recordingSink struct {
+	discardSink
 	events []string
 	ended  bool
 }
 
-func (r *recorded) Event(offset units.Tokens, data []byte) error {
+func (r *recordingSink) Event(offset units.Tokens, data []byte) error {
 	r.events = append(r.events, fmt.Sprintf("%d %s", offset, data))
 	return nil
 }
 
-func (r *recorded) End() error {
+func (r *recordingSink) End() error {
 	r.ended = true
 	return nil
 }
@@ -84,23 +84,23 @@
 	}
 }
 
-func (f *Forwarder) try(t *testing.T, call *dispatcher.Call, address string, stream *dispatcher.Stream) dispatcher.Result {
+func (f *Forwarder) exchangeAt(t *testing.T, call *dispatcher.Call, address string, stream *dispatcher.Stream) dispatcher.Result {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	return f.Exchange(ctx, call, 1, upstreamAt(address), stream)
 }
 
-// A server takes a charge on a connection that the pool held idle, runs it, and
-// closes the connection before it answers. The HTTP client repeats by itself what
-// it takes for harmless, so the charge would run twice. It must not, whatever the
-// method, the body and the caller's key are.
-func TestClientNeverRepeatsACall(t *testing.T) {
+// A server receives a charge on a reused idle connection, runs it, and closes the
+// connection before it answers. The HTTP client resends requests that it considers safe
+// to repeat, so the charge would run twice. It must not, whatever the method, the body
+// and the caller's key are.
+func TestClientNeverRetriesACall(t *testing.T) {
 	cases := map[string]*dispatcher.Call{
-		"POST with a body":       plainCall(http.MethodPost, `{"flue":1}`),
-		"POST without a body":    plainCall(http.MethodPost, ""),
-		"GET that is no re-read": plainCall(http.MethodGet, ""),
-		"DELETE":                 plainCall(http.MethodDelete, ""),
+		"POST with a body":    plainCall(http.MethodPost, `{"flue":1}`),
+		"POST without a body": plainCall(http.MethodPost, ""),
+		"GET, not repeatable": plainCall(http.MethodGet, ""),
+		"DELETE":              plainCall(http.MethodDelete, ""),
 	}
 	for name, call := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -108,13 +108,13 @@
 			f := &Forwarder{
 				Pools: &Pools{},
 			}
-			first := f.try(t, call, address, &dispatcher.Stream{})
+			first := f.exchangeAt(t, call, address, &dispatcher.Stream{})
 			if got, want := first.Kind, dispatcher.Answered; got != want {
-				t.Fatalf("first exchange: got %v with %v, want %v", got, first.Err, want)
+				t.Fatalf("first exchange: got %v (error %v), want %v", got, first.Err, want)
 			}
-			second := f.try(t, call, address, &dispatcher.Stream{})
+			second := f.exchangeAt(t, call, address, &dispatcher.Stream{})
 			if got, want := second.Kind, dispatcher.Lost; got != want {
-				t.Errorf("exchange that was closed: got %v, want %v", got, want)
+				t.Errorf("exchange over the closed connection: got %v, want %v", got, want)
 			}
 			if got, want := runs(), 2; got != want {
 				t.Errorf("runs: got %d, want %d", got, want)
@@ -123,7 +123,8 @@
 	}
 }
 
-// closingServer answers the first request of all and closes the connection on each later one.
+// closingServer answers the first request and closes the connection without an answer on
+// each later one.
 func closingServer(t *testing.T) (address string, runs func() int) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -168,10 +169,10 @@
 	}
 }
 
-// An upstream answers with another call's id, late, or cuts its answer short.
-// The caller must never see any of it, and the next call must go over another
-// connection, since this one may go on crossing answers.
-func TestDoubtfulAnswerIsNeverPassedOn(t *testing.T) {
+// An upstream answers with another call's id or without one, or truncates its answer. The
+// caller must receive none of it, and the next call must use another connection, since this one may
+// go on mixing up answers.
+func TestUnverifiedAnswerIsNotForwarded(t *testing.T) {
 	cases := map[string]string{
 		"another call's id":       "HTTP/1.1 200 OK\r\nRosecroft-Call: call-2\r\nContent-Length: 2\r\n\r\nok",
 		"no id":                   "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
@@ -208,7 +209,7 @@
 			f := &Forwarder{
 				Pools: &Pools{},
 			}
-			result := f.try(t, plainCall(http.MethodPost, "{}"), "http://"+listener.Addr().String(), &dispatcher.Stream{})
+			result := f.exchangeAt(t, plainCall(http.MethodPost, "{}"), "http://"+listener.Addr().String(), &dispatcher.Stream{})
 			if got, want := result.Kind, dispatcher.Lost; got != want {
 				t.Errorf("result: got %v, want %v", got, want)
 			}
@@ -230,8 +231,8 @@
 	events  string
 }
 
-// scripted serves each script once, in order, and keeps the requests.
-func scripted(t *testing.T, scripts ...script) (address string, seen func() []*http.Request) {
+// scriptedEngine serves each script once, in order, and records the requests.
+func scriptedEngine(t *testing.T, scripts ...script) (address string, seen func() []*http.Request) {
 	t.Helper()
 	var mu sync.Mutex
 	var requests []*http.Request
@@ -268,64 +269,64 @@
 	return text.String()
 }
 
-const done = "data: [DONE]\n\n"
+const doneEvent = "data: [DONE]\n\n"
 
-// A stream breaks off, or a wrong event comes over its connection. The caller
-// must get each token once and in order, from a new connection under the same
-// attempt, or else no more of it; a half answer of another version, call or
-// engine must never follow on the first half.
-func TestStreamGoesOnAtTheExactToken(t *testing.T) {
+// A stream is cut, or its connection delivers a wrong event. The caller must get each
+// remaining token once and in order over a new connection under the same attempt, or no
+// more tokens; the answer must never continue with tokens of another version, call or
+// engine.
+func TestStreamResumesAtTheExactToken(t *testing.T) {
 	cases := map[string]struct {
 		scripts    []script
 		wantTokens int
 		wantKind   dispatcher.ResultKind
 	}{
 		"cut": {
-			scripts:    []script{{"1", events("call-1", 1, 3)}, {"1", events("call-1", 4, 6) + done}},
+			scripts:    []script{{"1", events("call-1", 1, 3)}, {"1", events("call-1", 4, 6) + doneEvent}},
 			wantTokens: 6,
 			wantKind:   dispatcher.Answered,
 		},
 		"repeated tokens": {
-			scripts:    []script{{"1", events("call-1", 1, 3)}, {"1", events("call-1", 1, 6) + done}},
+			scripts:    []script{{"1", events("call-1", 1, 3)}, {"1", events("call-1", 1, 6) + doneEvent}},
 			wantTokens: 6,
 			wantKind:   dispatcher.Answered,
 		},
 		"another call's event": {
-			scripts:    []script{{"1", events("call-1", 1, 3) + events("call-2", 4, 9) + done}, {"1", events("call-1", 4, 6) + done}},
+			scripts:    []script{{"1", events("call-1", 1, 3) + events("call-2", 4, 9) + doneEvent}, {"1", events("call-1", 4, 6) + doneEvent}},
 			wantTokens: 6,
 			wantKind:   dispatcher.Answered,
 		},
 		"half an event": {
-			scripts:    []script{{"1", events("call-1", 1, 3) + "id: 4\ndata: {\"id\":\"call-1\",\"cho\n\n"}, {"1", events("call-1", 4, 6) + done}},
+			scripts:    []script{{"1", events("call-1", 1, 3) + "id: 4\ndata: {\"id\":\"call-1\",\"cho\n\n"}, {"1", events("call-1", 4, 6) + doneEvent}},
 			wantTokens: 6,
 			wantKind:   dispatcher.Answered,
 		},
 		"missing token": {
-			scripts:    []script{{"1", events("call-1", 1, 3) + events("call-1", 5, 9) + done}, {"1", events("call-1", 4, 6) + done}},
+			scripts:    []script{{"1", events("call-1", 1, 3) + events("call-1", 5, 9) + doneEvent}, {"1", events("call-1", 4, 6) + doneEvent}},
 			wantTokens: 6,
 			wantKind:   dispatcher.Answered,
 		},
 		"another version": {
-			scripts:    []script{{"1", events("call-1", 1, 3)}, {"2", events("call-1", 4, 6) + done}},
+			scripts:    []script{{"1", events("call-1", 1, 3)}, {"2", events("call-1", 4, 6) + doneEvent}},
 			wantTokens: 3,
 			wantKind:   dispatcher.Lost,
 		},
 		"no version on the same engine": {
-			scripts:    []script{{"", events("call-1", 1, 3)}, {"", events("call-1", 4, 6) + done}},
+			scripts:    []script{{"", events("call-1", 1, 3)}, {"", events("call-1", 4, 6) + doneEvent}},
 			wantTokens: 6,
 			wantKind:   dispatcher.Answered,
 		},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			address, seen := scripted(t, c.scripts...)
-			sink := &recorded{}
+			address, seen := scriptedEngine(t, c.scripts...)
+			sink := &recordingSink{}
 			f := &Forwarder{
 				Pools: &Pools{},
 			}
-			result := f.try(t, streamCall(), address, &dispatcher.Stream{Sink: sink})
+			result := f.exchangeAt(t, streamCall(), address, &dispatcher.Stream{Sink: sink})
 			if got, want := result.Kind, c.wantKind; got != want {
-				t.Errorf("result: got %v with %v, want %v", got, result.Err, want)
+				t.Errorf("result: got %v (error %v), want %v", got, result.Err, want)
 			}
 			if got, want := sink.ended, c.wantKind == dispatcher.Answered; got != want {
 				t.Errorf("final marker: got %t, want %t", got, want)
@@ -349,12 +350,12 @@
 	}
 }
 
-// An engine changes its model version, and its announcement is still under way
-// when a call arrives there. The caller must get nothing of a version that the
+// An engine changes its model version, and a call arrives there before its new
+// announcement has reached the entry. The caller must get nothing of a version that the
 // configuration does not name; another engine answers.
-func TestChangedVersionIsNotPassedOn(t *testing.T) {
-	address, _ := scripted(t, script{"2", events("call-1", 1, 3) + done}, script{"2", events("call-1", 1, 3) + done})
-	sink := &recorded{}
+func TestChangedVersionIsNotForwarded(t *testing.T) {
+	address, _ := scriptedEngine(t, script{"2", events("call-1", 1, 3) + doneEvent}, script{"2", events("call-1", 1, 3) + doneEvent})
+	sink := &recordingSink{}
 	f := &Forwarder{
 		Pools: &Pools{},
 	}
@@ -369,18 +370,18 @@
 	}
 }
 
-// An engine that names no version dies, and another one that names none takes
-// the stream over. They may hold different weights, so the caller must not get
-// the second half from it.
+// An engine that states no model version dies, and another one that states none takes the
+// stream over. Their weights may differ, so the caller must not get the rest of the
+// answer from it.
 func TestUnversionedStreamIsNotSplicedElsewhere(t *testing.T) {
-	first, _ := scripted(t, script{"", events("call-1", 1, 3)})
-	second, _ := scripted(t, script{"", events("call-1", 4, 6) + done}, script{"", events("call-1", 4, 6) + done})
-	sink := &recorded{}
+	first, _ := scriptedEngine(t, script{"", events("call-1", 1, 3)})
+	second, _ := scriptedEngine(t, script{"", events("call-1", 4, 6) + doneEvent}, script{"", events("call-1", 4, 6) + doneEvent})
+	sink := &recordingSink{}
 	stream := &dispatcher.Stream{Sink: sink}
 	f := &Forwarder{
 		Pools: &Pools{},
 	}
-	f.try(t, streamCall(), first, stream)
+	f.exchangeAt(t, streamCall(), first, stream)
 	other := upstreamAt(second)
 	other.Name = "ember-2"
 	result := f.Exchange(t.Context(), streamCall(), 2, other, stream)
--- a/src/forwarder/lines.go
+++ b/src/forwarder/lines.go
@@ -12,44 +12,44 @@
 )
 
 const (
-	maxEventLine = 1 << 20
-	lineBuffer   = 1 << 10
+	maxEventLineBytes = 1 << 20
+	lineBufferSize    = 1 << 10
 )
 
 var (
-	errCut     = errors.New("the stream ended before its final marker")
-	eventEnd   = []byte("\n\n")
-	idField    = []byte("id: ")
-	dataField  = []byte("data: ")
-	eventField = []byte("event: ")
+	errStreamCut    = errors.New("the stream ended before its final marker")
+	eventTerminator = []byte("\n\n")
+	idField         = []byte("id: ")
+	dataField       = []byte("data: ")
+	eventField      = []byte("event: ")
 )
 
 // lineReader reads a stream's lines through one small buffer.
 type lineReader struct {
 	buffered *bufio.Reader
-	long     []byte
+	longLine []byte
 	// offset is the last event's id.
 	offset units.Tokens
 }
 
 func newLineReader(body io.Reader) *lineReader {
 	return &lineReader{
-		buffered: bufio.NewReaderSize(body, lineBuffer),
+		buffered: bufio.NewReaderSize(body, lineBufferSize),
 	}
 }
 
-// event returns the next event's data, which holds until the next call, and its
-// count of tokens.
-func (l *lineReader) event() (units.Tokens, []byte, error) {
+// nextEvent returns the next event's token offset, which is its id, and its data, which
+// is valid until the next call.
+func (l *lineReader) nextEvent() (units.Tokens, []byte, error) {
 	for {
-		line, err := l.next()
+		line, err := l.nextLine()
 		if errors.Is(err, io.EOF) {
-			return 0, nil, errCut
+			return 0, nil, errStreamCut
 		}
 		if err != nil {
 			return 0, nil, err
 		}
-		// The upstream ends a stream that it cannot finish with an event of its own kind.
+		// An upstream that cannot finish a stream ends it with a named event.
 		if bytes.HasPrefix(line, eventField) {
 			return 0, nil, fmt.Errorf("the upstream ended the stream with %q", line)
 		}
@@ -59,37 +59,38 @@
 		if id, found := bytes.CutPrefix(line, idField); found {
 			number, err := strconv.ParseInt(string(id), 10, 64)
 			if err != nil {
-				return 0, nil, fmt.Errorf("an event's id is no token offset: %w", err)
+				return 0, nil, fmt.Errorf("event id is not a token offset: %w", err)
 			}
 			l.offset = units.Tokens(number)
 		}
 	}
 }
 
-// next returns a line without its end, which holds until the next call. What
-// comes before the stream's end without a line's end was cut and is no line.
-func (l *lineReader) next() ([]byte, error) {
+// nextLine returns the next line without its line ending; it is valid until the next
+// call. Bytes at the end of the stream without a line ending are a truncated line and are
+// dropped.
+func (l *lineReader) nextLine() ([]byte, error) {
 	line, err := l.buffered.ReadSlice('\n')
-	l.long = l.long[:0]
+	l.longLine = l.longLine[:0]
 	for errors.Is(err, bufio.ErrBufferFull) {
-		l.long = append(l.long, line...)
-		if len(l.long) > maxEventLine {
-			return nil, fmt.Errorf("an event is longer than %d bytes", maxEventLine)
+		l.longLine = append(l.longLine, line...)
+		if len(l.longLine) > maxEventLineBytes {
+			return nil, fmt.Errorf("event is longer than %d bytes", maxEventLineBytes)
 		}
 		line, err = l.buffered.ReadSlice('\n')
 	}
 	if err != nil {
 		return nil, err
 	}
-	if len(l.long) > 0 {
-		l.long = append(l.long, line...)
-		line = l.long
+	if len(l.longLine) > 0 {
+		l.longLine = append(l.longLine, line...)
+		line = l.longLine
 	}
 	return bytes.TrimRight(line, "\r\n"), nil
 }
 
-// ready reports whether a whole event can be read without waiting.
-func (l *lineReader) ready() bool {
-	waiting, _ := l.buffered.Peek(l.buffered.Buffered())
-	return bytes.Contains(waiting, eventEnd)
+// hasEvent reports whether the rest of the buffer holds a complete event.
+func (l *lineReader) hasEvent() bool {
+	pending, _ := l.buffered.Peek(l.buffered.Buffered())
+	return bytes.Contains(pending, eventTerminator)
 }
--- a/src/forwarder/reclaim.go
+++ b/src/forwarder/migrator.go
@@ -19,40 +19,40 @@
 )
 
 const (
-	reclaimTick   = 5 * time.Millisecond
+	tickInterval  = 5 * time.Millisecond
 	exportTimeout = 30 * time.Second
-	maxReply      = 4 << 10
+	maxReplyBytes = 4 << 10
 )
 
-// Router chooses where a stream goes on.
+// Router chooses the upstream at which a stream resumes.
 type Router interface {
 	Pick(call *dispatcher.Call, tried []units.Upstream) *tracker.Upstream
 }
 
-// Reclaimer carries out what the mover decides for the streams at upstreams that
-// leave.
+// Reclaimer carries out the mover's actions for the streams at leaving upstreams.
 type Reclaimer struct {
 	Router Router
 	Pools  *Pools
 	Log    zerolog.Logger
 
 	mu        sync.Mutex
-	machine   mover.Mover
+	planner   mover.Mover
 	lastID    mover.StreamID
 	exchanges map[mover.StreamID]*exchange
-	// exports are the exchanges whose export is due.
-	exports []*exchange
-	// woken wakes Run when an upstream leaves.
-	woken chan struct{}
+	// pendingExports are the exchanges whose KV caches are to be exported at the
+	// next tick.
+	pendingExports []*exchange
+	// wake wakes Run when an upstream is leaving.
+	wake chan struct{}
 }
 
-// Notice takes up that an upstream leaves.
+// Notice records that an upstream is leaving.
 func (r *Reclaimer) Notice(upstream *tracker.Upstream) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	event := mover.Noticed{
 		Notice: mover.Notice{
-			Upstream:       lifeOf(upstream),
+			Upstream:       incarnationOf(upstream),
 			LeavesAt:       upstream.LeavesAt,
 			Step:           upstream.Step,
 			BytesPerToken:  upstream.KV.BytesPerToken,
@@ -60,8 +60,8 @@
 		},
 	}
 	for _, e := range r.exchanges {
-		if lifeOf(e.upstream) == lifeOf(upstream) {
-			event.Streams = append(event.Streams, e.state())
+		if incarnationOf(e.upstream) == incarnationOf(upstream) {
+			event.Streams = append(event.Streams, e.moverStream())
 		}
 	}
 	r.Log.Info().
@@ -71,66 +71,67 @@
 		Msg("reclaim-noticed")
 	r.step(event)
 	select {
-	case r.woken <- struct{}{}:
+	case r.wake <- struct{}{}:
 	default:
 	}
 }
 
-// join registers a running exchange.
-func (r *Reclaimer) join(e *exchange) {
+// register registers a running exchange.
+func (r *Reclaimer) register(e *exchange) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.exchanges == nil {
 		r.exchanges = make(map[mover.StreamID]*exchange)
 	}
 	r.lastID++
-	e.id = r.lastID
+	e.streamID = r.lastID
 	e.progress.Store(int64(e.stream.Offset()))
-	r.exchanges[e.id] = e
+	r.exchanges[e.streamID] = e
 	r.step(mover.Joined{
-		Upstream: lifeOf(e.upstream),
-		Stream:   e.state(),
+		Upstream: incarnationOf(e.upstream),
+		Stream:   e.moverStream(),
 	})
 }
 
-// part takes an exchange away at its end.
-func (r *Reclaimer) part(e *exchange) {
+// deregister removes an exchange that has ended.
+func (r *Reclaimer) deregister(e *exchange) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.exchanges, e.id)
+	delete(r.exchanges, e.streamID)
 	r.step(mover.Ended{
-		Upstream: lifeOf(e.upstream),
-		Stream:   e.id,
+		Upstream: incarnationOf(e.upstream),
+		Stream:   e.streamID,
 	})
 }
 
-// NewReclaimer returns a reclaimer without any upstream that leaves.
+// NewReclaimer returns a Reclaimer that knows of no leaving upstream.
 func NewReclaimer(router Router, pools *Pools, log zerolog.Logger) *Reclaimer {
 	return &Reclaimer{
 		Router: router,
 		Pools:  pools,
 		Log:    log,
-		woken:  make(chan struct{}, 1),
+		wake:   make(chan struct{}, 1),
 	}
 }
 
-// Run lets time pass for the machine and carries out its exports until ctx ends.
+// Run ticks the mover while any upstream is leaving and carries out its exports, until
+// ctx ends.
 func (r *Reclaimer) Run(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-r.woken:
-			r.follow(ctx)
+		case <-r.wake:
+			r.tickWhileActive(ctx)
 		}
 	}
 }
 
-// follow ticks while any upstream leaves.
-func (r *Reclaimer) follow(ctx context.Context) {
-	ticker := time.NewTicker(reclaimTick)
+// tickWhileActive ticks until no upstream is leaving any more.
+func (r *Reclaimer) tickWhileActive(ctx context.Context) {
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
-	for r.active() {
+	for r.isActive() {
 		select {
 		case <-ctx.Done():
 			return
@@ -142,37 +143,38 @@
 	}
 }
 
-func (r *Reclaimer) active() bool {
+func (r *Reclaimer) isActive() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.machine.Active()
+	return r.planner.Active()
 }
 
-// tick returns the exchanges whose streams are to be exported.
+// tick reports the streams' progress to the mover and returns the exchanges whose KV
+// caches are to be exported.
 func (r *Reclaimer) tick() []*exchange {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, e := range r.exchanges {
-		if r.machine.Leaving(lifeOf(e.upstream)) {
+		if r.planner.Leaving(incarnationOf(e.upstream)) {
 			r.step(mover.Progressed{
-				Upstream: lifeOf(e.upstream),
-				Stream:   e.state(),
+				Upstream: incarnationOf(e.upstream),
+				Stream:   e.moverStream(),
 			})
 		}
 	}
 	r.step(mover.Ticked{})
-	due := r.exports
-	r.exports = nil
+	due := r.pendingExports
+	r.pendingExports = nil
 	return due
 }
 
-// step drives the machine; the lock is held.
+// step passes an event to the mover and carries out its actions; the lock must be held.
 func (r *Reclaimer) step(event mover.Event) {
-	for _, action := range r.machine.Step(time.Now(), event) {
+	for _, action := range r.planner.Step(time.Now(), event) {
 		switch a := action.(type) {
 		case mover.Export:
 			if e := r.exchanges[a.Stream]; e != nil {
-				r.exports = append(r.exports, e)
+				r.pendingExports = append(r.pendingExports, e)
 			}
 		case mover.Recompute:
 			if e := r.exchanges[a.Stream]; e != nil {
@@ -183,9 +185,9 @@
 	}
 }
 
-// export brings a stream's KV cache to another upstream and lets it go on there.
-// The stream goes on where it is meanwhile; only the tokens that came after the
-// export began are computed again.
+// export transfers a stream's KV cache to another upstream and moves the stream there.
+// The stream continues at its old upstream in the meantime; only the tokens generated
+// after the export began are computed again.
 func (r *Reclaimer) export(ctx context.Context, e *exchange) {
 	began := time.Now()
 	target := r.Router.Pick(e.call, []units.Upstream{e.upstream.Name})
@@ -203,8 +205,8 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.step(mover.Exported{
-		Upstream: lifeOf(e.upstream),
-		Stream:   e.id,
+		Upstream: incarnationOf(e.upstream),
+		Stream:   e.streamID,
 		Tokens:   tokens,
 		Took:     time.Since(began),
 		Failed:   err != nil,
@@ -223,24 +225,24 @@
 		Source: e.upstream.Address,
 	})
 	if err != nil {
-		return 0, fmt.Errorf("form the import: %w", err)
+		return 0, fmt.Errorf("encode the import request: %w", err)
 	}
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, target.Address+"/v1/kv", bytes.NewReader(body))
 	if err != nil {
-		return 0, fmt.Errorf("form the import: %w", err)
+		return 0, fmt.Errorf("create the import request: %w", err)
 	}
 	request.Header.Set("Content-Type", "application/json")
 	response, err := r.Pools.Client(target.Address).Do(request)
 	if err != nil {
-		return 0, fmt.Errorf("ask %s to import: %w", target.Name, err)
+		return 0, fmt.Errorf("send the import request to %s: %w", target.Name, err)
 	}
 	defer func() { _ = response.Body.Close() }()
-	content, err := io.ReadAll(io.LimitReader(response.Body, maxReply))
+	content, err := io.ReadAll(io.LimitReader(response.Body, maxReplyBytes))
 	if err != nil {
-		return 0, fmt.Errorf("read the import's answer: %w", err)
+		return 0, fmt.Errorf("read the answer to the import request: %w", err)
 	}
 	if response.StatusCode != http.StatusOK {
-		return 0, fmt.Errorf("%s answered %d to the import: %s", target.Name, response.StatusCode, content)
+		return 0, fmt.Errorf("%s answered the import request with status %d: %s", target.Name, response.StatusCode, content)
 	}
 	var reply struct {
 		Tokens units.Tokens `json:"tokens"`
@@ -248,26 +250,26 @@
 	return reply.Tokens, json.Unmarshal(content, &reply)
 }
 
-func (r *Reclaimer) log(e *exchange, what string, err error) {
+func (r *Reclaimer) log(e *exchange, name string, err error) {
 	r.Log.Info().
 		Err(err).
 		Str("call", string(e.call.ID)).
 		Str("upstream", string(e.upstream.Name)).
 		Int64("offset", e.progress.Load()).
-		Msg(what)
+		Msg(name)
 }
 
-// state returns what the mover needs to know of a stream.
-func (e *exchange) state() mover.Stream {
+// moverStream returns the stream's state for the mover.
+func (e *exchange) moverStream() mover.Stream {
 	offset := units.Tokens(e.progress.Load())
 	return mover.Stream{
-		ID:      e.id,
+		ID:      e.streamID,
 		Context: e.call.Prompt + offset,
 		Left:    max(0, e.call.MaxOutput-offset),
 	}
 }
 
-func lifeOf(upstream *tracker.Upstream) mover.Upstream {
+func incarnationOf(upstream *tracker.Upstream) mover.Upstream {
 	return mover.Upstream{
 		Name:        upstream.Name,
 		Incarnation: upstream.Incarnation,
--- a/src/forwarder/pool.go
+++ b/src/forwarder/pool.go
@@ -11,59 +11,61 @@
 )
 
 const (
-	idlePerUpstream = 64
-	idleTimeout     = 30 * time.Second
-	// readerBuffer is small, since each open stream holds one.
-	readerBuffer = 2 << 10
-	maxPools     = 1024
+	maxIdlePerUpstream = 64
+	idleTimeout        = 30 * time.Second
+	// bufferSize is small, since each open stream holds a read buffer.
+	bufferSize = 2 << 10
+	maxPools   = 1024
 )
 
-// Pools holds the connections to upstreams, apart for each address.
+// Pools holds one HTTP client, with its own connection pool, for each upstream address.
 type Pools struct {
-	// TLS is for upstreams that serve over TLS, nil where none does.
+	// TLS is the configuration for upstreams that serve over TLS; it is nil if none
+	// does.
 	TLS *tls.Config
 
-	mu    sync.Mutex
-	pools map[string]*http.Client
+	mu      sync.Mutex
+	clients map[string]*http.Client
 }
 
 // Client returns the client for an upstream's address.
 func (p *Pools) Client(address string) *http.Client {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if client := p.pools[address]; client != nil {
+	if client := p.clients[address]; client != nil {
 		return client
 	}
-	if p.pools == nil {
-		p.pools = make(map[string]*http.Client)
+	if p.clients == nil {
+		p.clients = make(map[string]*http.Client)
 	}
-	if len(p.pools) >= maxPools {
-		p.evict()
+	if len(p.clients) >= maxPools {
+		p.evictOne()
 	}
 	client := p.newClient()
-	p.pools[address] = client
+	p.clients[address] = client
 	return client
 }
 
-// Renew makes all further exchanges with an address use new connections.
+// Discard removes an address's client, so that further exchanges use new connections. It
+// does nothing if the client has been replaced already.
 //
-// Connections that go silent for good do so together: something between the two
-// ends has lost track of them. Without this, each idle connection of the pool
-// would cost one more call its watchdog's time.
-func (p *Pools) Renew(address string, seen *http.Client) {
+// Connections that go silent for good usually do so together, because a device between
+// the two ends has lost their state. Without Discard, each idle connection of the pool
+// would make one more call wait for its watchdog.
+func (p *Pools) Discard(address string, client *http.Client) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.pools[address] != seen {
+	if p.clients[address] != client {
 		return
 	}
-	delete(p.pools, address)
-	seen.CloseIdleConnections()
+	delete(p.clients, address)
+	client.CloseIdleConnections()
 }
 
-// evict drops one pool; what runs over it goes on. The lock is held.
-func (p *Pools) evict() {
-	for address, client := range p.pools {
-		delete(p.pools, address)
+// evictOne drops one client; exchanges that use it continue. The lock must be held.
+func (p *Pools) evictOne() {
+	for address, client := range p.clients {
+		delete(p.clients, address)
 		client.CloseIdleConnections()
 		return
 	}
@@ -76,13 +78,13 @@
 	return &http.Client{
 		Transport: &http.Transport{
 			DialContext:         dialer.DialContext,
-			MaxIdleConnsPerHost: idlePerUpstream,
+			MaxIdleConnsPerHost: maxIdlePerUpstream,
 			IdleConnTimeout:     idleTimeout,
 			DisableCompression:  true,
 			TLSClientConfig:     p.TLS,
 			TLSHandshakeTimeout: watcher.Connect,
-			ReadBufferSize:      readerBuffer,
-			WriteBufferSize:     readerBuffer,
+			ReadBufferSize:      bufferSize,
+			WriteBufferSize:     bufferSize,
 		},
 		CheckRedirect: func(*http.Request, []*http.Request) error {
 			return http.ErrUseLastResponse
--- a/src/forwarder/request.go
+++ b/src/forwarder/request.go
@@ -27,54 +27,57 @@
 	HeaderLastEvent    = "Last-Event-ID"
 )
 
-// seedBits keeps a derived seed exact in readers that hold numbers as doubles.
+// seedBits is the size of a derived seed, which JSON readers that hold numbers as
+// doubles represent exactly.
 const seedBits = 53
 
-// hopHeaders are not passed on in either direction; Authorization holds the
-// caller's key, which is no upstream's business.
+// hopHeaders are not forwarded in either direction. Authorization is among them because
+// it holds the caller's key, which upstreams must not see.
 //
-// Idempotency-Key must stay out too: the HTTP client takes a request that bears
-// it for one that it may send again by itself, so that a charge would run twice.
+// Idempotency-Key is among them because the HTTP client resends a request that has it by
+// itself, so that a charge would run twice.
 var hopHeaders = []string{
 	"Authorization", "Connection", "Content-Length", "Host", "Idempotency-Key", "X-Idempotency-Key",
 	"Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 	HeaderLastEvent,
 }
 
-// ownHeaders are between entries and upstreams alone.
-var ownHeaders = []string{HeaderCall, HeaderAttempt, HeaderExecuted, HeaderModelVersion, HeaderPriority}
+// internalHeaders are used between entries and upstreams only.
+var internalHeaders = []string{HeaderCall, HeaderAttempt, HeaderExecuted, HeaderModelVersion, HeaderPriority}
 
-// plan is how a call's body goes to upstreams.
+// plan is how a call's body is sent to upstreams.
 type plan struct {
 	fields map[string]json.RawMessage
-	// resumable says that the answer is one text, which can go on at an offset.
+	// resumable is set where the answer is a single text, which can resume at an
+	// offset.
 	resumable bool
-	// collected says that the upstream streams what the caller wants whole.
-	collected bool
+	// collects is set where the upstream streams an answer that the caller wants in
+	// one response.
+	collects bool
 }
 
-// collectable are the fields of a request whose whole answer can be put
-// together from a stream; with any other the call runs as it came.
-var collectable = map[string]bool{
+// collectableFields are the request fields with which a whole answer can be assembled
+// from a stream; a request with any other field is sent unchanged in this respect.
+var collectableFields = map[string]bool{
 	"model": true, "messages": true, "prompt": true, "max_tokens": true, "temperature": true, "top_p": true,
 	"top_k": true, "seed": true, "stop": true, "user": true, "stream": true, "n": true,
 	"presence_penalty": true, "frequency_penalty": true,
 }
 
-func planOf(call *dispatcher.Call) (*plan, error) {
+func newPlan(call *dispatcher.Call) (*plan, error) {
 	p := &plan{}
 	if call.Kind != parser.ModelService {
 		return p, nil
 	}
 	if err := json.Unmarshal(call.Body, &p.fields); err != nil {
-		return nil, fmt.Errorf("read the request: %w", err)
+		return nil, fmt.Errorf("decode the request body: %w", err)
 	}
-	p.resumable = single(p.fields["n"]) && single(p.fields["best_of"])
-	p.collected = !call.Stream && p.resumable
+	p.resumable = isSingle(p.fields["n"]) && isSingle(p.fields["best_of"])
+	p.collects = !call.Stream && p.resumable
 	for name := range p.fields {
-		p.collected = p.collected && collectable[name]
+		p.collects = p.collects && collectableFields[name]
 	}
-	if p.collected {
+	if p.collects {
 		p.fields["stream"] = json.RawMessage("true")
 		p.fields["stream_options"] = json.RawMessage(`{"include_usage":true}`)
 	}
@@ -84,17 +87,18 @@
 	return p, nil
 }
 
-func single(count json.RawMessage) bool {
+func isSingle(count json.RawMessage) bool {
 	return len(count) == 0 || string(count) == "1" || string(count) == "null"
 }
 
-// seedOf returns the sampling seed of a call whose caller gave none. Every
-// engine then samples the same way, so that a stream can go on elsewhere.
+// seedOf returns the sampling seed of a call whose caller gave none. All engines then
+// sample alike, so that a stream can resume at another one.
 func seedOf(id units.CallID) uint64 {
 	return xxhash.Sum64String(string(id)) >> (64 - seedBits)
 }
 
-// body returns what to send: the call's body, with the text so far where a stream goes on.
+// body returns the request body: the call's body, with the text generated so far where a
+// stream resumes.
 func (p *plan) body(call *dispatcher.Call, stream *dispatcher.Stream) ([]byte, error) {
 	if p.fields == nil {
 		return call.Body, nil
@@ -102,7 +106,7 @@
 	if stream.Offset() > 0 {
 		text, err := json.Marshal(string(stream.Text()))
 		if err != nil {
-			return nil, fmt.Errorf("form the request to resume: %w", err)
+			return nil, fmt.Errorf("encode the text to resume from: %w", err)
 		}
 		p.fields["continue_text"] = text
 	}
@@ -121,10 +125,10 @@
 	}
 	request, err := http.NewRequestWithContext(ctx, call.Method, address, bytes.NewReader(body))
 	if err != nil {
-		return nil, fmt.Errorf("form the request to %s: %w", e.upstream.Name, err)
+		return nil, fmt.Errorf("create the request to %s: %w", e.upstream.Name, err)
 	}
-	protect(request, call, body)
-	request.Header = passHeaders(call.Header)
+	preventRetry(request, call, body)
+	request.Header = forwardedHeaders(call.Header)
 	request.Header.Set(HeaderCall, string(call.ID))
 	request.Header.Set(HeaderAttempt, strconv.FormatUint(uint64(e.attempt), 10))
 	if call.Account != nil {
@@ -137,10 +141,10 @@
 	return request, nil
 }
 
-// protect keeps the HTTP client from repeating a request on its own, which is
-// the dispatcher's decision. It repeats one whose body it can read anew, and a
-// GET without a body; a body that is set and that it cannot rewind stops both.
-func protect(request *http.Request, call *dispatcher.Call, body []byte) {
+// preventRetry keeps the HTTP client from resending a request by itself, which only the
+// dispatcher may decide. The client resends a request whose body it can rewind and a GET
+// without a body; a body that is set and cannot be rewound prevents both.
+func preventRetry(request *http.Request, call *dispatcher.Call, body []byte) {
 	request.GetBody = nil
 	if call.Repeatable {
 		return
@@ -148,7 +152,7 @@
 	request.Body = io.NopCloser(bytes.NewReader(body))
 }
 
-func passHeaders(header http.Header) http.Header {
+func forwardedHeaders(header http.Header) http.Header {
 	passed := header.Clone()
 	if passed == nil {
 		passed = make(http.Header)
@@ -156,13 +160,14 @@
 	for _, name := range hopHeaders {
 		passed.Del(name)
 	}
-	for _, name := range ownHeaders {
+	for _, name := range internalHeaders {
 		passed.Del(name)
 	}
 	return passed
 }
 
-// recomputes returns the tokens that an upstream must compute before the next one.
-func recomputes(call *dispatcher.Call, stream *dispatcher.Stream) units.Tokens {
+// contextTokens returns how many tokens an upstream must compute before it can generate
+// the next one.
+func contextTokens(call *dispatcher.Call, stream *dispatcher.Stream) units.Tokens {
 	return call.Prompt + stream.Offset()
 }
--- a/src/forwarder/stream.go
+++ b/src/forwarder/stream.go
@@ -12,102 +12,102 @@
 
 const (
 	doneMarker = "[DONE]"
-	// maxPace and paceShare bound how long tokens wait for others: the latter is
-	// a part of the service's target between tokens.
-	maxPace   = 12 * time.Millisecond
-	paceShare = 2
+	// maxBatchInterval and batchDivisor bound how long tokens wait for others:
+	// batchDivisor divides the service's target time between tokens.
+	maxBatchInterval = 12 * time.Millisecond
+	batchDivisor     = 2
 )
 
-// passStream hands a stream's events on, each after a check, until its final marker.
-func (e *exchange) passStream(response *http.Response) dispatcher.Result {
+// forwardStream forwards a stream's events, each after a check, until its final marker.
+func (e *exchange) forwardStream(response *http.Response) dispatcher.Result {
 	version := units.ModelVersion(response.Header.Get(HeaderModelVersion))
-	if e.plan.collected {
-		e.stream.Sink = discard{}
+	if e.plan.collects {
+		e.stream.Sink = discardSink{}
 	}
-	same, err := e.stream.Begin(passHeaders(response.Header), e.upstream, version)
+	joins, err := e.stream.Begin(forwardedHeaders(response.Header), e.upstream, version)
 	if err != nil {
-		return callerGone(err)
+		return callerGoneResult(err)
 	}
-	if !same {
-		return lost(fmt.Errorf("the upstream serves version %q, the stream began with %q", version, e.stream.Version()))
+	if !joins {
+		return lostResult(fmt.Errorf("the upstream serves version %q, but the stream began with version %q", version, e.stream.Version()))
 	}
 	batch, _ := e.stream.Sink.(dispatcher.Batcher)
-	return e.passEvents(response, newLineReader(response.Body), batch)
+	return e.forwardEvents(response, newLineReader(response.Body), batch)
 }
 
-// passEvents hands events on in as few writes as come in reads.
-func (e *exchange) passEvents(response *http.Response, lines *lineReader, batch dispatcher.Batcher) dispatcher.Result {
+// forwardEvents forwards events, those that arrived in one read in one write.
+func (e *exchange) forwardEvents(response *http.Response, lines *lineReader, batch dispatcher.Batcher) dispatcher.Result {
 	reader := newEventReader(e.call.ID)
 	for {
-		offset, data, err := lines.event()
+		offset, data, err := lines.nextEvent()
 		if err != nil {
-			return lost(err)
+			return lostResult(err)
 		}
 		if string(data) == doneMarker {
 			result := e.endStream()
 			e.drain(response)
 			return result
 		}
-		more := lines.ready()
+		more := lines.hasEvent()
 		if batch != nil {
 			batch.Hold(more)
 		}
-		if result, ok := e.passEvent(reader, offset, data); !ok {
+		if result, ok := e.forwardEvent(reader, offset, data); !ok {
 			return result
 		}
 		if !more {
-			e.pause()
+			e.awaitBatch()
 		}
 	}
 }
 
-// pause lets a few tokens come together before the next read. Waking up, reading
-// and writing for each token by itself is most of what a stream costs, and
-// callers see no later than their target allows. All streams of a pace go on at
-// the same moments, so that one wake-up serves many of them.
-func (e *exchange) pause() {
-	pace := min(maxPace, e.call.BetweenTokens/paceShare)
-	if pace <= 0 || e.stream.Offset() == 0 {
+// awaitBatch lets a few tokens accumulate before the next read. Waking up, reading and
+// writing for each single token is most of a stream's cost, and the delay stays within
+// the callers' target. All streams of one interval wake up at the same moments, so that
+// one timer wake-up serves many of them.
+func (e *exchange) awaitBatch() {
+	interval := min(maxBatchInterval, e.call.BetweenTokens/batchDivisor)
+	if interval <= 0 || e.stream.Offset() == 0 {
 		return
 	}
 	now := time.Now()
-	time.Sleep(now.Truncate(pace).Add(pace).Sub(now))
+	time.Sleep(now.Truncate(interval).Add(interval).Sub(now))
 }
 
-func (e *exchange) passEvent(reader *eventReader, offset units.Tokens, data []byte) (dispatcher.Result, bool) {
+func (e *exchange) forwardEvent(reader *eventReader, offset units.Tokens, data []byte) (dispatcher.Result, bool) {
 	text, err := reader.read(data)
 	if err != nil {
-		return lost(err), false
+		return lostResult(err), false
 	}
-	// A token that is missing would leave a hole in the caller's answer, which
-	// no later event closes.
-	if offset > e.stream.Offset()+1 && !reader.several {
-		return lost(fmt.Errorf("token %d came after token %d", offset, e.stream.Offset())), false
+	// A missing token would leave a gap in the caller's answer that no later event
+	// fills.
+	if offset > e.stream.Offset()+1 && !reader.multiple {
+		return lostResult(fmt.Errorf("token %d came after token %d", offset, e.stream.Offset())), false
 	}
-	reader.note(e.stream)
+	reader.recordEnd(e.stream)
 	if err := e.stream.Event(offset, data, text); err != nil {
-		return callerGone(err), false
+		return callerGoneResult(err), false
 	}
-	e.wait(false)
+	e.setPrefilling(false)
 	e.progress.Store(int64(e.stream.Offset()))
-	e.fed(e.limits.BetweenTokens)
+	e.feedWatchdog(e.limits.BetweenTokens)
 	return dispatcher.Result{}, true
 }
 
-// drain reads the end of the exchange behind the final marker, without which
-// the connection could not be used again.
+// drain reads the rest of the response after the final marker; otherwise the connection
+// could not be reused.
 func (e *exchange) drain(response *http.Response) {
-	e.fed(e.limits.BetweenTokens)
-	_, _ = io.CopyN(io.Discard, response.Body, lineBuffer)
+	e.feedWatchdog(e.limits.BetweenTokens)
+	_, _ = io.CopyN(io.Discard, response.Body, lineBufferSize)
 }
 
-// endStream ends the caller's stream, or puts the whole answer together.
+// endStream ends the caller's stream, or assembles the whole answer.
 func (e *exchange) endStream() dispatcher.Result {
-	if e.plan.collected {
+	if e.plan.collects {
 		return e.collect()
 	}
 	if err := e.stream.Sink.End(); err != nil {
-		return callerGone(err)
+		return callerGoneResult(err)
 	}
 	return dispatcher.Result{
 		Kind: dispatcher.Answered,
--- a/src/matcher/declaration.go
+++ b/src/matcher/declaration.go
@@ -6,97 +6,104 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// Kind says what may be repeated on a route.
+// Kind determines whether the calls on a route may be repeated.
 type Kind int
 
 // The kinds of route.
 const (
-	// Idempotent calls may run more than once.
+	// Idempotent routes have calls that may run more than once.
 	Idempotent Kind = iota + 1
-	// Once calls may run at most once for each attempt of the caller.
+	// Once routes have calls that may run at most once for each attempt of the caller.
 	Once
-	// Streaming calls answer with a series of events.
+	// Streaming routes have calls that are answered with a stream of events.
 	Streaming
 )
 
-// Declaration is one whole configuration in which the highest version wins.
+// Declaration is one complete configuration. Of several, the one with the highest version
+// applies.
 type Declaration struct {
 	Version  units.Version
 	Routes   []Route
 	Services []Service
 	Limits   Limits
-	// Accounts is empty where calls need no key.
+	// Accounts is empty where calls need no API key.
 	Accounts []Account
 }
 
-// Route brings the calls to one host and path prefix to its services.
+// Route directs the calls to one host and path prefix to its services.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string
 	Kind   Kind
-	// Timeout is the longest that a call is kept waiting.
+	// Timeout is the maximum time that a call may take.
 	Timeout time.Duration
-	// Target is the time to the answer, or to the first event, that callers want.
+	// Target is the target time to the answer, or to a stream's first event.
 	Target time.Duration
-	// Gap is the longest pause between events that callers want, 0 for none.
+	// Gap is the target for the longest pause between a stream's events, 0 for none.
 	Gap time.Duration
-	// Urgency ranks the route, 0 first.
+	// Urgency ranks the route; 0 is the most urgent.
 	Urgency  int
 	Splits   []Split
 	Attempts int
-	// Anonymous calls need no key.
+	// Anonymous is set where calls need no API key.
 	Anonymous bool
-	// Prompts says that the calls carry prompts whose parts are worth keeping together.
+	// Prompts is set where the calls have prompt prefixes in common, so that calls with
+	// the same prefixes should go to the same upstream.
 	Prompts bool
-	// Resumable streams may go on at another upstream.
+	// Resumable is set where streams may resume at another upstream.
 	Resumable bool
 }
 
-// Split is a service's part of a route's calls.
+// Split is the fraction of a route's calls that goes to a service: its weight in
+// proportion to the sum of the route's weights.
 type Split struct {
 	Service units.Service
 	Weight  int
 }
 
-// Service is one service that routes lead to.
+// Service is a service to which routes direct calls.
 type Service struct {
 	Name       units.Service
 	HealthPath string
-	// Connections is the most that one upstream takes from all callers together.
+	// Connections is the maximum that one upstream accepts from all callers together.
 	Connections int
-	// Engine is nil for a service that generates nothing.
+	// Engine is nil for a service without model engines.
 	Engine *Engine
-	// Scaling is nil for a service of a fixed size.
+	// Scaling is nil for a service of fixed size.
 	Scaling *Scaling
 }
 
 // Engine describes a service's model engines.
 type Engine struct {
-	Slots  int
+	Slots int
+	// Memory is the size of the KV cache.
 	Memory units.Tokens
-	// TokenBytes is the size of one token's memory.
+	// TokenBytes is the size of one token in the KV cache.
 	TokenBytes int64
 	Moves      bool
 	Backups    bool
-	// EventTokens is how many tokens an event of a stream holds.
+	// EventTokens is the number of tokens in one event of a stream.
 	EventTokens int
-	// Watchers is how many callers may wait for an engine's cache events.
+	// Watchers is the maximum number of callers that may wait for an engine's cache
+	// events.
 	Watchers int
 }
 
-// Scaling bounds what may be ordered of a service, in each data centre.
+// Scaling bounds the number of a service's upstreams in each data centre and holds what
+// is needed to plan orders.
 type Scaling struct {
 	Least int
 	Most  int
-	// Boot is the time from the order to the first call.
+	// Boot is the time from the order of an upstream to its first call.
 	Boot time.Duration
-	// ReclaimablePrice is the price of a reclaimable upstream over that of another.
+	// ReclaimablePrice is the price of a reclaimable upstream as a fraction of the full
+	// price.
 	ReclaimablePrice float64
 	Prices           map[units.DataCentre]float64
 }
 
-// Limits bound what a caller may send and how long it may idle.
+// Limits bounds what a caller may send and how long its connection may be idle.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -108,14 +115,14 @@
 type Account struct {
 	Name units.Account
 	Keys []string
-	// Urgency goes before that of the route where HasUrgency is set.
+	// Urgency overrides the route's urgency where HasUrgency is set.
 	Urgency    int
 	HasUrgency bool
-	// ByTokens says that Rate, Burst and Plain count tokens and not calls.
+	// ByTokens is set where Rate, Burst and Plain count tokens instead of calls.
 	ByTokens bool
-	// Plain is what a call that states no tokens counts for.
+	// Plain is what a call that states no tokens counts as.
 	Plain float64
-	// Rate is the limit a second, 0 for none.
+	// Rate is the limit per second, 0 for none.
 	Rate  float64
 	Burst float64
 }
--- a/src/matcher/doc.go
+++ b/src/matcher/doc.go
@@ -1,2 +1,2 @@
-// Package matcher holds configurations where the highest version wins, and finds the route and the account of a call.
+// Package matcher holds versioned configurations, and finds the route and the account of a call.
 package matcher
--- a/src/matcher/matcher_test.go
+++ b/src/matcher/matcher_test.go
@@ -36,15 +36,15 @@
 	}
 }
 
-func TestCheck(t *testing.T) {
+func TestValidate(t *testing.T) {
 	cases := map[string]struct {
 		change func(d *Declaration)
 		valid  bool
 	}{
-		"as it should be":    {change: func(*Declaration) {}, valid: true},
+		"unchanged":          {change: func(*Declaration) {}, valid: true},
 		"no version":         {change: func(d *Declaration) { d.Version = 0 }},
 		"unknown service":    {change: func(d *Declaration) { d.Routes[0].Splits[0].Service = "z" }},
-		"same place":         {change: func(d *Declaration) { d.Routes[1].Prefix = "/x/" }},
+		"same host, prefix":  {change: func(d *Declaration) { d.Routes[1].Prefix = "/x/" }},
 		"weights of 0":       {change: func(d *Declaration) { d.Routes[0].Splits[0].Weight = 0 }},
 		"negative weight":    {change: func(d *Declaration) { d.Routes[1].Splits[1].Weight = -1 }},
 		"no services":        {change: func(d *Declaration) { d.Routes[0].Splits = nil }},
@@ -75,11 +75,11 @@
 func TestRoute(t *testing.T) {
 	table := NewTable(valid())
 	cases := map[string]struct{ host, path, want string }{
-		"longest prefix":   {host: "a.example", path: "/x/y/z", want: "long"},
-		"shorter prefix":   {host: "a.example", path: "/x/z", want: "short"},
-		"port and case":    {host: "A.example:80", path: "/x/", want: "short"},
-		"prefix by letter": {host: "a.example", path: "/xy/", want: ""},
-		"unknown host":     {host: "b.example", path: "/x/", want: ""},
+		"longest prefix":  {host: "a.example", path: "/x/y/z", want: "long"},
+		"shorter prefix":  {host: "a.example", path: "/x/z", want: "short"},
+		"port and case":   {host: "A.example:80", path: "/x/", want: "short"},
+		"partial segment": {host: "a.example", path: "/xy/", want: ""},
+		"unknown host":    {host: "b.example", path: "/x/", want: ""},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -100,7 +100,7 @@
 	}
 }
 
-// A service without weight must never get a call, whatever the chance.
+// A service of weight 0 must never get a call, whatever the random number is.
 func TestChooseNeverPicksWeightZero(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		weights := rapid.SliceOfN(rapid.IntRange(0, 3), 1, 5).Draw(t, "weights")
--- a/src/matcher/rank.go
+++ b/src/matcher/rank.go
@@ -6,17 +6,18 @@
 	"slices"
 )
 
-// mostRanks is how many ranks upstreams tell apart.
-const mostRanks = 10
+// maxRanks is the number of ranks that upstreams distinguish.
+const maxRanks = 10
 
-// Urgencies are what a call is ranked by: that of its account, or of its route where the
-// account has none, and then that of its route.
+// Urgencies is what a call is ranked by: first the urgency of its account, or that of its
+// route if the account has none; then the urgency of its route.
 type Urgencies struct {
 	Urgency int
 	Route   int
 }
 
-// UrgenciesOf returns the urgencies of an account's calls on a route; the account may be nil.
+// UrgenciesOf returns the urgencies of an account's calls on a route. The account may be
+// nil.
 func UrgenciesOf(account *Account, route *Route) Urgencies {
 	u := Urgencies{
 		Urgency: route.Urgency,
@@ -28,26 +29,27 @@
 	return u
 }
 
-// ranksOf returns the rank of all urgencies that calls can have.
+// computeRanks returns the ranks of all urgencies that calls can have, below maxRanks.
 //
-// Most accounts have the same urgency. Ranked by that alone, calls that callers want within
-// some tenths of a second wait at upstreams behind prompts that are read for as long.
-func ranksOf(d *Declaration) map[Urgencies]int {
-	found := make(map[Urgencies]bool)
+// Most accounts have the same urgency. If calls were ranked by that alone, calls with a
+// target of some tenths of a second would wait at upstreams behind prompts whose prefill
+// takes as long.
+func computeRanks(d *Declaration) map[Urgencies]int {
+	urgencies := make(map[Urgencies]bool)
 	for i := range d.Routes {
-		found[UrgenciesOf(nil, &d.Routes[i])] = true
+		urgencies[UrgenciesOf(nil, &d.Routes[i])] = true
 		for j := range d.Accounts {
-			found[UrgenciesOf(&d.Accounts[j], &d.Routes[i])] = true
+			urgencies[UrgenciesOf(&d.Accounts[j], &d.Routes[i])] = true
 		}
 	}
-	sorted := slices.SortedFunc(maps.Keys(found), func(a, b Urgencies) int {
+	sorted := slices.SortedFunc(maps.Keys(urgencies), func(a, b Urgencies) int {
 		return cmp.Or(cmp.Compare(a.Urgency, b.Urgency), cmp.Compare(a.Route, b.Route))
 	})
 	ranks := make(map[Urgencies]int, len(sorted))
 	for i, u := range sorted {
 		ranks[u] = i
-		if len(sorted) > mostRanks {
-			ranks[u] = i * mostRanks / len(sorted)
+		if len(sorted) > maxRanks {
+			ranks[u] = i * maxRanks / len(sorted)
 		}
 	}
 	return ranks
--- a/src/matcher/rank_test.go
+++ b/src/matcher/rank_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 // Guards against quick calls that wait behind long ones of the same account, and against a
-// route that goes before a more urgent account.
+// route's urgency that takes precedence over a more urgent account.
 func TestRank(t *testing.T) {
 	urgent := Account{Name: "urgent", Urgency: 0, HasUrgency: true}
 	usual := Account{Name: "usual", Urgency: 1, HasUrgency: true}
@@ -38,8 +38,9 @@
 	}
 }
 
-// Guards against ranks that upstreams do not know where a configuration has many urgencies.
-func TestManyUrgenciesShareRanks(t *testing.T) {
+// Guards against ranks that upstreams do not support in a configuration with many
+// urgencies.
+func TestRanksAreBounded(t *testing.T) {
 	d := &Declaration{}
 	for i := range 7 {
 		d.Routes = append(d.Routes, Route{Urgency: i})
@@ -50,8 +51,8 @@
 	for i := range d.Accounts {
 		for j := range d.Routes {
 			rank := table.Rank(UrgenciesOf(&d.Accounts[i], &d.Routes[j]))
-			if rank < last || rank >= mostRanks {
-				t.Fatalf("account %d, route %d: got rank %d after %d, want none lower and at most %d", i, j, rank, last, mostRanks-1)
+			if rank < last || rank >= maxRanks {
+				t.Fatalf("account %d, route %d: got rank %d after %d, want none lower and at most %d", i, j, rank, last, maxRanks-1)
 			}
 			last = rank
 		}
--- a/src/matcher/table.go
+++ b/src/matcher/table.go
@@ -7,7 +7,7 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// Table finds routes and accounts; it is not changed once made.
+// Table looks up a configuration's routes, services and accounts. It is immutable.
 type Table struct {
 	Declaration *Declaration
 
@@ -18,7 +18,7 @@
 	ranks    map[Urgencies]int
 }
 
-// NewTable returns the table of a declaration that has been checked.
+// NewTable returns the table of a declaration that has passed Check.
 func NewTable(d *Declaration) *Table {
 	t := &Table{
 		Declaration: d,
@@ -43,16 +43,16 @@
 			t.keys[key] = &d.Accounts[i]
 		}
 	}
-	t.ranks = ranksOf(d)
+	t.ranks = computeRanks(d)
 	return t
 }
 
-// Rank returns the place of a call's urgencies among all that the configuration knows, 0 for
+// Rank returns the rank of a call's urgencies among all those of the configuration; 0 is
 // the most urgent.
 func (t *Table) Rank(u Urgencies) int { return t.ranks[u] }
 
-// Route returns the route with the longest prefix of the path, or nil for none;
-// a port behind the host does not count.
+// Route returns the route of a host whose prefix is the longest match for the path, or nil
+// for none. A port in the host is ignored.
 func (t *Table) Route(host, path string) *Route {
 	host = strings.ToLower(host)
 	if name, _, found := strings.Cut(host, ":"); found {
@@ -75,8 +75,8 @@
 // Service returns a service by its name, or nil for none.
 func (t *Table) Service(name units.Service) *Service { return t.services[name] }
 
-// Choose returns the service for a call of a route; chance in [0, 1) spreads the
-// calls by the weights.
+// Choose returns the service for a call of a route. chance is a random number in [0, 1)
+// that distributes the calls in proportion to the weights.
 func (r *Route) Choose(chance float64) units.Service {
 	total := 0
 	for _, s := range r.Splits {
--- a/src/matcher/validator.go
+++ b/src/matcher/validator.go
@@ -6,7 +6,7 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// InvalidError says why a declaration cannot be taken.
+// InvalidError is the reason why a declaration is rejected, and how to correct it.
 type InvalidError struct {
 	Reason string
 	Remedy string
@@ -15,7 +15,7 @@
 // Error names the remedy.
 func (e *InvalidError) Error() string { return e.Reason + "; " + e.Remedy }
 
-// Check returns an *InvalidError for a declaration that contradicts itself.
+// Check returns an *InvalidError for an inconsistent declaration.
 func (d *Declaration) Check() error {
 	if d.Version == 0 {
 		return &InvalidError{
@@ -33,32 +33,32 @@
 		}
 		services[s.Name] = true
 	}
-	if err := d.checkRoutes(services); err != nil {
+	if err := d.validateRoutes(services); err != nil {
 		return err
 	}
-	return d.checkAccounts()
+	return d.validateAccounts()
 }
 
-func (d *Declaration) checkRoutes(services map[units.Service]bool) error {
-	places := make(map[[2]string]string)
+func (d *Declaration) validateRoutes(services map[units.Service]bool) error {
+	names := make(map[[2]string]string)
 	for i := range d.Routes {
 		r := &d.Routes[i]
-		if err := r.check(services); err != nil {
+		if err := r.validate(services); err != nil {
 			return err
 		}
-		place := [2]string{r.Host, r.Prefix}
-		if other, taken := places[place]; taken {
+		hostPrefix := [2]string{r.Host, r.Prefix}
+		if other, taken := names[hostPrefix]; taken {
 			return &InvalidError{
 				Reason: fmt.Sprintf("routes %q and %q share host %q and prefix %q", other, r.Name, r.Host, r.Prefix),
 				Remedy: "remove one of them",
 			}
 		}
-		places[place] = r.Name
+		names[hostPrefix] = r.Name
 	}
 	return nil
 }
 
-func (r *Route) check(services map[units.Service]bool) error {
+func (r *Route) validate(services map[units.Service]bool) error {
 	if r.Timeout <= 0 {
 		return &InvalidError{
 			Reason: fmt.Sprintf("route %q has a timeout of 0", r.Name),
@@ -96,8 +96,8 @@
 	return nil
 }
 
-func (d *Declaration) checkAccounts() error {
-	holders := make(map[string]units.Account)
+func (d *Declaration) validateAccounts() error {
+	accountByKey := make(map[string]units.Account)
 	names := make(map[units.Account]bool)
 	for _, a := range d.Accounts {
 		if a.Name == "" || names[a.Name] {
@@ -108,13 +108,13 @@
 		}
 		names[a.Name] = true
 		for _, key := range a.Keys {
-			if other, taken := holders[key]; taken && other != a.Name {
+			if other, taken := accountByKey[key]; taken && other != a.Name {
 				return &InvalidError{
 					Reason: fmt.Sprintf("accounts %q and %q share a key", other, a.Name),
 					Remedy: "give each account keys of its own",
 				}
 			}
-			holders[key] = a.Name
+			accountByKey[key] = a.Name
 		}
 	}
 	return nil
--- a/src/router/explain.go
+++ b/src/router/explain.go
@@ -6,7 +6,7 @@
 	"github.com/rosecroft/rosecroft/src/dispatcher"
 )
 
-// explain records the candidates that were fit, with their scores.
+// explain records the eligible candidates and their scores in the call's trail.
 func (s *subset) explain(call *dispatcher.Call, scores []float64) {
 	if call.Trail == nil {
 		return
--- a/src/router/observer.go
+++ b/src/router/observer.go
@@ -7,7 +7,7 @@
 	"github.com/rosecroft/rosecroft/src/tracker"
 )
 
-// Observe learns how an exchange ended, and ejects upstreams where calls fail.
+// Observe records the result of an exchange and ejects upstreams at which calls fail.
 func (r *Router) Observe(upstream *tracker.Upstream, result dispatcher.Result) {
 	key := ejector.Key{
 		Service:     upstream.Service,
@@ -16,19 +16,19 @@
 	}
 	switch result.Kind {
 	case dispatcher.Answered:
-		r.step(upstream, ejector.Succeeded{Key: key})
+		r.stepEjector(upstream, ejector.Succeeded{Key: key})
 	case dispatcher.Lost, dispatcher.NotRun, dispatcher.Broken:
-		r.step(upstream, ejector.Failed{
+		r.stepEjector(upstream, ejector.Failed{
 			Key:       key,
 			Unreached: result.Unreached,
-			Total:     r.total(upstream),
+			Total:     r.usableCount(upstream),
 		})
 	case dispatcher.CallerGone, dispatcher.Moved:
 	}
 }
 
-// total returns how many usable upstreams the upstream's service has.
-func (r *Router) total(upstream *tracker.Upstream) int {
+// usableCount returns the number of usable upstreams of the upstream's service.
+func (r *Router) usableCount(upstream *tracker.Upstream) int {
 	snapshot := r.Snapshot.Load()
 	if snapshot == nil {
 		return 0
@@ -40,7 +40,7 @@
 	return len(service.Usable)
 }
 
-func (r *Router) step(upstream *tracker.Upstream, event ejector.Event) {
+func (r *Router) stepEjector(upstream *tracker.Upstream, event ejector.Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, action := range r.ejector.Step(r.now(), event) {
@@ -50,14 +50,16 @@
 	}
 }
 
-// Departed learns that an upstream leaves or is gone.
+// Departed records that an upstream is leaving or gone. For a reclaimable one it
+// counts as a reclaim notice in its data centre.
 func (r *Router) Departed(upstream *tracker.Upstream) {
 	if upstream.Reclaimable {
-		r.noticesOf(upstream.DataCentre).add(r.now(), 1, maxNotices)
+		r.recentNotices(upstream.DataCentre).add(r.now(), 1, maxNotices)
 	}
 }
 
-// Cached takes up what an engine tells of its prefix cache.
+// Cached applies an engine's prefix cache events to the index, and raises the engine's
+// eviction pressure by the recently used blocks that it removed.
 func (r *Router) Cached(upstream *tracker.Upstream, events *messages.CacheEvents) {
 	if r.Index == nil {
 		return
@@ -66,13 +68,13 @@
 	for _, block := range events.GetAdded() {
 		r.Index.Put(now, upstream.Local.ID, block)
 	}
-	hot := 0.0
+	hotBlocks := 0.0
 	for _, block := range events.GetRemoved() {
-		if unused, known := r.Index.Remove(now, upstream.Local.ID, block); known {
-			hot += heat(unused)
+		if unusedFor, known := r.Index.Remove(now, upstream.Local.ID, block); known {
+			hotBlocks += hotness(unusedFor)
 		}
 	}
-	if hot > 0 {
-		r.pressureOf(upstream.Local.ID).add(now, hot/fullPressure, 1)
+	if hotBlocks > 0 {
+		r.evictionPressure(upstream.Local.ID).add(now, hotBlocks/hotBlocksAtMaxPressure, 1)
 	}
 }
--- a/src/router/router.go
+++ b/src/router/router.go
@@ -18,22 +18,23 @@
 )
 
 const (
-	// silentAfter is how long an upstream may be silent and still get new work,
-	// several announcements.
-	silentAfter = 1500 * time.Millisecond
-	// nearBest is how many seconds from the best score count as equal.
-	nearBest = 0.01
+	// silenceTimeout is how long after its last announcement an upstream still gets
+	// new calls. It spans several announcement intervals.
+	silenceTimeout = 1500 * time.Millisecond
+	// scoreTolerance is the distance from the best score, in seconds, within which
+	// candidates count as equal.
+	scoreTolerance = 0.01
 )
 
 // Router picks among the usable upstreams of the current snapshot; its exported
 // fields are set before use.
 type Router struct {
 	Snapshot *atomic.Pointer[indexer.Snapshot]
-	// Entry places this entry's subset among all.
+	// Entry seeds the choice of this entry's subset of the upstreams.
 	Entry units.Instance
-	// Index may be nil.
+	// Index is the prefix cache index; it may be nil.
 	Index *locator.Index
-	// Now and Random may be nil, for the clock and the shared source.
+	// Now and Random default to time.Now and rand.Uint64.
 	Now    func() time.Time
 	Random func() uint64
 
@@ -41,38 +42,39 @@
 	subsets atomic.Pointer[subsets]
 
 	mu        sync.Mutex
-	notices   map[units.DataCentre]*fading
-	pressures map[uint32]*fading
+	notices   map[units.DataCentre]*decayingValue
+	pressures map[uint32]*decayingValue
 	ejector   ejector.Ejector
 }
 
-// Pick returns the upstream for the next attempt, or nil for none.
+// Pick returns the upstream for the next attempt, or nil if there is none. It relaxes
+// the requirements on candidates step by step until one meets them.
 func (r *Router) Pick(call *dispatcher.Call, tried []units.Upstream) *tracker.Upstream {
-	s := r.of(call.Service)
+	s := r.subsetOf(call.Service)
 	if s == nil {
 		return nil
 	}
 	now := r.now()
-	for _, how := range []fitness{healthy, alive, untried} {
-		if chosen := r.pick(s, call, tried, now, how); chosen != nil {
+	for _, required := range []eligibility{healthy, alive, untried} {
+		if chosen := r.pick(s, call, tried, now, required); chosen != nil {
 			return chosen
 		}
 	}
 	return nil
 }
 
-func (r *Router) pick(s *subset, call *dispatcher.Call, tried []units.Upstream, now time.Time, how fitness) *tracker.Upstream {
+func (r *Router) pick(s *subset, call *dispatcher.Call, tried []units.Upstream, now time.Time, required eligibility) *tracker.Upstream {
 	switch call.Policy {
 	case parser.RoundRobin:
-		return r.roundRobin(s, call, tried, now, how)
+		return r.roundRobin(s, call, tried, now, required)
 	case parser.LeastLoaded:
-		return leastLoaded(s, call, tried, now, how)
+		return leastLoaded(s, call, tried, now, required)
 	case parser.PrefixCost:
 	}
-	return r.prefixCost(s, call, tried, now, how)
+	return r.prefixCost(s, call, tried, now, required)
 }
 
-func (r *Router) roundRobin(s *subset, call *dispatcher.Call, tried []units.Upstream, now time.Time, how fitness) *tracker.Upstream {
+func (r *Router) roundRobin(s *subset, call *dispatcher.Call, tried []units.Upstream, now time.Time, required eligibility) *tracker.Upstream {
 	count := uint64(len(s.candidates))
 	if count == 0 {
 		return nil
@@ -80,49 +82,49 @@
 	start := r.next.Add(1)
 	for i := range count {
 		c := &s.candidates[(start+i)%count]
-		if c.fit(call, tried, now, how) {
+		if c.isEligible(call, tried, now, required) {
 			return c.upstream
 		}
 	}
 	return nil
 }
 
-func leastLoaded(s *subset, call *dispatcher.Call, tried []units.Upstream, now time.Time, how fitness) *tracker.Upstream {
+func leastLoaded(s *subset, call *dispatcher.Call, tried []units.Upstream, now time.Time, required eligibility) *tracker.Upstream {
 	var best *tracker.Upstream
-	least := int64(math.MaxInt64)
+	lowest := int64(math.MaxInt64)
 	for i := range s.candidates {
 		c := &s.candidates[i]
-		if load := c.upstream.Local.InFlight.Load(); load < least && c.fit(call, tried, now, how) {
+		if load := c.upstream.Local.InFlight.Load(); load < lowest && c.isEligible(call, tried, now, required) {
 			best = c.upstream
-			least = load
+			lowest = load
 		}
 	}
 	return best
 }
 
-// prefixCost returns the better of two random candidates among those whose cost
-// is nearly the lowest: entries that see the same loads would otherwise all
-// send to the same one.
-func (r *Router) prefixCost(s *subset, call *dispatcher.Call, tried []units.Upstream, now time.Time, how fitness) *tracker.Upstream {
+// prefixCost returns the better of two random candidates whose costs are within
+// scoreTolerance of the lowest. Without randomization, all entries that see the same
+// loads would send to the same upstream.
+func (r *Router) prefixCost(s *subset, call *dispatcher.Call, tried []units.Upstream, now time.Time, required eligibility) *tracker.Upstream {
 	d := decision{
-		call:   call,
-		now:    now,
-		target: s.service.Target.FirstToken.Seconds(),
-		// The least of all candidates, which score lowers.
-		pressure: 1,
+		call:          call,
+		now:           now,
+		targetSeconds: s.service.Target.FirstToken.Seconds(),
+		// The minimum over all candidates, which score lowers.
+		minPressure: 1,
 	}
 	if r.Index != nil {
-		d.found = r.Index.Find(now, call.Blocks, &d.matches)
+		d.matchCount = r.Index.Find(now, call.Blocks, &d.matches)
 	}
 	var scores [subsetSize]float64
 	best := math.Inf(1)
 	for i := range s.candidates {
 		scores[i] = math.Inf(1)
-		if c := &s.candidates[i]; c.fit(call, tried, now, how) {
+		if c := &s.candidates[i]; c.isEligible(call, tried, now, required) {
 			scores[i] = d.score(c)
 		}
 	}
-	s.place(&d, &scores)
+	s.discountRendezvous(&d, &scores)
 	for _, score := range scores[:len(s.candidates)] {
 		best = min(best, score)
 	}
@@ -130,7 +132,7 @@
 		return nil
 	}
 	s.explain(call, scores[:len(s.candidates)])
-	chosen := r.oneOfTwo(scores[:len(s.candidates)], best+nearBest)
+	chosen := r.betterOfTwo(scores[:len(s.candidates)], best+scoreTolerance)
 	upstream := s.candidates[chosen].upstream
 	if r.Index != nil {
 		r.Index.Add(now, upstream.Local.ID, call.Blocks)
@@ -138,44 +140,46 @@
 	return upstream
 }
 
-// place makes entries agree on where a prompt goes that nobody has cached, and
-// where all caches give up what is in use. Each entry would otherwise bring every
-// prompt to another engine, which evicts one more there, until no call finds its
-// prompt cached anywhere.
-func (s *subset) place(d *decision, scores *[subsetSize]float64) {
-	if d.found > 0 && d.pressure < settledPressure || len(d.call.Blocks) == 0 {
+// discountRendezvous lowers the score of the candidate that rendezvous hashing selects
+// for the prompt, so that all entries agree on one engine where no engine has the prompt
+// cached, and where all caches evict what is in use. Otherwise each entry would send a
+// prompt to a different engine, which evicts another prompt there, until no call finds
+// its prompt cached anywhere.
+func (s *subset) discountRendezvous(d *decision, scores *[subsetSize]float64) {
+	if d.matchCount > 0 && d.minPressure < maxTrustedPressure || len(d.call.Blocks) == 0 {
 		return
 	}
-	place, highest := -1, uint64(0)
+	preferred, highest := -1, uint64(0)
 	for i := range s.candidates {
-		weight := mix(d.call.Blocks[0], s.candidates[i].weight)
-		if weight >= highest && !math.IsInf(scores[i], 1) {
-			place, highest = i, weight
+		hash := mixHashes(d.call.Blocks[0], s.candidates[i].hash)
+		if hash >= highest && !math.IsInf(scores[i], 1) {
+			preferred, highest = i, hash
 		}
 	}
-	if place >= 0 {
-		work := float64(d.call.Prompt) * s.candidates[place].perToken
-		scores[place] -= placeShare * work * (1 + placeWeight*d.pressure)
+	if preferred >= 0 {
+		prefill := float64(d.call.Prompt) * s.candidates[preferred].secondsPerToken
+		scores[preferred] -= rendezvousDiscount * prefill * (1 + rendezvousPressureWeight*d.minPressure)
 	}
 }
 
-// oneOfTwo draws two of the candidates whose score is at most limit and returns the lower one's index.
-func (r *Router) oneOfTwo(scores []float64, limit float64) int {
-	near := 0
+// betterOfTwo draws two random candidates whose score is at most limit and returns the
+// index of the one with the lower score.
+func (r *Router) betterOfTwo(scores []float64, limit float64) int {
+	count := 0
 	for _, score := range scores {
 		if score <= limit {
-			near++
+			count++
 		}
 	}
-	first := nth(scores, limit, r.draw(near))
-	second := nth(scores, limit, r.draw(near))
+	first := nthWithin(scores, limit, r.randomIndex(count))
+	second := nthWithin(scores, limit, r.randomIndex(count))
 	if scores[second] < scores[first] {
 		return second
 	}
 	return first
 }
 
-func (r *Router) draw(count int) int {
+func (r *Router) randomIndex(count int) int {
 	random := r.Random
 	if random == nil {
 		random = rand.Uint64
@@ -183,8 +187,8 @@
 	return int(random() % uint64(count))
 }
 
-// nth returns the index of the nth score that is at most limit.
-func nth(scores []float64, limit float64, n int) int {
+// nthWithin returns the index of the nth score that is at most limit.
+func nthWithin(scores []float64, limit float64, n int) int {
 	for i, score := range scores {
 		if score > limit {
 			continue
@@ -204,34 +208,36 @@
 	return r.Now()
 }
 
-// fitness is how much is asked of a candidate; less is asked where nobody fits.
-type fitness int
+// eligibility is how strict the requirements on a candidate are. They are relaxed when
+// no candidate meets them.
+type eligibility int
 
 const (
-	// healthy leaves out ejected and silent upstreams.
-	healthy fitness = iota
-	// alive leaves out silent ones.
+	// healthy excludes ejected and silent upstreams.
+	healthy eligibility = iota
+	// alive excludes silent upstreams only.
 	alive
-	// untried takes all that the call has not been at; where all are silent it
-	// may be this entry that heard nothing.
+	// untried accepts every upstream that the call has not tried. When all are
+	// silent, the fault may be that this entry receives no announcements.
 	untried
 )
 
-// fit reports whether a candidate may get the call.
-func (c *candidate) fit(call *dispatcher.Call, tried []units.Upstream, now time.Time, how fitness) bool {
+// isEligible reports whether a candidate may get the call at the required strictness.
+// Upstreams that were tried or do not serve the call's model never may.
+func (c *candidate) isEligible(call *dispatcher.Call, tried []units.Upstream, now time.Time, required eligibility) bool {
 	upstream := c.upstream
-	if !serves(upstream, call.Model) || slices.Contains(tried, upstream.Name) {
+	if !servesModel(upstream, call.Model) || slices.Contains(tried, upstream.Name) {
 		return false
 	}
-	if how <= healthy && upstream.Local.EjectedUntil.Load() > now.UnixNano() {
+	if required <= healthy && upstream.Local.EjectedUntil.Load() > now.UnixNano() {
 		return false
 	}
-	return how > alive || now.Sub(upstream.AnnouncedAt) < silentAfter
+	return required > alive || now.Sub(upstream.AnnouncedAt) < silenceTimeout
 }
 
-// serves reports whether an upstream has the model that a call names, as its
-// model or as an adapter.
-func serves(upstream *tracker.Upstream, model units.Model) bool {
+// servesModel reports whether an upstream serves the model that a call names, as its
+// base model or as an adapter. A missing name on either side matches any model.
+func servesModel(upstream *tracker.Upstream, model units.Model) bool {
 	if upstream.Model == "" || model == "" || upstream.Model == model {
 		return true
 	}
--- a/src/router/router_test.go
+++ b/src/router/router_test.go
@@ -30,7 +30,7 @@
 
 var testStart = time.Unix(1_000_000, 0)
 
-// fleet is a router over engines that tests change at will.
+// fleet is a router over engines whose state a test controls.
 type fleet struct {
 	router  *Router
 	now     time.Time
@@ -90,14 +90,14 @@
 		MaxOutput: 256,
 	}
 	for i := range 32 {
-		call.Blocks = append(call.Blocks, mix(first, uint64(i)))
+		call.Blocks = append(call.Blocks, mixHashes(first, uint64(i)))
 	}
 	return call
 }
 
-// Callers share long beginnings of prompts. Two calls with the same beginning
-// must meet at one engine while it has room, since elsewhere the beginning is
-// computed again; once it is loaded too far, the next goes elsewhere.
+// Callers share long prompt prefixes. Two calls with the same prefix must go to the
+// same engine while it has capacity, since another one would compute the prefix again.
+// Once that engine is overloaded, the next call must go elsewhere.
 func TestAffinityIsBoundedByLoad(t *testing.T) {
 	f := newFleet(6)
 	call := modelCall(parser.PrefixCost, 7)
@@ -113,9 +113,9 @@
 	}
 }
 
-// Calls below the latency target must gather on the cheap instances, or the
-// buyer could hold no fewer; at load that misses the target the dear ones must
-// help, since a late answer costs more.
+// While the latency target is met, calls must be concentrated on the cheap instances;
+// otherwise the buyer could not reduce the number of instances. Under load that misses
+// the target the expensive ones must be used too, since a late answer costs more.
 func TestCallsGatherOnCheapInstances(t *testing.T) {
 	f := newFleet(6)
 	for i, engine := range f.engines {
@@ -128,7 +128,7 @@
 		used[chosen.Price]++
 	}
 	if got, want := used[3], 0; got != want {
-		t.Errorf("calls at dear instances: got %d of 24, want %d", got, want)
+		t.Errorf("calls at expensive instances: got %d of 24, want %d", got, want)
 	}
 	for i := range 120 {
 		chosen := f.router.Pick(modelCall(parser.PrefixCost, uint64(100+i)), nil)
@@ -136,20 +136,20 @@
 		used[chosen.Price]++
 	}
 	if got := used[3]; got == 0 {
-		t.Error("calls at dear instances with the cheap ones full: got 0, want some")
+		t.Error("calls at expensive instances with the cheap ones full: got 0, want some")
 	}
 }
 
-// Calls gather at one engine that is in use, and with them more prefixes than its
-// cache holds: it gives up blocks that were used seconds ago, and each call is
-// computed whole. A prefix that it gave up must then go to another engine.
-func TestFullCacheSendsPrefixesElsewhere(t *testing.T) {
+// Calls are concentrated on one busy engine, with more prompt prefixes than its cache
+// holds: it evicts blocks that were used seconds ago, and each call's whole prompt is
+// computed. A prompt that it does not hold must then go to another engine.
+func TestEvictionPressureDivertsPrefixes(t *testing.T) {
 	cases := map[string]struct {
 		unused time.Duration
 		want   bool
 	}{
-		"hot blocks given up":  {unused: time.Second, want: false},
-		"cold blocks given up": {unused: time.Minute, want: true},
+		"hot blocks evicted":  {unused: time.Second, want: false},
+		"cold blocks evicted": {unused: time.Minute, want: true},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -170,15 +170,15 @@
 			f.router.Cached(busy, &messages.CacheEvents{Removed: removed})
 			chosen := f.router.Pick(call, nil)
 			if got := chosen == busy; got != c.want {
-				t.Errorf("sent to the engine in use: got %t, want %t", got, c.want)
+				t.Errorf("sent to the busy engine: got %t, want %t", got, c.want)
 			}
 		})
 	}
 }
 
-// The caches of all engines give up what is in use, and each entry believes that
-// another engine has a prompt. If each followed its own belief, all engines would
-// compute all prompts; under pressure they must agree without a message.
+// The caches of all engines evict blocks in use, and each entry's index names another
+// engine for a prompt. If each entry followed its own index, all engines would compute
+// all prompts; under eviction pressure the entries must agree without communicating.
 func TestEntriesAgreeUnderPressure(t *testing.T) {
 	chosen := make(map[units.Upstream]bool)
 	for believed := range 3 {
@@ -198,13 +198,14 @@
 		chosen[f.router.Pick(call, nil).Name] = true
 	}
 	if got, want := len(chosen), 1; got != want {
-		t.Errorf("engines that three entries choose: got %d, want %d", got, want)
+		t.Errorf("engines chosen by three entries: got %d, want %d", got, want)
 	}
 }
 
-// An engine gets its notice; others in its data centre are likely to follow. New
-// streams must avoid that data centre for a while although it is as cheap.
-func TestWaveKeepsCallsAway(t *testing.T) {
+// An engine receives its reclaim notice; others in its data centre are likely to be
+// reclaimed next. New streams must avoid that data centre for a while although it is as
+// cheap as the others.
+func TestReclaimNoticesDivertCalls(t *testing.T) {
 	f := newFleet(8)
 	for _, engine := range f.engines {
 		engine.Reclaimable = true
@@ -218,15 +219,15 @@
 	}
 }
 
-// A new engine has an empty cache and every entry sees it idle at once. If all
-// calls went there, they would all wait; it must get a part that grows.
+// A new engine has an empty cache, and all entries see it idle at the same time. If all
+// calls went there, they would all wait; its fraction of the calls must grow gradually.
 func TestNewEngineWarmsUp(t *testing.T) {
 	cases := map[string]struct {
-		age         time.Duration
-		least, most int64
+		age                time.Duration
+		minCalls, maxCalls int64
 	}{
-		"new":  {age: 0, least: 1, most: 5},
-		"warm": {age: warmUp, least: 9, most: 12},
+		"new":  {age: 0, minCalls: 1, maxCalls: 5},
+		"warm": {age: warmUpDuration, minCalls: 9, maxCalls: 12},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -240,18 +241,19 @@
 			for i := range 12 {
 				f.router.Pick(modelCall(parser.PrefixCost, uint64(i)), nil).Local.InFlight.Add(1)
 			}
-			if got := fresh.Local.InFlight.Load() - 1; got < c.least || got > c.most {
-				t.Errorf("calls of 12: got %d, want %d to %d", got, c.least, c.most)
+			if got := fresh.Local.InFlight.Load() - 1; got < c.minCalls || got > c.maxCalls {
+				t.Errorf("calls at the engine under test, of 12: got %d, want %d to %d", got, c.minCalls, c.maxCalls)
 			}
 		})
 	}
 }
 
-// Of many engines one entry must use a bounded part, the same after a restart,
-// and hardly another one when an engine goes; all entries together use them all.
+// One entry must use a bounded number of many engines. Its selection must be the same
+// after a restart and change by one engine only when one is removed. All entries together
+// must use all engines.
 func TestSubsetIsBoundedAndStable(t *testing.T) {
 	f := newFleet(640)
-	before := f.router.choose(f.engines)
+	before := f.router.selectUpstreams(f.engines)
 	if got, want := len(before), subsetSize; got != want {
 		t.Fatalf("upstreams of one entry: got %d, want %d", got, want)
 	}
@@ -263,7 +265,7 @@
 		}
 	}
 	kept := 0
-	for _, engine := range f.router.choose(rest) {
+	for _, engine := range f.router.selectUpstreams(rest) {
 		for _, known := range before {
 			if engine == known {
 				kept++
@@ -271,32 +273,32 @@
 		}
 	}
 	if got, want := kept, subsetSize-1; got != want {
-		t.Errorf("upstreams kept when one went: got %d, want %d", got, want)
+		t.Errorf("upstreams kept after one was removed: got %d, want %d", got, want)
 	}
 	covered := make(map[units.Upstream]bool)
 	for i := range 990 {
 		other := &Router{
 			Entry: units.Instance(fmt.Sprintf("e%d", i)),
 		}
-		for _, engine := range other.choose(f.engines) {
+		for _, engine := range other.selectUpstreams(f.engines) {
 			covered[engine.Name] = true
 		}
 	}
 	if got, want := len(covered), 640; got != want {
-		t.Errorf("upstreams that 990 entries use: got %d, want %d", got, want)
+		t.Errorf("upstreams used by 990 entries: got %d, want %d", got, want)
 	}
 }
 
-// Upstreams fail, fall silent, are tried before, serve other models and come
-// back, in any order and under each policy. A caller must never be sent where the
-// call has been, nor to an engine without its model, nor to an ejected or silent
-// one while there is a better, and must be sent somewhere while anyone is left.
-func TestPickKeepsItsRules(t *testing.T) {
+// Upstreams fail, fall silent, have been tried, serve other models and recover, in any
+// order and under each policy. A call must never be sent to an upstream that it has tried
+// or that lacks its model, nor to an ejected or silent one while a healthy one is left,
+// and must be sent to some upstream while any is left.
+func TestPickInvariants(t *testing.T) {
 	policies := rapid.SampledFrom([]parser.Policy{parser.PrefixCost, parser.RoundRobin, parser.LeastLoaded})
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(rapid.IntRange(1, 8).Draw(t, "engines"))
 		for range 12 {
-			f.disturb(t)
+			f.perturb(t)
 			var tried []units.Upstream
 			for _, engine := range f.engines {
 				if rapid.IntRange(0, 3).Draw(t, "tried") == 0 {
@@ -305,33 +307,33 @@
 			}
 			call := modelCall(policies.Draw(t, "policy"), rapid.Uint64().Draw(t, "prompt"))
 			call.Model = "ember"
-			left, fine := 0, 0
+			allowedCount, healthyCount := 0, 0
 			for _, engine := range f.engines {
-				if allowed(engine, tried) {
-					left++
+				if isAllowed(engine, tried) {
+					allowedCount++
 				}
-				if allowed(engine, tried) && f.sound(engine) {
-					fine++
+				if isAllowed(engine, tried) && f.isHealthy(engine) {
+					healthyCount++
 				}
 			}
 			chosen := f.router.Pick(call, tried)
-			if got, want := chosen != nil, left > 0; got != want {
-				t.Fatalf("an upstream with %d left: got %t, want %t", left, got, want)
+			if got, want := chosen != nil, allowedCount > 0; got != want {
+				t.Fatalf("upstream chosen with %d left: got %t, want %t", allowedCount, got, want)
 			}
 			if chosen == nil {
 				continue
 			}
-			if !allowed(chosen, tried) {
-				t.Fatalf("chosen %s: got one that was tried or has not the model", chosen.Name)
+			if !isAllowed(chosen, tried) {
+				t.Fatalf("chosen %s: got one that was tried or lacks the model", chosen.Name)
 			}
-			if fine > 0 && !f.sound(chosen) {
-				t.Fatalf("chosen %s: got an ejected or silent one, want one of %d others", chosen.Name, fine)
+			if healthyCount > 0 && !f.isHealthy(chosen) {
+				t.Fatalf("chosen %s: got an ejected or silent one, want one of %d healthy ones", chosen.Name, healthyCount)
 			}
 		}
 	})
 }
 
-func allowed(engine *tracker.Upstream, tried []units.Upstream) bool {
+func isAllowed(engine *tracker.Upstream, tried []units.Upstream) bool {
 	for _, name := range tried {
 		if name == engine.Name {
 			return false
@@ -340,14 +342,14 @@
 	return engine.Model != "other"
 }
 
-// sound reports whether an engine is neither ejected nor silent.
-func (f *fleet) sound(engine *tracker.Upstream) bool {
+// isHealthy reports whether an engine is neither ejected nor silent.
+func (f *fleet) isHealthy(engine *tracker.Upstream) bool {
 	ejected := time.Unix(0, engine.Local.EjectedUntil.Load()).After(f.now)
-	return !ejected && f.now.Sub(engine.AnnouncedAt) < silentAfter
+	return !ejected && f.now.Sub(engine.AnnouncedAt) < silenceTimeout
 }
 
-// disturb changes one engine and lets time pass.
-func (f *fleet) disturb(t *rapid.T) {
+// perturb advances the clock and changes the state of one engine.
+func (f *fleet) perturb(t *rapid.T) {
 	f.now = f.now.Add(time.Duration(rapid.IntRange(0, 600).Draw(t, "ms")) * time.Millisecond)
 	engine := f.engines[rapid.IntRange(0, len(f.engines)-1).Draw(t, "engine")]
 	switch rapid.IntRange(0, 5).Draw(t, "disturbance") {
@@ -366,7 +368,8 @@
 	}
 }
 
-// BenchmarkPick640 is one decision over 640 engines with long shared prompts.
+// BenchmarkPick640 measures one decision over 640 engines with long shared prompt
+// prefixes.
 func BenchmarkPick640(b *testing.B) {
 	for _, policy := range []parser.Policy{parser.PrefixCost, parser.LeastLoaded, parser.RoundRobin} {
 		b.Run(string(policy), func(b *testing.B) {
--- a/src/router/subset.go
+++ b/src/router/subset.go
@@ -14,15 +14,16 @@
 )
 
 const (
-	// subsetSize is how many upstreams of a service one entry uses at most, so
-	// that its connections and decisions do not grow with all of them.
-	subsetSize    = 32
-	defaultStep   = 25 * time.Millisecond
-	unknownTokens = 64
-	unknownSlots  = 16
+	// subsetSize is the maximum number of upstreams of a service that one entry
+	// uses, so that its connections and the cost of a decision do not grow with
+	// the number of upstreams.
+	subsetSize            = 32
+	defaultStep           = 25 * time.Millisecond
+	defaultPrefillPerStep = 64
+	defaultSlots          = 16
 )
 
-// subsets are the upstreams of one snapshot that this entry uses.
+// subsets holds the upstreams of one snapshot that this entry uses, by service.
 type subsets struct {
 	snapshot *indexer.Snapshot
 
@@ -30,33 +31,37 @@
 	services map[units.Service]*subset
 }
 
-// subset is one service's part, with what decisions need worked out beforehand.
+// subset holds the upstreams of one service that this entry uses, with the values that
+// decisions need precomputed.
 type subset struct {
 	service    *indexer.Service
 	candidates []candidate
 }
 
-// candidate is one upstream as decisions see it; durations are in seconds.
+// candidate is one upstream with the values that decisions need.
 type candidate struct {
 	upstream *tracker.Upstream
-	notices  *fading
-	pressure *fading
-	// weight places prompts that nobody has cached.
-	weight uint64
-	step   float64
-	// perToken is the time to compute one prompt token.
-	perToken float64
-	slots    float64
-	// price is the part of the service's highest price.
-	price float64
+	notices  *decayingValue
+	pressure *decayingValue
+	// hash is the upstream's rendezvous hash, which assigns prompts that no
+	// engine has cached.
+	hash uint64
+	// step is the engine's step time in seconds.
+	step float64
+	// secondsPerToken is the time to prefill one prompt token.
+	secondsPerToken float64
+	slots           float64
+	// relativePrice is a fraction of the service's highest price.
+	relativePrice float64
 }
 
-// current returns the subsets of the newest snapshot.
-func (r *Router) current() *subsets {
+// currentSubsets returns the subsets of the current snapshot, empty ones if the snapshot
+// has changed.
+func (r *Router) currentSubsets() *subsets {
 	snapshot := r.Snapshot.Load()
-	known := r.subsets.Load()
-	if known != nil && known.snapshot == snapshot {
-		return known
+	existing := r.subsets.Load()
+	if existing != nil && existing.snapshot == snapshot {
+		return existing
 	}
 	next := &subsets{
 		snapshot: snapshot,
@@ -66,9 +71,10 @@
 	return next
 }
 
-// of returns a service's subset, nil where the service is not known.
-func (r *Router) of(name units.Service) *subset {
-	all := r.current()
+// subsetOf returns a service's subset, built on first use, or nil if the service is
+// unknown.
+func (r *Router) subsetOf(name units.Service) *subset {
+	all := r.currentSubsets()
 	if all.snapshot == nil {
 		return nil
 	}
@@ -81,28 +87,29 @@
 	if !known {
 		return nil
 	}
-	built := r.build(service)
+	built := r.newSubset(service)
 	all.services[name] = built
 	return built
 }
 
-func (r *Router) build(service *indexer.Service) *subset {
+func (r *Router) newSubset(service *indexer.Service) *subset {
 	s := &subset{
 		service: service,
 	}
-	highest := units.Price(0)
+	maxPrice := units.Price(0)
 	for _, upstream := range service.Usable {
-		highest = max(highest, upstream.Price)
+		maxPrice = max(maxPrice, upstream.Price)
 	}
-	for _, upstream := range r.choose(service.Usable) {
-		s.candidates = append(s.candidates, r.candidate(upstream, highest))
+	for _, upstream := range r.selectUpstreams(service.Usable) {
+		s.candidates = append(s.candidates, r.newCandidate(upstream, maxPrice))
 	}
 	return s
 }
 
-// choose returns the upstreams that this entry uses: the same ones whoever asks,
-// few of which change when one comes or goes.
-func (r *Router) choose(usable []*tracker.Upstream) []*tracker.Upstream {
+// selectUpstreams returns the upstreams that this entry uses, by rendezvous hashing: the
+// selection depends only on the names, and changes little when one upstream is added or
+// removed.
+func (r *Router) selectUpstreams(usable []*tracker.Upstream) []*tracker.Upstream {
 	if len(usable) <= subsetSize {
 		return usable
 	}
@@ -114,47 +121,47 @@
 	for _, upstream := range usable {
 		all = append(all, ranked{
 			upstream: upstream,
-			rank:     mix(xxhash.Sum64String(string(r.Entry)), xxhash.Sum64String(string(upstream.Name))),
+			rank:     mixHashes(xxhash.Sum64String(string(r.Entry)), xxhash.Sum64String(string(upstream.Name))),
 		})
 	}
 	slices.SortFunc(all, func(a, b ranked) int { return cmp.Compare(b.rank, a.rank) })
 	chosen := make([]*tracker.Upstream, 0, subsetSize)
-	for _, one := range all[:subsetSize] {
-		chosen = append(chosen, one.upstream)
+	for _, top := range all[:subsetSize] {
+		chosen = append(chosen, top.upstream)
 	}
 	return chosen
 }
 
-func (r *Router) candidate(upstream *tracker.Upstream, highest units.Price) candidate {
+func (r *Router) newCandidate(upstream *tracker.Upstream, maxPrice units.Price) candidate {
 	step := upstream.Step
 	if step <= 0 {
 		step = defaultStep
 	}
 	perStep := upstream.PrefillPerStep
 	if perStep <= 0 {
-		perStep = unknownTokens
+		perStep = defaultPrefillPerStep
 	}
 	slots := upstream.Slots
 	if slots <= 0 {
-		slots = unknownSlots
+		slots = defaultSlots
 	}
 	c := candidate{
-		upstream: upstream,
-		notices:  r.noticesOf(upstream.DataCentre),
-		pressure: r.pressureOf(upstream.Local.ID),
-		weight:   xxhash.Sum64String(string(upstream.Name)),
-		step:     step.Seconds(),
-		perToken: step.Seconds() / float64(perStep),
-		slots:    float64(slots),
+		upstream:        upstream,
+		notices:         r.recentNotices(upstream.DataCentre),
+		pressure:        r.evictionPressure(upstream.Local.ID),
+		hash:            xxhash.Sum64String(string(upstream.Name)),
+		step:            step.Seconds(),
+		secondsPerToken: step.Seconds() / float64(perStep),
+		slots:           float64(slots),
 	}
-	if highest > 0 {
-		c.price = float64(upstream.Price / highest)
+	if maxPrice > 0 {
+		c.relativePrice = float64(upstream.Price / maxPrice)
 	}
 	return c
 }
 
-// mix hashes two hashes to one.
-func mix(a, b uint64) uint64 {
+// mixHashes combines two hashes into one.
+func mixHashes(a, b uint64) uint64 {
 	h := a ^ b*0x9e3779b97f4a7c15
 	h ^= h >> 32
 	h *= 0xd6e8feb86659fd93
