--- a/src/distributor/lease.go
+++ b/src/distributor/lease.go
@@ -7,101 +7,101 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// Lease says until when an entry may serve its configuration. It is renewed by
-// contact with a control leader that holds a majority, direct or by a relay, or
-// with a majority of the entry view, and never by anyone who knows a newer
-// version or view than the entry.
+// Lease determines until when an entry may serve its configuration. It is renewed by contact with
+// a control leader that holds a majority, directly or through a relay, or by contact with a
+// majority of the entry view. A contact that knows a newer version or view than the entry never
+// renews it.
 type Lease struct {
-	// Fence is how long a contact counts.
-	Fence time.Duration
+	// Duration is how long the lease lasts after a contact.
+	Duration time.Duration
 
-	control time.Time
-	peers   time.Time
+	controlContactAt time.Time
+	peerContactAt    time.Time
 }
 
-// Holding is what an entry has at the moment of an event.
-type Holding struct {
+// EntryState is the state of an entry at the time of an event.
+type EntryState struct {
 	Entry       units.Instance
 	Incarnation uint64
 	Version     units.Version
 	View        *messages.EntryView
 }
 
-// Event is something that may renew a lease.
+// Event is a contact that may renew a lease.
 type Event interface{ event() }
 
-// ControlHeard says that a leader confirmed the entry's question of a time.
-type ControlHeard struct {
-	// Asked is when the question left; a relay's answer counts from when the
-	// relay asked.
-	Asked    time.Time
+// ControlConfirmed reports that a leader answered the entry's heartbeat.
+type ControlConfirmed struct {
+	// SentAt is when the heartbeat was sent. For an answer from a relay, the age of the relay's
+	// own contact with control is subtracted.
+	SentAt   time.Time
 	Accepted units.Version
 }
 
-// PeersHeard brings the answers of entries to one round of questions.
-type PeersHeard struct {
-	Asked   time.Time
-	Answers []*messages.PeerContactResponse
+// PeersResponded carries the responses of other entries to one round of contact requests.
+type PeersResponded struct {
+	SentAt    time.Time
+	Responses []*messages.PeerContactResponse
 }
 
-func (ControlHeard) event() {}
-func (PeersHeard) event()   {}
+func (ControlConfirmed) event() {}
+func (PeersResponded) event()   {}
 
-// Step takes an event and returns until when the entry may serve.
-func (l *Lease) Step(holding Holding, event Event) time.Time {
+// Step handles an event and returns when the lease expires.
+func (l *Lease) Step(state EntryState, event Event) time.Time {
 	switch e := event.(type) {
-	case ControlHeard:
-		// An entry that knows of a newer version and cannot get it would serve the
-		// old one for ever, while the operator waits for the new one to be in force.
-		if e.Accepted <= holding.Version && e.Asked.After(l.control) {
-			l.control = e.Asked
+	case ControlConfirmed:
+		// Without this check, an entry that knows of a newer version but cannot get it would
+		// serve the old one forever, while the operator waits for the new one to be in force.
+		if e.Accepted <= state.Version && e.SentAt.After(l.controlContactAt) {
+			l.controlContactAt = e.SentAt
 		}
-	case PeersHeard:
-		if majority(holding, e.Answers) && e.Asked.After(l.peers) {
-			l.peers = e.Asked
+	case PeersResponded:
+		if hasMajority(state, e.Responses) && e.SentAt.After(l.peerContactAt) {
+			l.peerContactAt = e.SentAt
 		}
 	}
-	return l.Until()
+	return l.ExpiresAt()
 }
 
-// Until returns when the lease ends, the zero time before the first contact.
-func (l *Lease) Until() time.Time {
-	latest := l.control
-	if l.peers.After(latest) {
-		latest = l.peers
+// ExpiresAt returns when the lease expires, the zero time before the first contact.
+func (l *Lease) ExpiresAt() time.Time {
+	latest := l.controlContactAt
+	if l.peerContactAt.After(latest) {
+		latest = l.peerContactAt
 	}
 	if latest.IsZero() {
 		return latest
 	}
-	return latest.Add(l.Fence)
+	return latest.Add(l.Duration)
 }
 
-// ControlAge returns how long ago control was last in contact.
-func (l *Lease) ControlAge(now time.Time) time.Duration { return now.Sub(l.control) }
+// ControlContactAge returns the time since the last contact with control.
+func (l *Lease) ControlContactAge(now time.Time) time.Duration { return now.Sub(l.controlContactAt) }
 
-// majority reports whether more than half of the view's lives, the entry's own
-// included, have answered and know nothing newer. A life that started again has
-// another incarnation and has forgotten what it had in force, so that it does
-// not count before a view names it.
-func majority(holding Holding, answers []*messages.PeerContactResponse) bool {
+// hasMajority reports whether more than half of the view's members, including the entry itself,
+// have responded and know nothing newer. A member is one incarnation of an entry. An entry that
+// has restarted has another incarnation and no longer knows which version it had in force, so it
+// does not count until a view lists the new incarnation.
+func hasMajority(state EntryState, responses []*messages.PeerContactResponse) bool {
 	agreeing := 0
-	for _, member := range holding.View.GetMembers() {
-		if member.GetEntry() == string(holding.Entry) {
-			if member.GetIncarnation() == holding.Incarnation {
+	for _, member := range state.View.GetMembers() {
+		if member.GetEntry() == string(state.Entry) {
+			if member.GetIncarnation() == state.Incarnation {
 				agreeing++
 			}
 			continue
 		}
-		for _, answer := range answers {
-			if answer.GetEntry() != member.GetEntry() || answer.GetIncarnation() != member.GetIncarnation() {
+		for _, response := range responses {
+			if response.GetEntry() != member.GetEntry() || response.GetIncarnation() != member.GetIncarnation() {
 				continue
 			}
-			if units.Version(answer.GetVersionInForce()) <= holding.Version && answer.GetVersionInForce() > 0 &&
-				answer.GetViewNumber() <= holding.View.GetNumber() {
+			if units.Version(response.GetVersionInForce()) <= state.Version && response.GetVersionInForce() > 0 &&
+				response.GetViewNumber() <= state.View.GetNumber() {
 				agreeing++
 			}
 			break
 		}
 	}
-	return holding.Version > 0 && agreeing > len(holding.View.GetMembers())/2
+	return state.Version > 0 && agreeing > len(state.View.GetMembers())/2
 }
--- a/src/distributor/lease_test.go
+++ b/src/distributor/lease_test.go
@@ -12,208 +12,211 @@
 )
 
 const (
-	testFence   = 3 * time.Second
+	testLease   = 3 * time.Second
 	stepsPerRun = 500
 )
 
-// fleet is a leader's proof beside the leases of entries with clocks that drift.
-type fleet struct {
+// simulation is a leader's proof and the leases of entries whose clocks drift.
+type simulation struct {
 	t        *rapid.T
 	now      time.Time
 	accepted units.Version
 	views    Views
 	proof    Proof
-	entries  []*serving
-	// claimed holds what the leader has told operators.
-	claimed map[*serving]units.Version
+	entries  []*simulatedEntry
+	// reportedFenced maps the entries that the leader has reported as fenced to the version.
+	reportedFenced map[*simulatedEntry]units.Version
 }
 
-// serving is one entry: what it has, its lease and what the leader last heard.
-type serving struct {
-	lease   Lease
-	holding Holding
-	rate    float64
-	heard   *messages.EntryHeartbeat
+// simulatedEntry is one entry: its state, its lease and the last heartbeat that the leader
+// received.
+type simulatedEntry struct {
+	lease         Lease
+	state         EntryState
+	clockRate     float64
+	lastHeartbeat *messages.EntryHeartbeat
 }
 
-// An operator is told that a version is in force, since every entry has it or
-// must have stopped. Entries are cut off from control, from each other or from
-// neither, one way and for any time, start again without memory, and the view
-// changes meanwhile; clocks drift. None that was counted as stopped may serve.
-func TestNoEntryServesOnceItIsCountedAsStopped(t *testing.T) {
+// Guards against an entry that still serves an old version after the operator has been told that
+// the new one is in force, which means that every entry has it or must have stopped. Entries are
+// cut off from control, from each other or from neither, in one direction and for any time,
+// restart without memory, and have drifting clocks, and the view changes meanwhile.
+func TestFencedEntriesDoNotServe(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := newFleet(t)
+		s := newSimulation(t)
 		for range stepsPerRun {
-			f.act()
-			f.check()
+			s.step()
+			s.checkFencedEntries()
 		}
 	})
 }
 
-func newFleet(t *rapid.T) *fleet {
-	f := &fleet{
-		t:        t,
-		now:      time.Unix(1000, 0),
-		accepted: 1,
-		proof:    Proof{Fence: testFence},
-		claimed:  make(map[*serving]units.Version),
+func newSimulation(t *rapid.T) *simulation {
+	s := &simulation{
+		t:              t,
+		now:            time.Unix(1000, 0),
+		accepted:       1,
+		proof:          Proof{Fence: testLease},
+		reportedFenced: make(map[*simulatedEntry]units.Version),
 	}
 	for i := range rapid.IntRange(1, 5).Draw(t, "entries") {
-		f.entries = append(f.entries, &serving{
-			lease: Lease{Fence: testFence},
-			holding: Holding{
+		s.entries = append(s.entries, &simulatedEntry{
+			lease: Lease{Duration: testLease},
+			state: EntryState{
 				Entry:       units.Instance(fmt.Sprintf("e%d", i)),
 				Incarnation: 1,
 			},
-			rate: 1 + float64(rapid.IntRange(-4, 4).Draw(t, "drift"))/100,
+			clockRate: 1 + float64(rapid.IntRange(-4, 4).Draw(t, "drift"))/100,
 		})
 	}
-	f.changeView(f.entries)
-	return f
+	s.changeView(s.entries)
+	return s
 }
 
-func (f *fleet) clock(e *serving) time.Time {
-	elapsed := f.now.Sub(time.Unix(1000, 0))
-	return time.Unix(1000, 0).Add(time.Duration(float64(elapsed) * e.rate))
+func (s *simulation) clock(e *simulatedEntry) time.Time {
+	elapsed := s.now.Sub(time.Unix(1000, 0))
+	return time.Unix(1000, 0).Add(time.Duration(float64(elapsed) * e.clockRate))
 }
 
-func (f *fleet) act() {
-	e := rapid.SampledFrom(f.entries).Draw(f.t, "entry")
-	switch kind := rapid.IntRange(0, 99).Draw(f.t, "kind"); {
+func (s *simulation) step() {
+	e := rapid.SampledFrom(s.entries).Draw(s.t, "entry")
+	switch kind := rapid.IntRange(0, 99).Draw(s.t, "kind"); {
 	case kind < 25:
-		f.now = f.now.Add(time.Duration(rapid.IntRange(1, 1500).Draw(f.t, "ms")) * time.Millisecond)
+		s.now = s.now.Add(time.Duration(rapid.IntRange(1, 1500).Draw(s.t, "ms")) * time.Millisecond)
 	case kind < 48:
-		f.reachControl(e)
+		s.contactControl(e)
 	case kind < 82:
-		f.reachPeers(e)
+		s.contactPeers(e)
 	case kind < 89:
-		f.accepted++
+		s.accepted++
 	case kind < 94:
-		e.holding = Holding{
-			Entry:       e.holding.Entry,
-			Incarnation: e.holding.Incarnation + 1,
+		e.state = EntryState{
+			Entry:       e.state.Entry,
+			Incarnation: e.state.Incarnation + 1,
 		}
-		e.lease = Lease{Fence: testFence}
+		e.lease = Lease{Duration: testLease}
 	case kind < 97:
-		f.changeView(f.sample())
-		// The leader proves anew under another view.
-		clear(f.claimed)
+		s.changeView(s.sampleEntries())
+		// A new view requires a new proof.
+		clear(s.reportedFenced)
 	default:
-		f.proof.Reset()
-		clear(f.claimed)
-		for _, other := range f.entries {
-			other.heard = nil
+		s.proof.Reset()
+		clear(s.reportedFenced)
+		for _, other := range s.entries {
+			other.lastHeartbeat = nil
 		}
 	}
 }
 
-func (f *fleet) sample() []*serving {
-	var chosen []*serving
-	for _, e := range f.entries {
-		// A life joins a view only once control has heard it with a version.
-		if e.holding.Version > 0 && rapid.IntRange(0, 3).Draw(f.t, "in") > 0 {
+func (s *simulation) sampleEntries() []*simulatedEntry {
+	var chosen []*simulatedEntry
+	for _, e := range s.entries {
+		// An incarnation joins a view only once control has received a heartbeat from it with a
+		// version.
+		if e.state.Version > 0 && rapid.IntRange(0, 3).Draw(s.t, "in") > 0 {
 			chosen = append(chosen, e)
 		}
 	}
 	return chosen
 }
 
-func (f *fleet) changeView(members []*serving) {
+func (s *simulation) changeView(members []*simulatedEntry) {
 	view := &messages.EntryView{
-		Number: f.views.Newest().GetNumber() + 1,
+		Number: s.views.Newest().GetNumber() + 1,
 	}
 	for _, e := range members {
 		view.Members = append(view.Members, &messages.EntryMember{
-			Entry:       string(e.holding.Entry),
-			Incarnation: e.holding.Incarnation,
+			Entry:       string(e.state.Entry),
+			Incarnation: e.state.Incarnation,
 		})
 	}
-	f.views = f.views.With(view)
+	s.views = s.views.With(view)
 }
 
-// reachControl is one heartbeat; the update in its answer may be lost.
-func (f *fleet) reachControl(e *serving) {
-	asked := f.clock(e)
-	e.heard = &messages.EntryHeartbeat{
-		Incarnation:    e.holding.Incarnation,
-		VersionInForce: uint64(e.holding.Version),
-		ViewNumber:     e.holding.View.GetNumber(),
+// contactControl is one heartbeat. The update in its response may be lost.
+func (s *simulation) contactControl(e *simulatedEntry) {
+	sentAt := s.clock(e)
+	e.lastHeartbeat = &messages.EntryHeartbeat{
+		Incarnation:    e.state.Incarnation,
+		VersionInForce: uint64(e.state.Version),
+		ViewNumber:     e.state.View.GetNumber(),
 	}
-	delete(f.claimed, e)
-	if rapid.IntRange(0, 9).Draw(f.t, "answer") == 0 {
+	delete(s.reportedFenced, e)
+	if rapid.IntRange(0, 9).Draw(s.t, "answer") == 0 {
 		return
 	}
-	e.holding.View = f.views.Newest()
-	if rapid.IntRange(0, 3).Draw(f.t, "update") > 0 {
-		e.holding.Version = f.accepted
+	e.state.View = s.views.Newest()
+	if rapid.IntRange(0, 3).Draw(s.t, "update") > 0 {
+		e.state.Version = s.accepted
 	}
-	e.lease.Step(e.holding, ControlHeard{
-		Asked:    asked,
-		Accepted: f.accepted,
+	e.lease.Step(e.state, ControlConfirmed{
+		SentAt:   sentAt,
+		Accepted: s.accepted,
 	})
 }
 
-// reachPeers is one round of questions; any part of the peers may be out of reach.
-func (f *fleet) reachPeers(e *serving) {
-	asked := f.clock(e)
-	var answers []*messages.PeerContactResponse
-	for _, other := range f.entries {
-		if other == e || rapid.IntRange(0, 2).Draw(f.t, "reached") == 0 {
+// contactPeers is one round of contact requests. Any subset of the peers may be unreachable.
+func (s *simulation) contactPeers(e *simulatedEntry) {
+	sentAt := s.clock(e)
+	var responses []*messages.PeerContactResponse
+	for _, other := range s.entries {
+		if other == e || rapid.IntRange(0, 2).Draw(s.t, "reached") == 0 {
 			continue
 		}
-		answers = append(answers, &messages.PeerContactResponse{
-			Entry:          string(other.holding.Entry),
-			Incarnation:    other.holding.Incarnation,
-			VersionInForce: uint64(other.holding.Version),
-			ViewNumber:     other.holding.View.GetNumber(),
+		responses = append(responses, &messages.PeerContactResponse{
+			Entry:          string(other.state.Entry),
+			Incarnation:    other.state.Incarnation,
+			VersionInForce: uint64(other.state.Version),
+			ViewNumber:     other.state.View.GetNumber(),
 		})
-		if rapid.Bool().Draw(f.t, "given") {
+		if rapid.Bool().Draw(s.t, "given") {
 			continue
 		}
-		if other.holding.View.GetNumber() > e.holding.View.GetNumber() {
-			e.holding.View = other.holding.View
+		if other.state.View.GetNumber() > e.state.View.GetNumber() {
+			e.state.View = other.state.View
 		}
-		if e.holding.Version > 0 {
-			e.holding.Version = max(e.holding.Version, other.holding.Version)
+		if e.state.Version > 0 {
+			e.state.Version = max(e.state.Version, other.state.Version)
 		}
 	}
-	e.lease.Step(e.holding, PeersHeard{
-		Asked:   asked,
-		Answers: answers,
+	e.lease.Step(e.state, PeersResponded{
+		SentAt:    sentAt,
+		Responses: responses,
 	})
 }
 
-// check lets the leader count, and compares what it has claimed with the leases.
-func (f *fleet) check() {
-	f.proof.Observe(f.now, f.accepted, f.views, func(member *messages.EntryMember) bool {
-		for _, e := range f.entries {
-			if string(e.holding.Entry) == member.GetEntry() && e.heard != nil {
-				return e.heard.GetIncarnation() > member.GetIncarnation() ||
-					e.heard.GetIncarnation() == member.GetIncarnation() && units.Version(e.heard.GetVersionInForce()) >= f.accepted
+// checkFencedEntries updates the leader's proof and compares the entries that it reported as
+// fenced with their leases.
+func (s *simulation) checkFencedEntries() {
+	s.proof.Observe(s.now, s.accepted, s.views, func(member *messages.EntryMember) bool {
+		for _, e := range s.entries {
+			if string(e.state.Entry) == member.GetEntry() && e.lastHeartbeat != nil {
+				return e.lastHeartbeat.GetIncarnation() > member.GetIncarnation() ||
+					e.lastHeartbeat.GetIncarnation() == member.GetIncarnation() && units.Version(e.lastHeartbeat.GetVersionInForce()) >= s.accepted
 			}
 		}
 		return false
 	})
-	for _, e := range f.entries {
-		if e.heard == nil || units.Version(e.heard.GetVersionInForce()) >= f.accepted {
+	for _, e := range s.entries {
+		if e.lastHeartbeat == nil || units.Version(e.lastHeartbeat.GetVersionInForce()) >= s.accepted {
 			continue
 		}
-		if _, fenced := f.proof.Fenced(f.now, f.views, e.heard.GetViewNumber()); fenced && f.claimed[e] == 0 {
-			f.claimed[e] = f.accepted
+		if _, fenced := s.proof.Fenced(s.now, s.views, e.lastHeartbeat.GetViewNumber()); fenced && s.reportedFenced[e] == 0 {
+			s.reportedFenced[e] = s.accepted
 		}
 	}
-	for e, version := range f.claimed {
-		if e.holding.Version < version && f.clock(e).Before(e.lease.Until()) {
-			f.t.Fatalf("%s serves version %d for another %s, and was counted as stopped for version %d",
-				e.holding.Entry, e.holding.Version, e.lease.Until().Sub(f.clock(e)), version)
+	for e, version := range s.reportedFenced {
+		if e.state.Version < version && s.clock(e).Before(e.lease.ExpiresAt()) {
+			s.t.Fatalf("%s serves version %d for another %s, but was reported as fenced for version %d",
+				e.state.Entry, e.state.Version, e.lease.ExpiresAt().Sub(s.clock(e)), version)
 		}
 	}
 }
 
-// A leader is cut off with a minority of the entries and the rest serve on among
-// themselves. The leader may accept a change and must not claim that the others
-// have stopped, however long they are silent.
-func TestMajorityOfEntriesIsNotCountedAsStopped(t *testing.T) {
+// Guards against a leader that is cut off with a minority of the entries, accepts a change, and
+// reports that the others have stopped. The others keep serving among themselves, so it must not
+// do so, however long they are silent.
+func TestMajorityOfEntriesIsNotFenced(t *testing.T) {
 	view := &messages.EntryView{
 		Number: 1,
 	}
@@ -223,7 +226,7 @@
 			Incarnation: 1,
 		})
 	}
-	proof := &Proof{Fence: testFence}
+	proof := &Proof{Fence: testLease}
 	now := time.Unix(1000, 0)
 	for range 100 {
 		now = now.Add(time.Second)
@@ -231,22 +234,22 @@
 			return member.GetEntry() < "e2"
 		})
 		if _, got := proof.Fenced(now, Views{view}, 1); got {
-			t.Fatal("three of five entries counted as stopped: got yes, want no")
+			t.Fatal("three of five entries fenced: got yes, want no")
 		}
 	}
 }
 
-// Control is gone as a whole and all entries see each other: their leases must go
-// on. One that sees too few of them must stop.
+// All of control is lost and the entries reach each other: their leases must be renewed. An entry
+// that reaches too few of the others must stop.
 func TestPeersRenewTheLeaseWithoutControl(t *testing.T) {
 	view := &messages.EntryView{
 		Number: 3,
 	}
-	var answers []*messages.PeerContactResponse
+	var responses []*messages.PeerContactResponse
 	for i := range 4 {
 		entry := fmt.Sprintf("e%d", i)
 		view.Members = append(view.Members, &messages.EntryMember{Entry: entry, Incarnation: 7})
-		answers = append(answers, &messages.PeerContactResponse{
+		responses = append(responses, &messages.PeerContactResponse{
 			Entry:          entry,
 			Incarnation:    7,
 			VersionInForce: 5,
@@ -256,25 +259,25 @@
 	altered := func(change func(*messages.PeerContactResponse)) []*messages.PeerContactResponse {
 		changed := &messages.PeerContactResponse{Entry: "e1", Incarnation: 7, VersionInForce: 5, ViewNumber: 3}
 		change(changed)
-		return []*messages.PeerContactResponse{changed, answers[2]}
+		return []*messages.PeerContactResponse{changed, responses[2]}
 	}
 	cases := map[string]struct {
-		answers []*messages.PeerContactResponse
-		want    bool
+		responses []*messages.PeerContactResponse
+		want      bool
 	}{
-		"all answer":              {answers: answers[1:], want: true},
-		"a majority answers":      {answers: answers[1:3], want: true},
-		"half of the view":        {answers: answers[1:2], want: false},
-		"one has a newer version": {answers: altered(func(r *messages.PeerContactResponse) { r.VersionInForce = 6 }), want: false},
-		"one has a newer view":    {answers: altered(func(r *messages.PeerContactResponse) { r.ViewNumber = 4 }), want: false},
-		"one has started again":   {answers: altered(func(r *messages.PeerContactResponse) { r.Incarnation = 8 }), want: false},
+		"all respond":               {responses: responses[1:], want: true},
+		"a majority responds":       {responses: responses[1:3], want: true},
+		"half of the view responds": {responses: responses[1:2], want: false},
+		"one has a newer version":   {responses: altered(func(r *messages.PeerContactResponse) { r.VersionInForce = 6 }), want: false},
+		"one has a newer view":      {responses: altered(func(r *messages.PeerContactResponse) { r.ViewNumber = 4 }), want: false},
+		"one has restarted":         {responses: altered(func(r *messages.PeerContactResponse) { r.Incarnation = 8 }), want: false},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			lease := &Lease{Fence: testFence}
-			until := lease.Step(Holding{Entry: "e0", Incarnation: 7, Version: 5, View: view}, PeersHeard{
-				Asked:   time.Unix(1000, 0),
-				Answers: c.answers,
+			lease := &Lease{Duration: testLease}
+			until := lease.Step(EntryState{Entry: "e0", Incarnation: 7, Version: 5, View: view}, PeersResponded{
+				SentAt:    time.Unix(1000, 0),
+				Responses: c.responses,
 			})
 			if got := !until.IsZero(); got != c.want {
 				t.Errorf("lease renewed: got %t, want %t", got, c.want)
--- a/src/distributor/proof.go
+++ b/src/distributor/proof.go
@@ -8,19 +8,19 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// keptViews is how many entry views a proof looks back over.
-const keptViews = 8
+// maxViews is the number of recent entry views that a proof considers.
+const maxViews = 8
 
-// Views are the last entry views, the newest last.
+// Views are the most recent entry views, the newest last.
 type Views []*messages.EntryView
 
-// With adds a newer view.
+// With returns the views with a newer one appended. Only the last maxViews are kept.
 func (v Views) With(view *messages.EntryView) Views {
 	next := append(slices.Clone(v), view)
-	return next[max(0, len(next)-keptViews):]
+	return next[max(0, len(next)-maxViews):]
 }
 
-// Newest returns the newest view, nil where there is none.
+// Newest returns the newest view, nil if there is none.
 func (v Views) Newest() *messages.EntryView {
 	if len(v) == 0 {
 		return nil
@@ -28,33 +28,34 @@
 	return v[len(v)-1]
 }
 
-// Proof tells when every entry without the accepted version must have stopped.
+// Proof determines when every entry without the accepted version must have stopped serving.
 //
-// An entry without it can be renewed by control only from before the version was
-// accepted, and by a majority of a view only from before a majority of that view
-// had the version: any two majorities have an entry in common, and that one no
-// longer agrees. A fence period later, and a share for the drift of clocks, both
-// have ended, heard or unheard.
+// Control renews the lease of an entry without the version only from before the version was
+// accepted. A majority of a view renews it only from before a majority of that view had the
+// version: any two majorities have an entry in common, and that entry no longer agrees. One lease
+// duration later, plus a margin for clock drift, both kinds of lease have expired, whether or not
+// the entry can be reached.
 type Proof struct {
 	Fence time.Duration
 
 	accepted units.Version
-	// since is when this leader knew of the version or began to lead.
-	since time.Time
-	// held is when each view, by number, last began to be held by a majority.
-	held map[uint64]time.Time
+	// acceptedSince is when this leader first knew of the version or began to lead.
+	acceptedSince time.Time
+	// majoritySince maps view numbers to the time since when a majority of the view has had the
+	// version.
+	majoritySince map[uint64]time.Time
 }
 
-// fenceMargin is the share of the fence by which clocks may drift apart in it.
-const fenceMargin = 10
+// driftMarginDivisor sets the margin for clock drift: one tenth of the lease duration.
+const driftMarginDivisor = 10
 
-// Observe takes what the leader knows now: the accepted version, the views and
-// which lives of entries have the version in force.
+// Observe records what the leader knows at the moment: the accepted version, the views, and which
+// members have the version in force.
 func (p *Proof) Observe(now time.Time, accepted units.Version, views Views, has func(*messages.EntryMember) bool) {
-	if accepted != p.accepted || p.held == nil {
+	if accepted != p.accepted || p.majoritySince == nil {
 		p.accepted = accepted
-		p.since = now
-		p.held = make(map[uint64]time.Time)
+		p.acceptedSince = now
+		p.majoritySince = make(map[uint64]time.Time)
 	}
 	for _, view := range views {
 		count := 0
@@ -63,41 +64,41 @@
 				count++
 			}
 		}
-		_, known := p.held[view.GetNumber()]
+		_, known := p.majoritySince[view.GetNumber()]
 		switch {
 		case count <= len(view.GetMembers())/2:
-			delete(p.held, view.GetNumber())
+			delete(p.majoritySince, view.GetNumber())
 		case !known:
-			p.held[view.GetNumber()] = now
+			p.majoritySince[view.GetNumber()] = now
 		}
 	}
 }
 
-// Reset forgets all, when a leadership begins or ends.
+// Reset discards all observations, when a leadership begins or ends.
 func (p *Proof) Reset() {
 	p.accepted = 0
-	p.held = nil
+	p.majoritySince = nil
 }
 
-// Fenced reports since when an entry that lacks the version must have stopped;
-// heardView is the newest view that it is known to have had.
-func (p *Proof) Fenced(now time.Time, views Views, heardView uint64) (time.Time, bool) {
-	if p.held == nil || len(views) > 0 && views[0].GetNumber() > max(heardView, 1) {
+// Fenced returns the time by which an entry that lacks the version must have stopped, and whether
+// that time has passed. reportedView is the newest view that the entry is known to have had.
+func (p *Proof) Fenced(now time.Time, views Views, reportedView uint64) (time.Time, bool) {
+	if p.majoritySince == nil || len(views) > 0 && views[0].GetNumber() > max(reportedView, 1) {
 		return time.Time{}, false
 	}
-	latest := p.since
+	latest := p.acceptedSince
 	for _, view := range views {
-		if view.GetNumber() < heardView {
+		if view.GetNumber() < reportedView {
 			continue
 		}
-		at, held := p.held[view.GetNumber()]
-		if !held {
+		since, hasMajority := p.majoritySince[view.GetNumber()]
+		if !hasMajority {
 			return time.Time{}, false
 		}
-		if at.After(latest) {
-			latest = at
+		if since.After(latest) {
+			latest = since
 		}
 	}
-	stopped := latest.Add(p.Fence + p.Fence/fenceMargin)
+	stopped := latest.Add(p.Fence + p.Fence/driftMarginDivisor)
 	return stopped, !now.Before(stopped)
 }
--- a/src/distributor/pusher.go
+++ b/src/distributor/pusher.go
@@ -9,52 +9,53 @@
 	"github.com/rosecroft/rosecroft/src/messages"
 )
 
-// Methods that entries answer.
+// Methods that entries serve.
 const (
 	MethodHeartbeat connector.Method = "entry/heartbeat"
 	MethodUpdate    connector.Method = "entry/update"
 	MethodContact   connector.Method = "entry/contact"
 )
 
-// pushTimeout bounds one push; what it does not bring, the next heartbeat does.
+// pushTimeout bounds one push. The next heartbeat delivers an update that was not pushed in time.
 const pushTimeout = 500 * time.Millisecond
 
-// Pusher sends updates to a bounded number of entries, one at a time to each.
+// Pusher pushes updates to entries, at most one at a time to each address.
 type Pusher struct {
 	Client *connector.Client
 
-	mu   sync.Mutex
-	busy map[string]bool
+	mu       sync.Mutex
+	inFlight map[string]bool
 }
 
-// Push sends an update to one address without waiting for the answer.
+// Push sends an update to one address without waiting for the response. It does nothing while an
+// earlier push to the address is in flight.
 func (p *Pusher) Push(ctx context.Context, address string, update *messages.ConfigurationUpdate) {
-	if update == nil || !p.begin(address) {
+	if update == nil || !p.tryStart(address) {
 		return
 	}
 	go func() {
-		defer p.end(address)
+		defer p.finish(address)
 		ctx, cancel := context.WithTimeout(ctx, pushTimeout)
 		defer cancel()
 		_ = p.Client.Call(ctx, address, MethodUpdate, update, &messages.ConfigurationPushResponse{})
 	}()
 }
 
-func (p *Pusher) begin(address string) bool {
+func (p *Pusher) tryStart(address string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.busy[address] {
+	if p.inFlight[address] {
 		return false
 	}
-	if p.busy == nil {
-		p.busy = make(map[string]bool)
+	if p.inFlight == nil {
+		p.inFlight = make(map[string]bool)
 	}
-	p.busy[address] = true
+	p.inFlight[address] = true
 	return true
 }
 
-func (p *Pusher) end(address string) {
+func (p *Pusher) finish(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.busy, address)
+	delete(p.inFlight, address)
 }
--- a/src/distributor/tree.go
+++ b/src/distributor/tree.go
@@ -11,21 +11,20 @@
 )
 
 const (
-	// fanOut is the most entries that report to one relay.
-	fanOut = 16
-	// relayTries is how many relays an entry tries before it asks control itself.
-	relayTries = 2
+	// maxChildren is the maximum number of entries that report to one relay.
+	maxChildren = 16
+	// maxRelays is the number of relays an entry tries before it contacts control itself.
+	maxRelays = 2
 )
 
-// Relays returns the entries that one entry reports to, in the order to try
-// them. It returns none for a relay and for an entry that the view does not
-// hold: these report to control. Every entry with the same view reaches the same
-// result, so that no one assigns the relays.
+// Relays returns the entries that one entry reports to, in the order in which to try them. It
+// returns none for a relay and for an entry that is not in the view: these report to control.
+// Every entry with the same view computes the same result, so the relays need not be assigned.
 func Relays(view *messages.EntryView, self units.Instance) []*messages.EntryMember {
-	centre := dataCentreOf(view, self)
+	dataCentre := dataCentreOf(view, self)
 	var members []*messages.EntryMember
 	for _, member := range view.GetMembers() {
-		if centre != "" && member.GetDataCentre() == centre {
+		if dataCentre != "" && member.GetDataCentre() == dataCentre {
 			members = append(members, member)
 		}
 	}
@@ -35,16 +34,16 @@
 			cmp.Compare(a.GetEntry(), b.GetEntry()),
 		)
 	})
-	count := (len(members) + fanOut) / (fanOut + 1)
+	relayCount := (len(members) + maxChildren) / (maxChildren + 1)
 	rank := slices.IndexFunc(members, func(member *messages.EntryMember) bool {
 		return member.GetEntry() == string(self)
 	})
-	if rank < count {
+	if rank < relayCount {
 		return nil
 	}
 	var relays []*messages.EntryMember
-	for i := range min(count, relayTries) {
-		relays = append(relays, members[(rank+i)%count])
+	for i := range min(relayCount, maxRelays) {
+		relays = append(relays, members[(rank+i)%relayCount])
 	}
 	return relays
 }
--- a/src/distributor/tree_test.go
+++ b/src/distributor/tree_test.go
@@ -10,21 +10,21 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// A fleet has any size and spread. Every entry must reach a relay of its own data
-// centre that reports to control itself, no relay may have more than its share,
-// and the leader must hear of a small part of the fleet.
-func TestTreeIsBounded(t *testing.T) {
+// For any number of entries in any number of data centres: every entry must have a relay in its
+// own data centre that reports to control itself, no relay may have more children than its limit,
+// and only a small part of the fleet may report to the leader.
+func TestRelayTreeIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		view := &messages.EntryView{}
 		size := rapid.IntRange(1, 400).Draw(t, "size")
-		centres := rapid.IntRange(1, 19).Draw(t, "centres")
-		centreOf := make(map[string]string)
+		dataCentres := rapid.IntRange(1, 19).Draw(t, "centres")
+		dataCentreByEntry := make(map[string]string)
 		for i := range size {
 			member := &messages.EntryMember{
 				Entry:      fmt.Sprintf("e%d", i),
-				DataCentre: fmt.Sprintf("dc-%d", i%centres),
+				DataCentre: fmt.Sprintf("dc-%d", i%dataCentres),
 			}
-			centreOf[member.GetEntry()] = member.GetDataCentre()
+			dataCentreByEntry[member.GetEntry()] = member.GetDataCentre()
 			view.Members = append(view.Members, member)
 		}
 		direct := 0
@@ -40,17 +40,17 @@
 				if len(Relays(view, units.Instance(relay.GetEntry()))) > 0 {
 					t.Fatalf("relay %s of %s reports to a relay itself", relay.GetEntry(), member.GetEntry())
 				}
-				if got, want := centreOf[relay.GetEntry()], member.GetDataCentre(); got != want {
+				if got, want := dataCentreByEntry[relay.GetEntry()], member.GetDataCentre(); got != want {
 					t.Fatalf("data centre of the relay of %s: got %s, want %s", member.GetEntry(), got, want)
 				}
 			}
 		}
-		if most := size/(fanOut+1) + centres; direct > most {
-			t.Fatalf("entries that report to control: got %d of %d, want at most %d", direct, size, most)
+		if maxDirect := size/(maxChildren+1) + dataCentres; direct > maxDirect {
+			t.Fatalf("entries that report to control: got %d of %d, want at most %d", direct, size, maxDirect)
 		}
 		for relay, children := range load {
-			if children > fanOut {
-				t.Fatalf("children of %s: got %d, want at most %d", relay, children, fanOut)
+			if children > maxChildren {
+				t.Fatalf("children of %s: got %d, want at most %d", relay, children, maxChildren)
 			}
 		}
 	})
--- a/src/distributor/update.go
+++ b/src/distributor/update.go
@@ -9,26 +9,26 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// keptDocuments is how many documents a source holds to form differences from.
-const keptDocuments = 8
+// maxDocuments is how many documents a source keeps to compute differences from.
+const maxDocuments = 8
 
-// Source is the newest configuration with a few earlier ones; it never changes.
+// Source holds the newest configuration and a few earlier ones. It is immutable.
 type Source struct {
-	documents []versioned
+	documents []versionedDocument
 }
 
-type versioned struct {
+type versionedDocument struct {
 	version units.Version
 	content []byte
 }
 
-// With returns a source that has a newer document; nil is an empty source.
+// With returns a source with a newer document added. A nil source is an empty one.
 func (s *Source) With(version units.Version, content []byte) *Source {
 	next := &Source{}
 	if s != nil {
-		next.documents = append(next.documents, s.documents[max(0, len(s.documents)-keptDocuments+1):]...)
+		next.documents = append(next.documents, s.documents[max(0, len(s.documents)-maxDocuments+1):]...)
 	}
-	next.documents = append(next.documents, versioned{
+	next.documents = append(next.documents, versionedDocument{
 		version: version,
 		content: content,
 	})
@@ -43,7 +43,8 @@
 	return s.documents[len(s.documents)-1].version
 }
 
-// Update returns what an entry with the base version lacks, nil where it lacks nothing.
+// Update returns the update for an entry that has the base version, nil if the entry is up to
+// date.
 func (s *Source) Update(base units.Version) *messages.ConfigurationUpdate {
 	if s.Version() <= base {
 		return nil
@@ -57,22 +58,23 @@
 	}
 	for _, earlier := range s.documents {
 		if earlier.version == base {
-			shorten(update, earlier)
+			omitCommonEnds(update, earlier)
 		}
 	}
 	return update
 }
 
-// shorten leaves out what the base has in common at both ends.
-func shorten(update *messages.ConfigurationUpdate, base versioned) {
+// omitCommonEnds removes from the update's content the prefix and the suffix that the base has in
+// common with it.
+func omitCommonEnds(update *messages.ConfigurationUpdate, base versionedDocument) {
 	content := update.GetContent()
-	shorter := min(len(base.content), len(content))
+	minLength := min(len(base.content), len(content))
 	prefix := 0
-	for prefix < shorter && base.content[prefix] == content[prefix] {
+	for prefix < minLength && base.content[prefix] == content[prefix] {
 		prefix++
 	}
 	suffix := 0
-	for suffix < shorter-prefix && base.content[len(base.content)-1-suffix] == content[len(content)-1-suffix] {
+	for suffix < minLength-prefix && base.content[len(base.content)-1-suffix] == content[len(content)-1-suffix] {
 		suffix++
 	}
 	update.BaseVersion = uint64(base.version)
@@ -81,20 +83,21 @@
 	update.Content = content[prefix : len(content)-suffix]
 }
 
-// BaseError says that an update does not fit what the receiver has.
+// BaseError reports that an update does not apply to the receiver's document.
 type BaseError struct {
 	Version units.Version
 	Base    units.Version
 }
 
-// Error names the remedy.
+// Error includes the remedy.
 func (e *BaseError) Error() string {
-	return fmt.Sprintf("version %d cannot be formed from version %d; the next heartbeat brings it whole", e.Version, e.Base)
+	return fmt.Sprintf("version %d cannot be computed from version %d; the next heartbeat brings the full document", e.Version, e.Base)
 }
 
-// Apply returns the document of an update, given the receiver's own.
+// Apply returns the document that results from an update to the receiver's own document, which
+// has the given version.
 func Apply(version units.Version, own []byte, update *messages.ConfigurationUpdate) ([]byte, error) {
-	refused := &BaseError{
+	mismatch := &BaseError{
 		Version: units.Version(update.GetVersion()),
 		Base:    version,
 	}
@@ -103,13 +106,13 @@
 		prefix, suffix := update.GetPrefix(), update.GetSuffix()
 		size := uint64(len(own))
 		if units.Version(update.GetBaseVersion()) != version || prefix > size || suffix > size-prefix {
-			return nil, refused
+			return nil, mismatch
 		}
 		content = bytes.Join([][]byte{own[:prefix], content, own[size-suffix:]}, nil)
 	}
 	sum := sha256.Sum256(content)
 	if !bytes.Equal(sum[:], update.GetContentHash()) {
-		return nil, refused
+		return nil, mismatch
 	}
 	return content, nil
 }
--- a/src/distributor/update_test.go
+++ b/src/distributor/update_test.go
@@ -12,7 +12,7 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// TestMain fixes the seed, unless another is asked for.
+// TestMain fixes the seed unless another one is set.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if seed := flag.Lookup("rapid.seed"); seed.Value.String() == "0" {
@@ -21,10 +21,10 @@
 	os.Exit(m.Run())
 }
 
-// Documents change at any place, and an entry has any earlier one or none. What
-// it forms from an update must be the newest document, byte for byte; an update
-// for another base is refused and changes nothing.
-func TestUpdateGivesTheNewestDocument(t *testing.T) {
+// Documents change at any position, and an entry has any earlier version or none. Applying an
+// update must produce the newest document, byte for byte; an update for another base must be
+// refused and change nothing.
+func TestUpdateReproducesNewestDocument(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		contents := rapid.SliceOfN(rapid.SliceOfN(rapid.ByteRange('a', 'c'), 0, 20), 1, 12).Draw(t, "documents")
 		var source *Source
@@ -58,13 +58,13 @@
 	})
 }
 
-// One line changes in a large document. The update must carry little more than it.
+// When one line of a large document changes, the update must be little larger than the line.
 func TestUpdateOfOneLineIsSmall(t *testing.T) {
 	before := bytes.Repeat([]byte("a line of a large configuration\n"), 1000)
 	after := bytes.Clone(before)
 	copy(after[16000:], "another")
 	update := new(Source).With(1, before).With(2, after).Update(1)
-	if got, most := len(update.GetContent()), 40; got > most {
-		t.Errorf("bytes of the update: got %d, want at most %d", got, most)
+	if got, maxBytes := len(update.GetContent()), 40; got > maxBytes {
+		t.Errorf("bytes of the update: got %d, want at most %d", got, maxBytes)
 	}
 }
--- a/src/enroller/digest.go
+++ b/src/enroller/digest.go
@@ -10,67 +10,67 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// digestParts is how many parts of a table are told apart.
-const digestParts = 128
+// digestBuckets is the number of buckets into which a digest divides a table.
+const digestBuckets = 128
 
-// Digest sums up a table, part by part; equal parts hold the same upstreams in the same
-// state.
+// Digest summarizes a table by bucket: equal buckets hold the same upstreams in the same state.
 //
-// The load it answers: a leader is lost, and hundreds of entries follow the next one's table
-// of thousands of upstreams. What they have differs in a few of them; brought whole to each
-// entry, the tables would keep the new leader from leading.
+// It serves the case that a leader is lost and hundreds of entries follow the next leader's table
+// of thousands of upstreams. Their tables differ from it in a few upstreams. If the whole table
+// were sent to each entry, the traffic would keep the new leader from leading.
 type Digest []uint64
 
-// Digest returns the digest of the table. Upstreams that are gone do not count, since tables
-// forget them at different times. The digest is not to be changed.
+// Digest returns the digest of the table. Upstreams that are gone do not count, since tables drop
+// them at different times. The caller must not modify the digest.
 func (t *Table) Digest() Digest {
-	if t.digest != nil && t.digestAt == t.cursor {
+	if t.digest != nil && t.digestCursor == t.cursor {
 		return t.digest
 	}
-	d := make(Digest, digestParts)
-	for _, entry := range t.entries {
-		if entry.State != Gone {
-			d[partOf(entry.ID)] ^= entry.fingerprint()
+	buckets := make(Digest, digestBuckets)
+	for _, upstream := range t.upstreams {
+		if upstream.State != Gone {
+			buckets[bucketOf(upstream.ID)] ^= upstream.fingerprint()
 		}
 	}
-	t.digest, t.digestAt = d, t.cursor
-	return d
+	t.digest, t.digestCursor = buckets, t.cursor
+	return buckets
 }
 
-// Differing returns the upstreams in the parts in which another table with a digest differs,
-// and false where they are more than most or the digest is of another kind.
-func (t *Table) Differing(now time.Time, other Digest, most int) ([]*messages.RegisteredUpstream, bool) {
-	if len(other) != digestParts {
+// Differing returns the upstreams in the buckets in which the table differs from another one with
+// the given digest. It returns false if there are more than maxChanges or if the digest has
+// another number of buckets.
+func (t *Table) Differing(now time.Time, other Digest, maxChanges int) ([]*messages.RegisteredUpstream, bool) {
+	if len(other) != digestBuckets {
 		return nil, false
 	}
 	own := t.Digest()
 	var changes []*messages.RegisteredUpstream
-	for id, entry := range t.entries {
-		part := partOf(id)
-		if own[part] == other[part] {
+	for id, upstream := range t.upstreams {
+		bucket := bucketOf(id)
+		if own[bucket] == other[bucket] {
 			continue
 		}
-		if len(changes) == most {
+		if len(changes) == maxChanges {
 			return nil, false
 		}
-		changes = append(changes, entry.message(max(0, now.Sub(entry.HeardAt))))
+		changes = append(changes, upstream.message(max(0, now.Sub(upstream.HeardAt))))
 	}
 	return changes, true
 }
 
-func partOf(id units.Upstream) int { return int(xxhash.Sum64String(string(id)) % digestParts) }
+func bucketOf(id units.Upstream) int { return int(xxhash.Sum64String(string(id)) % digestBuckets) }
 
-// fingerprint returns a hash of what callers of an upstream go by.
-func (e *Entry) fingerprint() uint64 {
+// fingerprint returns a hash of what determines how callers treat an upstream.
+func (u *Upstream) fingerprint() uint64 {
 	var b []byte
-	for _, text := range []string{string(e.ID), string(e.Service), e.Address, string(e.DataCentre), string(e.Release)} {
+	for _, text := range []string{string(u.ID), string(u.Service), u.Address, string(u.DataCentre), string(u.Release)} {
 		b = append(b, text...)
 		b = append(b, 0)
 	}
-	b = binary.AppendUvarint(b, uint64(e.Born))
-	b = binary.AppendVarint(b, int64(e.Slots))
-	b = binary.AppendVarint(b, int64(e.State))
-	for _, flag := range []bool{e.Silent, e.ColdFor > 0} {
+	b = binary.AppendUvarint(b, uint64(u.Born))
+	b = binary.AppendVarint(b, int64(u.Slots))
+	b = binary.AppendVarint(b, int64(u.State))
+	for _, flag := range []bool{u.Silent, u.ColdFor > 0} {
 		if flag {
 			b = append(b, 1)
 			continue
--- a/src/enroller/digest_test.go
+++ b/src/enroller/digest_test.go
@@ -10,18 +10,19 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// Guards against an entry that goes on believing the leader before: whatever both tables have
-// heard, what differs brings the entry's to the new leader's.
-func TestDifferencesBringTablesTogether(t *testing.T) {
+// Guards against an entry that keeps the previous leader's state: whatever heartbeats the two
+// tables have received, merging the differences must bring the entry's table to the new leader's
+// state.
+func TestDifferencesSynchronizeTables(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		const upstreams = 300
+		const upstreamCount = 300
 		now := time.Unix(1000, 0)
 		leader := &Table{ID: 1, Interval: time.Second}
 		entry := &Table{ID: 2, Interval: time.Second}
 		for n := range rapid.IntRange(1, 400).Draw(t, "heartbeats") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 200).Draw(t, "passes")) * time.Millisecond)
 			r := Registration{
-				ID:       units.Upstream(fmt.Sprint(rapid.IntRange(0, upstreams-1).Draw(t, "upstream"))),
+				ID:       units.Upstream(fmt.Sprint(rapid.IntRange(0, upstreamCount-1).Draw(t, "upstream"))),
 				State:    State(rapid.IntRange(int(Ready), int(Gone)).Draw(t, "state")),
 				Born:     1,
 				Sequence: uint64(n + 1),
@@ -33,15 +34,15 @@
 			}
 			leader.Expire(now)
 		}
-		changes, few := leader.Differing(now, entry.Digest(), upstreams)
-		if !few {
-			t.Fatal("differences: got too many, want them all")
+		changes, complete := leader.Differing(now, entry.Digest(), upstreamCount)
+		if !complete {
+			t.Fatal("differences: got too many, want all of them")
 		}
 		for _, m := range changes {
 			entry.Follow(now, m)
 		}
 		for _, e := range leader.Entries() {
-			got := entry.entries[e.ID]
+			got := entry.upstreams[e.ID]
 			if got == nil && e.State == Gone {
 				continue
 			}
@@ -52,7 +53,7 @@
 	})
 }
 
-// Guards against a new leader that brings whole tables to hundreds of entries.
+// Guards against a new leader that sends whole tables to hundreds of entries.
 func TestEqualTablesDifferInNothing(t *testing.T) {
 	now := time.Unix(1000, 0)
 	leader := &Table{ID: 1, Interval: time.Second}
@@ -69,17 +70,17 @@
 		r.Sequence += uint64(i % 3)
 		entry.Hear(now, r, 0)
 	}
-	const most = 256
-	changes, few := leader.Differing(now, entry.Digest(), most)
-	if !few || len(changes) > 0 {
-		t.Errorf("differences of equal tables: got %d (few %t), want none", len(changes), few)
+	const maxChanges = 256
+	changes, complete := leader.Differing(now, entry.Digest(), maxChanges)
+	if !complete || len(changes) > 0 {
+		t.Errorf("differences of equal tables: got %d (complete %t), want none", len(changes), complete)
 	}
 	entry.Leave(now, "7")
-	changes, few = leader.Differing(now, entry.Digest(), most)
-	if !few || len(changes) == 0 || len(changes) > 3*3000/digestParts {
-		t.Errorf("differences in one upstream: got %d (few %t), want those of one part", len(changes), few)
+	changes, complete = leader.Differing(now, entry.Digest(), maxChanges)
+	if !complete || len(changes) == 0 || len(changes) > 3*3000/digestBuckets {
+		t.Errorf("differences in one upstream: got %d (complete %t), want those of one bucket", len(changes), complete)
 	}
-	if _, few := leader.Differing(now, (&Table{}).Digest(), most); few {
-		t.Error("differences from an empty table: got few, want too many")
+	if _, complete := leader.Differing(now, (&Table{}).Digest(), maxChanges); complete {
+		t.Error("differences from an empty table: got complete, want too many")
 	}
 }
--- a/src/enroller/registration.go
+++ b/src/enroller/registration.go
@@ -7,22 +7,22 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// State says whether an upstream takes new work.
+// State is whether an upstream accepts new work.
 type State int
 
-// The states, in the only order in which one incarnation goes through them.
+// The states, in the only order in which one incarnation passes through them.
 const (
 	Ready State = iota + 1
 	Leaving
 	Gone
 )
 
-// String returns the state's name as logs and dumps show it.
+// String returns the state's name as shown in logs and dumps.
 func (s State) String() string {
 	return [...]string{"unknown", "ready", "leaving", "gone"}[s]
 }
 
-// Registration is what one heartbeat said.
+// Registration is the content of one heartbeat.
 type Registration struct {
 	ID         units.Upstream
 	Service    units.Service
@@ -33,14 +33,14 @@
 	// Born is when the incarnation started, in milliseconds of Unix time.
 	Born     units.Incarnation
 	Sequence uint64
-	// ColdFor is how much longer it is slow after its start.
+	// ColdFor is how much longer the upstream is slow after its start.
 	ColdFor     time.Duration
 	Reclaimable bool
-	// LeavesIn is how long it still runs, 0 where nobody knows.
+	// LeavesIn is the time until the upstream is terminated, 0 if unknown.
 	LeavesIn time.Duration
-	// Release is the version of the upstream's software, "" where it does not say.
+	// Release is the version of the upstream's software, "" if it does not report one.
 	Release units.Release
-	// Silent says that no heartbeat came for several intervals.
+	// Silent is set if no heartbeat has arrived for several intervals.
 	Silent bool
 }
 
--- a/src/enroller/table.go
+++ b/src/enroller/table.go
@@ -12,199 +12,196 @@
 )
 
 const (
-	// silentIntervals is how many heartbeats may fail to come before an upstream
-	// counts as silent: one late and one lost leave it in use.
-	silentIntervals = 3.5
-	// goneMemory is how long an upstream that is gone is remembered, longer than
-	// a heartbeat that a cut has held up may still arrive.
-	goneMemory = 2 * time.Minute
-	// silentMemory is how long a silent upstream is kept in the table.
-	silentMemory = time.Minute
+	// maxMissedIntervals is the silence, in heartbeat intervals, after which an upstream counts
+	// as silent. One late and one lost heartbeat leave it in use.
+	maxMissedIntervals = 3.5
+	// goneRetention is how long an upstream that is gone is kept. It is longer than a network cut
+	// can delay a heartbeat.
+	goneRetention = 2 * time.Minute
+	// silentRetention is how long a silent upstream is kept.
+	silentRetention = time.Minute
 )
 
-// Table is what is known of all upstreams; it is a state machine without a clock.
+// Table holds what is known of all upstreams. It is a state machine without a clock.
 type Table struct {
-	// ID names this life of the table, since cursors of another mean nothing.
+	// ID identifies this instance of the table; a cursor of another table is meaningless here.
 	ID uint64
-	// Interval is the time from one heartbeat of an upstream to the next.
+	// Interval is the time between two heartbeats of an upstream.
 	Interval time.Duration
 
-	entries map[units.Upstream]*Entry
-	cursor  uint64
-	// holders are the upstreams that use each address.
-	holders map[string]units.Upstream
-	// changes holds the last change of each upstream, and some that others have followed,
-	// in their order.
+	upstreams map[units.Upstream]*Upstream
+	cursor    uint64
+	// byAddress maps each address to the upstream that uses it.
+	byAddress map[string]units.Upstream
+	// changes holds the latest change of each upstream and some superseded ones, in order.
 	changes []change
-	// digest was made when the cursor was digestAt, nil for none.
-	digest   Digest
-	digestAt uint64
+	// digest was computed when the cursor was digestCursor. It is nil if there is none.
+	digest       Digest
+	digestCursor uint64
 }
 
-// change is one upstream's change and the table's cursor after it.
+// change is a change of one upstream and the table's cursor after it.
 type change struct {
 	cursor uint64
 	id     units.Upstream
 }
 
-// spareChanges is how many changes that others have followed are kept before they are
-// taken out.
-const spareChanges = 256
+// compactionSlack is how many superseded changes are kept before they are removed.
+const compactionSlack = 256
 
-// Entry is what is known of one upstream.
-type Entry struct {
+// Upstream is what is known of one upstream.
+type Upstream struct {
 	Registration
-	// HeardAt is when the last heartbeat arrived anywhere, FirstAt when this
-	// incarnation was first heard of here.
+	// HeardAt is when any control instance received the last heartbeat, and FirstAt when this
+	// table first recorded the incarnation.
 	HeardAt time.Time
 	FirstAt time.Time
-	// changed is the table's cursor at the entry's last change.
+	// changed is the table's cursor at the upstream's last change.
 	changed uint64
 }
 
-// Hear takes one heartbeat, which arrived age ago, and reports whether it changes
-// what a caller of the upstream should do. An older one than the last changes nothing.
+// Hear records one heartbeat that arrived age ago, and reports whether it changes how callers
+// treat the upstream. A heartbeat older than the last one changes nothing.
 func (t *Table) Hear(now time.Time, r Registration, age time.Duration) bool {
-	if t.entries == nil {
-		t.entries = make(map[units.Upstream]*Entry)
-		t.holders = make(map[string]units.Upstream)
+	if t.upstreams == nil {
+		t.upstreams = make(map[units.Upstream]*Upstream)
+		t.byAddress = make(map[string]units.Upstream)
 	}
-	known := t.entries[r.ID]
-	if known != nil && !follows(&known.Registration, &r) {
+	known := t.upstreams[r.ID]
+	if known != nil && !isNewer(&known.Registration, &r) {
 		return false
 	}
-	entry := &Entry{
+	upstream := &Upstream{
 		Registration: r,
 		HeardAt:      now.Add(-age),
 		FirstAt:      now,
 	}
 	if known != nil && known.Born == r.Born {
-		entry.FirstAt = known.FirstAt
+		upstream.FirstAt = known.FirstAt
 	}
-	if t.supersede(entry) {
+	if t.supersede(upstream) {
 		return false
 	}
-	// A heartbeat that was overtaken on its way may say "ready" after one that
-	// said "leaving"; an incarnation that leaves never comes back.
+	// A heartbeat that was overtaken on its way may report "ready" after one that reported
+	// "leaving". An incarnation that leaves never becomes ready again.
 	if known != nil && known.Born == r.Born && known.State > r.State {
-		entry.State = known.State
-		entry.LeavesIn = known.LeavesIn
+		upstream.State = known.State
+		upstream.LeavesIn = known.LeavesIn
 	}
-	t.entries[r.ID] = entry
-	if entry.State != Gone {
-		t.holders[entry.Address] = entry.ID
+	t.upstreams[r.ID] = upstream
+	if upstream.State != Gone {
+		t.byAddress[upstream.Address] = upstream.ID
 	}
-	if known != nil && alike(&known.Registration, &entry.Registration) {
-		entry.changed = known.changed
+	if known != nil && isEquivalent(&known.Registration, &upstream.Registration) {
+		upstream.changed = known.changed
 		return false
 	}
-	t.touch(entry)
+	t.recordChange(upstream)
 	return true
 }
 
-// follows reports whether b was said after a.
-func follows(a, b *Registration) bool {
+// isNewer reports whether b was sent after a.
+func isNewer(a, b *Registration) bool {
 	if a.Born != b.Born {
 		return b.Born > a.Born
 	}
 	return b.Sequence > a.Sequence || b.Sequence == a.Sequence && b.State > a.State
 }
 
-// alike reports whether a caller would treat both the same.
-func alike(a, b *Registration) bool {
+// isEquivalent reports whether callers treat both the same.
+func isEquivalent(a, b *Registration) bool {
 	return a.Born == b.Born && a.Service == b.Service && a.Address == b.Address && a.Slots == b.Slots &&
 		a.State == b.State && a.Silent == b.Silent && a.DataCentre == b.DataCentre && a.Release == b.Release &&
 		(a.ColdFor > 0) == (b.ColdFor > 0)
 }
 
-// supersede marks as gone what ran at the address before, and reports whether r
-// itself is of the past: its address has a later tenant. Without it a heartbeat
-// that a cut held up would bring a dead upstream back at another one's address.
-// Where upstreams do not say when they started, the one heard of first is the
-// earlier one.
-func (t *Table) supersede(r *Entry) bool {
-	other := t.entries[t.holders[r.Address]]
-	if other == nil || other.ID == r.ID || other.Address != r.Address || other.State == Gone {
+// supersede marks the previous upstream at the address of u as gone. It reports whether u itself
+// is obsolete because a later upstream uses its address. Without this, a heartbeat that was
+// delayed by a network cut would bring a dead upstream back at another one's address. If
+// upstreams do not report when they started, the one recorded first is the earlier one.
+func (t *Table) supersede(u *Upstream) bool {
+	other := t.upstreams[t.byAddress[u.Address]]
+	if other == nil || other.ID == u.ID || other.Address != u.Address || other.State == Gone {
 		return false
 	}
-	if other.Born > r.Born || other.Born == r.Born && other.FirstAt.After(r.FirstAt) {
+	if other.Born > u.Born || other.Born == u.Born && other.FirstAt.After(u.FirstAt) {
 		return true
 	}
 	other.State = Gone
-	t.touch(other)
+	t.recordChange(other)
 	return false
 }
 
-// Leave notes that an upstream takes no work any more; it reports whether that is new.
+// Leave marks an upstream as gone, and reports whether it was known and not gone before.
 func (t *Table) Leave(now time.Time, id units.Upstream) bool {
-	entry := t.entries[id]
-	if entry == nil || entry.State == Gone {
+	upstream := t.upstreams[id]
+	if upstream == nil || upstream.State == Gone {
 		return false
 	}
-	entry.State = Gone
-	entry.Sequence++
-	entry.HeardAt = now
-	t.touch(entry)
+	upstream.State = Gone
+	upstream.Sequence++
+	upstream.HeardAt = now
+	t.recordChange(upstream)
 	return true
 }
 
-// Expire marks silent upstreams and forgets those that are long gone; it reports
-// whether anything changed.
+// Expire marks silent upstreams and removes those that have been gone or silent for long. It
+// reports whether it marked any.
 func (t *Table) Expire(now time.Time) bool {
 	changed := false
-	limit := time.Duration(silentIntervals * float64(t.Interval))
-	for id, entry := range t.entries {
-		silence := now.Sub(entry.HeardAt)
+	silenceLimit := time.Duration(maxMissedIntervals * float64(t.Interval))
+	for id, upstream := range t.upstreams {
+		silentFor := now.Sub(upstream.HeardAt)
 		switch {
-		case entry.State == Gone && silence > goneMemory, entry.State != Gone && silence > silentMemory:
-			delete(t.entries, id)
+		case upstream.State == Gone && silentFor > goneRetention, upstream.State != Gone && silentFor > silentRetention:
+			delete(t.upstreams, id)
 			t.digest = nil
-			if t.holders[entry.Address] == id {
-				delete(t.holders, entry.Address)
+			if t.byAddress[upstream.Address] == id {
+				delete(t.byAddress, upstream.Address)
 			}
-		case entry.State != Gone && !entry.Silent && silence > limit:
-			entry.Silent = true
-			t.touch(entry)
+		case upstream.State != Gone && !upstream.Silent && silentFor > silenceLimit:
+			upstream.Silent = true
+			t.recordChange(upstream)
 			changed = true
 		}
 	}
 	return changed
 }
 
-func (t *Table) touch(entry *Entry) {
+func (t *Table) recordChange(upstream *Upstream) {
 	t.cursor++
-	entry.changed = t.cursor
+	upstream.changed = t.cursor
 	t.changes = append(t.changes, change{
 		cursor: t.cursor,
-		id:     entry.ID,
+		id:     upstream.ID,
 	})
-	if len(t.changes) > 2*len(t.entries)+spareChanges {
-		t.changes = slices.DeleteFunc(t.changes, func(c change) bool { return !t.stands(c) })
+	if len(t.changes) > 2*len(t.upstreams)+compactionSlack {
+		t.changes = slices.DeleteFunc(t.changes, func(c change) bool { return !t.isCurrent(c) })
 	}
 }
 
-// stands reports whether a change is the last one of its upstream.
-func (t *Table) stands(c change) bool {
-	entry := t.entries[c.id]
-	return entry != nil && entry.changed == c.cursor
+// isCurrent reports whether a change is the latest one of its upstream.
+func (t *Table) isCurrent(c change) bool {
+	upstream := t.upstreams[c.id]
+	return upstream != nil && upstream.changed == c.cursor
 }
 
-// Cursor returns the place up to which a reader has read the table now.
+// Cursor returns the cursor after the latest change.
 func (t *Table) Cursor() uint64 { return t.cursor }
 
-// Since returns what has changed behind a cursor of the table with this id; with
-// another id it returns everything.
+// Since returns the changes after a cursor of the table with this ID; with another ID it returns
+// everything.
 func (t *Table) Since(now time.Time, id, cursor uint64) []*messages.RegisteredUpstream {
 	changes, _ := t.Part(now, id, cursor, t.cursor, math.MaxInt)
 	return changes
 }
 
-// Part returns the first most changes behind a cursor and up to another one, as Since, and
-// the cursor behind them.
+// Part returns the first maxChanges changes after one cursor and up to another, as Since does,
+// and the cursor after them.
 //
-// A table of thousands of upstreams in one answer takes longer over a slow link than its
-// reader waits, who would ask for all of it again.
-func (t *Table) Part(now time.Time, id, cursor, until uint64, most int) (changes []*messages.RegisteredUpstream, reached uint64) {
+// Sending a table of thousands of upstreams in one response over a slow link would take longer
+// than the reader's timeout, and the reader would then request all of it again.
+func (t *Table) Part(now time.Time, id, cursor, until uint64, maxChanges int) (changes []*messages.RegisteredUpstream, reached uint64) {
 	if id != t.ID {
 		cursor = 0
 	}
@@ -218,50 +215,50 @@
 		if c.cursor > until {
 			break
 		}
-		if !t.stands(c) {
+		if !t.isCurrent(c) {
 			continue
 		}
-		if len(changes) == most {
+		if len(changes) == maxChanges {
 			return changes, reached
 		}
-		entry := t.entries[c.id]
-		changes = append(changes, entry.message(max(0, now.Sub(entry.HeardAt))))
+		upstream := t.upstreams[c.id]
+		changes = append(changes, upstream.message(max(0, now.Sub(upstream.HeardAt))))
 		reached = c.cursor
 	}
 	return changes, until
 }
 
-// Follow takes what another table said of an upstream; it reports whether that
-// changes what a caller should do.
+// Follow merges what another table reported of an upstream, and reports whether that changes how
+// callers treat it.
 func (t *Table) Follow(now time.Time, m *messages.RegisteredUpstream) bool {
 	r := fromMessage(m)
 	age := time.Duration(m.GetAgeMs()) * time.Millisecond
-	known := t.entries[r.ID]
-	// The other table may know no more than this one but for the silence.
+	known := t.upstreams[r.ID]
+	// The other table may know nothing newer than this one except whether the upstream is silent.
 	if known != nil && known.Born == r.Born && known.State == r.State && known.Silent != r.Silent && r.Sequence >= known.Sequence {
 		known.Silent = r.Silent
 		known.Sequence = r.Sequence
 		known.HeardAt = now.Add(-age)
-		t.touch(known)
+		t.recordChange(known)
 		return true
 	}
 	return t.Hear(now, r, age)
 }
 
-// Message returns what is known of one upstream, nil for nothing.
+// Message returns what is known of one upstream, nil if it is unknown.
 func (t *Table) Message(now time.Time, id units.Upstream) *messages.RegisteredUpstream {
-	entry := t.entries[id]
-	if entry == nil {
+	upstream := t.upstreams[id]
+	if upstream == nil {
 		return nil
 	}
-	return entry.message(max(0, now.Sub(entry.HeardAt)))
+	return upstream.message(max(0, now.Sub(upstream.HeardAt)))
 }
 
-// Entries returns what is known of all upstreams, sorted by id; it is not to be changed.
-func (t *Table) Entries() []*Entry {
-	entries := make([]*Entry, 0, len(t.entries))
-	for _, id := range slices.Sorted(maps.Keys(t.entries)) {
-		entries = append(entries, t.entries[id])
+// Entries returns all upstreams, sorted by ID. The caller must not modify them.
+func (t *Table) Entries() []*Upstream {
+	list := make([]*Upstream, 0, len(t.upstreams))
+	for _, id := range slices.Sorted(maps.Keys(t.upstreams)) {
+		list = append(list, t.upstreams[id])
 	}
-	return entries
+	return list
 }
--- a/src/enroller/table_test.go
+++ b/src/enroller/table_test.go
@@ -32,50 +32,50 @@
 }
 
 func (t *Table) state(id string) State {
-	entry := t.entries[units.Upstream(id)]
-	if entry == nil {
+	upstream := t.upstreams[units.Upstream(id)]
+	if upstream == nil {
 		return 0
 	}
-	return entry.State
+	return upstream.State
 }
 
-// A caller's booking would reach an upstream that is no more, or that has left.
-// Heartbeats are overtaken, come twice, and come from a life that is over; only
-// the newest one of the newest life counts, and leaving is for good.
+// Guards against calls that are sent to an upstream that no longer exists or is leaving.
+// Heartbeats are overtaken, arrive twice, and come from an earlier incarnation. Only the newest
+// one of the newest incarnation counts, and leaving is final.
 func TestOldHeartbeatsChangeNothing(t *testing.T) {
 	cases := map[string]struct {
-		heard []Registration
-		want  map[string]State
+		heartbeats []Registration
+		want       map[string]State
 	}{
 		"overtaken": {
-			heard: []Registration{registration("a", "x", 5, 2, Leaving), registration("a", "x", 5, 1, Ready)},
-			want:  map[string]State{"a": Leaving},
+			heartbeats: []Registration{registration("a", "x", 5, 2, Leaving), registration("a", "x", 5, 1, Ready)},
+			want:       map[string]State{"a": Leaving},
 		},
 		"ready after leaving": {
-			heard: []Registration{registration("a", "x", 5, 2, Leaving), registration("a", "x", 5, 3, Ready)},
-			want:  map[string]State{"a": Leaving},
+			heartbeats: []Registration{registration("a", "x", 5, 2, Leaving), registration("a", "x", 5, 3, Ready)},
+			want:       map[string]State{"a": Leaving},
 		},
-		"born again under its id, counting anew": {
-			heard: []Registration{registration("a", "x", 5, 9, Leaving), registration("a", "x", 6, 1, Ready)},
-			want:  map[string]State{"a": Ready},
+		"restarted with the same ID and sequence numbers from 1": {
+			heartbeats: []Registration{registration("a", "x", 5, 9, Leaving), registration("a", "x", 6, 1, Ready)},
+			want:       map[string]State{"a": Ready},
 		},
-		"from an earlier life": {
-			heard: []Registration{registration("a", "x", 6, 1, Ready), registration("a", "x", 5, 9, Leaving)},
-			want:  map[string]State{"a": Ready},
+		"from an earlier incarnation": {
+			heartbeats: []Registration{registration("a", "x", 6, 1, Ready), registration("a", "x", 5, 9, Leaving)},
+			want:       map[string]State{"a": Ready},
 		},
-		"address used again": {
-			heard: []Registration{registration("a", "x", 5, 1, Ready), registration("b", "x", 6, 1, Ready)},
-			want:  map[string]State{"a": Gone, "b": Ready},
+		"address reused": {
+			heartbeats: []Registration{registration("a", "x", 5, 1, Ready), registration("b", "x", 6, 1, Ready)},
+			want:       map[string]State{"a": Gone, "b": Ready},
 		},
-		"held up until the address was used again": {
-			heard: []Registration{registration("b", "x", 6, 1, Ready), registration("a", "x", 5, 1, Ready)},
-			want:  map[string]State{"a": 0, "b": Ready},
+		"delayed until the address was reused": {
+			heartbeats: []Registration{registration("b", "x", 6, 1, Ready), registration("a", "x", 5, 1, Ready)},
+			want:       map[string]State{"a": 0, "b": Ready},
 		},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			table := newTable()
-			for _, r := range c.heard {
+			for _, r := range c.heartbeats {
 				table.Hear(start, r, 0)
 			}
 			for id, want := range c.want {
@@ -87,9 +87,9 @@
 	}
 }
 
-// An entry that follows a table by its cursor must come to the same states as
-// the table, in whatever order heartbeats arrive and however often it asks; also
-// when it turns to another control instance in between.
+// An entry that follows a table by its cursor must reach the same states as the table, in
+// whatever order heartbeats arrive and however often it polls, also when it switches to another
+// control instance in between.
 func TestFollowersConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tables := []*Table{newTable(), {ID: 2, Interval: interval}}
@@ -109,7 +109,7 @@
 				rapid.Uint64Range(1, 8).Draw(t, "sequence"),
 				State(rapid.IntRange(1, 2).Draw(t, "state")))
 			r.Address = string(r.ID)
-			// Heartbeats reach both tables, as control spreads them.
+			// Heartbeats reach both tables, since control instances forward them to each other.
 			for _, table := range tables {
 				table.Hear(now, r, 0)
 				table.Expire(now)
@@ -120,7 +120,7 @@
 		}
 		follow(now, tables[0])
 		for _, want := range tables[0].Entries() {
-			got := entry.entries[want.ID]
+			got := entry.upstreams[want.ID]
 			if got == nil || got.Born != want.Born || got.State != want.State || got.Silent != want.Silent {
 				t.Fatalf("entry of %s: got %+v, want %+v", want.ID, got, want)
 			}
@@ -128,25 +128,25 @@
 	})
 }
 
-func TestSilenceIsToldAndTakenBack(t *testing.T) {
+func TestSilenceIsReportedAndCleared(t *testing.T) {
 	table := newTable()
 	table.Hear(start, registration("a", "x", 5, 1, Ready), 0)
 	if table.Expire(start.Add(2 * interval)) {
 		t.Error("silent after two intervals: got true, want false")
 	}
 	later := start.Add(4 * interval)
-	if !table.Expire(later) || !table.entries["a"].Silent {
+	if !table.Expire(later) || !table.upstreams["a"].Silent {
 		t.Error("silent after four intervals: got false, want true")
 	}
-	if !table.Hear(later, registration("a", "x", 5, 2, Ready), 0) || table.entries["a"].Silent {
-		t.Error("heard again: got still silent, want not")
+	if !table.Hear(later, registration("a", "x", 5, 2, Ready), 0) || table.upstreams["a"].Silent {
+		t.Error("after a heartbeat: got still silent, want not silent")
 	}
 }
 
-// Thousands of upstreams announce themselves, come again, move and end. Whoever follows
-// the table must get each one's last change behind its cursor, once, and no address may
-// have two upstreams that take calls: one of them would get the other's.
-func TestChangesAndAddressesHoldForAnyHistory(t *testing.T) {
+// Thousands of upstreams announce themselves, restart, move and end. Whoever follows the table
+// must receive each one's latest change after its cursor, once, and no address may have two
+// upstreams that accept calls: one of them would receive the other's calls.
+func TestChangesAndAddressesAreConsistent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := newTable()
 		now := start
@@ -174,7 +174,7 @@
 				continue
 			}
 			if other, taken := live[e.Address]; taken {
-				t.Fatalf("upstreams at %s: got %s and %s, want one", e.Address, other, e.ID)
+				t.Fatalf("upstreams at address %s: got %s and %s, want one", e.Address, other, e.ID)
 			}
 			live[e.Address] = e.ID
 		}
@@ -190,25 +190,25 @@
 				got[m.GetId()]++
 			}
 			if !maps.Equal(got, want) {
-				t.Fatalf("changes behind %d: got %v, want %v", cursor, got, want)
+				t.Fatalf("changes after cursor %d: got %v, want %v", cursor, got, want)
 			}
 		}
 	})
 }
 
-// Guards against a large table that never arrives over a slow link: each answer brings a part,
-// and all parts together bring every change, also those made meanwhile.
-func TestPartsBringTheWholeTable(t *testing.T) {
+// Guards against a large table that never arrives over a slow link: each response carries a page,
+// and the pages together must bring every change, including those made meanwhile.
+func TestPagesReproduceTable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
 		table := &Table{ID: 1, Interval: time.Second}
 		reader := &Table{ID: 2, Interval: time.Second}
-		most := rapid.IntRange(1, 9).Draw(t, "most")
+		maxChanges := rapid.IntRange(1, 9).Draw(t, "most")
 		cursor := uint64(0)
 		read := func() {
-			changes, reached := table.Part(now, table.ID, cursor, table.Cursor(), most)
-			if len(changes) > most {
-				t.Fatalf("changes in a part: got %d, want at most %d", len(changes), most)
+			changes, reached := table.Part(now, table.ID, cursor, table.Cursor(), maxChanges)
+			if len(changes) > maxChanges {
+				t.Fatalf("changes in a page: got %d, want at most %d", len(changes), maxChanges)
 			}
 			for _, m := range changes {
 				reader.Follow(now, m)
@@ -232,7 +232,7 @@
 			read()
 		}
 		for _, e := range table.Entries() {
-			if got := reader.entries[e.ID]; got == nil || got.State != e.State {
+			if got := reader.upstreams[e.ID]; got == nil || got.State != e.State {
 				t.Errorf("upstream %s: got %v, want state %v", e.ID, got, e.State)
 			}
 		}
--- a/src/entry/adopter.go
+++ b/src/entry/adoption.go
@@ -11,19 +11,19 @@
 	"github.com/rosecroft/rosecroft/src/messages"
 )
 
-// methodAdopt carries a call from an entry that stops to another one.
+// methodAdopt hands a call over from an entry that stops to another one.
 const methodAdopt connector.Method = "call/adopt"
 
-// adoptTries is how many entries are asked to take a call.
-const adoptTries = 3
+// maxAdoptAttempts is how many entries are asked to adopt a call.
+const maxAdoptAttempts = 3
 
-var errNotAdopted = errors.New("no other entry took the call")
+var errNotAdopted = errors.New("no other entry adopted the call")
 
-// Adopt hands a call to another entry of the view.
+// Adopt hands a call over to another entry of the view.
 func (e *Entry) Adopt(ctx context.Context, call *dispatcher.Call) error {
-	request := adoptRequest(call)
+	request := newAdoptRequest(call)
 	members := e.View().GetMembers()
-	tries := 0
+	attempts := 0
 	for _, index := range rand.Perm(len(members)) {
 		if members[index].GetEntry() == string(e.Settings.Name) {
 			continue
@@ -33,14 +33,14 @@
 		if err == nil && response.GetTaken() {
 			return nil
 		}
-		if tries++; tries == adoptTries {
+		if attempts++; attempts == maxAdoptAttempts {
 			break
 		}
 	}
 	return errNotAdopted
 }
 
-func adoptRequest(call *dispatcher.Call) *messages.AdoptRequest {
+func newAdoptRequest(call *dispatcher.Call) *messages.AdoptRequest {
 	request := &messages.AdoptRequest{
 		Key:     call.Key,
 		Brand:   string(call.Brand),
--- a/src/entry/announcement.go
+++ b/src/entry/announcement.go
@@ -16,36 +16,36 @@
 )
 
 const (
-	maxAnnouncement     = 64 << 10
-	announcementTimeout = 2 * time.Second
+	maxAnnouncementBytes = 64 << 10
+	announcementTimeout  = 2 * time.Second
 )
 
-// receptionist takes the upstreams' announcements over HTTP.
-type receptionist struct {
+// announcementServer receives the upstreams' announcements over HTTP.
+type announcementServer struct {
 	listener net.Listener
-	// tls is nil only where the settings allow plain loopback.
+	// tls is nil only if the settings allow plain HTTP on the loopback interface.
 	tls         *tls.Config
 	coordinator *coordinator
 }
 
 // run serves until ctx ends.
-func (r *receptionist) run(ctx context.Context) error {
+func (s *announcementServer) run(ctx context.Context) error {
 	container := restful.NewContainer()
 	service := new(restful.WebService)
 	service.Path("/v1")
-	service.Route(service.POST("/announcements").Consumes("application/json").To(r.announce))
-	service.Route(service.POST("/cache-events").Consumes("application/json").To(r.tellCache))
+	service.Route(service.POST("/announcements").Consumes("application/json").To(s.handleAnnouncement))
+	service.Route(service.POST("/cache-events").Consumes("application/json").To(s.handleCacheEvents))
 	container.Add(service)
 	server := &http.Server{
 		Handler:           container,
 		ReadHeaderTimeout: announcementTimeout,
 		ReadTimeout:       announcementTimeout,
 		WriteTimeout:      announcementTimeout,
-		MaxHeaderBytes:    maxAnnouncement,
+		MaxHeaderBytes:    maxAnnouncementBytes,
 	}
-	listener := r.listener
-	if r.tls != nil {
-		listener = tls.NewListener(listener, r.tls)
+	listener := s.listener
+	if s.tls != nil {
+		listener = tls.NewListener(listener, s.tls)
 	}
 	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 	defer stop()
@@ -55,8 +55,8 @@
 	return nil
 }
 
-func (r *receptionist) announce(request *restful.Request, response *restful.Response) {
-	content, err := io.ReadAll(http.MaxBytesReader(response, request.Request.Body, maxAnnouncement))
+func (s *announcementServer) handleAnnouncement(request *restful.Request, response *restful.Response) {
+	content, err := io.ReadAll(http.MaxBytesReader(response, request.Request.Body, maxAnnouncementBytes))
 	if err != nil {
 		_ = response.WriteError(http.StatusRequestEntityTooLarge, err)
 		return
@@ -66,12 +66,12 @@
 		_ = response.WriteError(http.StatusBadRequest, err)
 		return
 	}
-	if err := r.authorize(request.Request, announcement); err != nil {
+	if err := s.authorize(request.Request, announcement); err != nil {
 		_ = response.WriteError(http.StatusForbidden, err)
 		return
 	}
 	reply := make(chan error, 1)
-	r.coordinator.box <- announced{
+	s.coordinator.events <- announcementReceived{
 		announcement: announcement,
 		reply:        reply,
 	}
@@ -82,11 +82,11 @@
 	response.WriteHeader(http.StatusNoContent)
 }
 
-// authorize refuses an announcement in another upstream's name: it would draw
-// that one's calls to itself, or take it out of use by a leaving mark.
-func (r *receptionist) authorize(request *http.Request, announcement interface{ GetUpstream() string }) error {
-	identity, err := certifier.RequireRequest(request, r.tls != nil, certifier.Upstream)
-	if err != nil || r.tls == nil {
+// authorize rejects an announcement in another upstream's name, which would divert that
+// upstream's calls to the sender or mark that upstream as leaving.
+func (s *announcementServer) authorize(request *http.Request, announcement interface{ GetUpstream() string }) error {
+	identity, err := certifier.RequireRequest(request, s.tls != nil, certifier.Upstream)
+	if err != nil || s.tls == nil {
 		return err
 	}
 	return identity.RequireName(certifier.Upstream, announcement.GetUpstream())
--- a/src/entry/announcement_test.go
+++ b/src/entry/announcement_test.go
@@ -15,16 +15,16 @@
 		document string
 		want     string
 	}{
-		"good":             {document: goodAnnouncement},
-		"not JSON":         {document: "{", want: "read the announcement"},
-		"unknown field":    {document: `{"upstream":"u","colour":"red"}`, want: `unknown field "colour"`},
-		"step no number":   {document: `{"stepMs":"NaN"}`, want: "step-ms is NaN"},
-		"endless price":    {document: `{"pricePerHour":"Infinity"}`, want: "price-per-hour is +Inf"},
-		"price below 0":    {document: `{"pricePerHour":-1}`, want: "price-per-hour is -1"},
-		"leaves yesterday": {document: `{"leavingWithinMs":"-1"}`, want: "leaving-within-ms is -1"},
-		"load to come":     {document: `{"load":{"ageMs":"-5"}}`, want: "load.age-ms is -5"},
-		"many slots":       {document: `{"slots":4294967295}`, want: "slots is"},
-		"long name":        {document: `{"upstream":"` + strings.Repeat("u", maxText+1) + `"}`, want: "upstream is 256 long"},
+		"good":                 {document: goodAnnouncement},
+		"not JSON":             {document: "{", want: "read the announcement"},
+		"unknown field":        {document: `{"upstream":"u","colour":"red"}`, want: `unknown field "colour"`},
+		"step not a number":    {document: `{"stepMs":"NaN"}`, want: "step-ms is NaN"},
+		"infinite price":       {document: `{"pricePerHour":"Infinity"}`, want: "price-per-hour is +Inf"},
+		"negative price":       {document: `{"pricePerHour":-1}`, want: "price-per-hour is -1"},
+		"leaves in the past":   {document: `{"leavingWithinMs":"-1"}`, want: "leaving-within-ms is -1"},
+		"load from the future": {document: `{"load":{"ageMs":"-5"}}`, want: "load.age-ms is -5"},
+		"too many slots":       {document: `{"slots":4294967295}`, want: "slots is"},
+		"name too long":        {document: `{"upstream":"` + strings.Repeat("u", maxTextLength+1) + `"}`, want: "upstream is 256 long"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -35,7 +35,7 @@
 				}
 				return
 			}
-			// The library puts a blank of one of two kinds into its messages.
+			// The library's messages contain either a space or a no-break space.
 			if err == nil || !strings.Contains(strings.ReplaceAll(err.Error(), "\u00a0", " "), c.want) {
 				t.Errorf("error: got %v, want %q in it", err, c.want)
 			}
@@ -43,8 +43,8 @@
 	}
 }
 
-// FuzzAnnouncement wants no announcement to end the process or to leave an
-// upstream whose figures mislead a choice.
+// FuzzAnnouncement checks that no announcement crashes the process or leaves an upstream with
+// figures that would distort the choice of upstreams.
 func FuzzAnnouncement(f *testing.F) {
 	for _, seed := range []string{
 		goodAnnouncement, "", "{", "null", "[]", `{"load":{}}`, `{"load":null,"adapters":[null]}`,
@@ -66,7 +66,7 @@
 		table.Step(now, tracker.Announced{Announcement: announcement})
 		for _, upstream := range table.All() {
 			if upstream.Step < 0 || upstream.Slots < 0 || upstream.Load.Running < 0 || upstream.Load.MeasuredAt.After(now) {
-				t.Errorf("upstream: got %+v, want figures from 0", upstream)
+				t.Errorf("upstream: got %+v, want no negative figure and no load from the future", upstream)
 			}
 		}
 		table.Step(now.Add(time.Minute), tracker.Ticked{})
--- a/src/entry/cache.go
+++ b/src/entry/cache.go
@@ -11,17 +11,18 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// cached is what an engine tells of its prefix cache.
-type cached struct {
+// cacheEventsReceived carries what an engine reported of its prefix cache.
+type cacheEventsReceived struct {
 	events *messages.CacheEvents
 }
 
-func (cached) event() {}
+func (cacheEventsReceived) event() {}
 
-// tellCache takes an engine's cache events. They are only hints, so that none is
-// answered for: one that finds the box full is a gap like any other.
-func (r *receptionist) tellCache(request *restful.Request, response *restful.Response) {
-	content, err := io.ReadAll(http.MaxBytesReader(response, request.Request.Body, maxAnnouncement))
+// handleCacheEvents receives an engine's cache events. They are only hints, so the response does
+// not confirm them: events that find the coordinator's queue full are dropped, which is a gap
+// like any other.
+func (s *announcementServer) handleCacheEvents(request *restful.Request, response *restful.Response) {
+	content, err := io.ReadAll(http.MaxBytesReader(response, request.Request.Body, maxAnnouncementBytes))
 	if err != nil {
 		_ = response.WriteError(http.StatusRequestEntityTooLarge, err)
 		return
@@ -31,22 +32,23 @@
 		_ = response.WriteError(http.StatusBadRequest, err)
 		return
 	}
-	if err := r.authorize(request.Request, events); err != nil {
+	if err := s.authorize(request.Request, events); err != nil {
 		_ = response.WriteError(http.StatusForbidden, err)
 		return
 	}
 	select {
-	case r.coordinator.box <- cached{events: events}:
+	case s.coordinator.events <- cacheEventsReceived{events: events}:
 	default:
 	}
 	response.WriteHeader(http.StatusNoContent)
 }
 
-// cache hands cache events on, unless they are of an earlier life of the engine.
-func (c *coordinator) cache(events *messages.CacheEvents) {
+// handleCacheEvents passes cache events on unless they are from an earlier incarnation of the
+// engine.
+func (c *coordinator) handleCacheEvents(events *messages.CacheEvents) {
 	upstream := c.tracker.Find(units.Upstream(events.GetUpstream()))
-	if upstream == nil || upstream.Incarnation != units.Incarnation(events.GetIncarnation()) || c.cacheChanged == nil {
+	if upstream == nil || upstream.Incarnation != units.Incarnation(events.GetIncarnation()) || c.onCacheEvents == nil {
 		return
 	}
-	c.cacheChanged(upstream, events)
+	c.onCacheEvents(upstream, events)
 }
--- a/src/entry/coordinator.go
+++ b/src/entry/coordinator.go
@@ -17,62 +17,63 @@
 )
 
 const (
-	boxSize      = 1024
-	tickInterval = 50 * time.Millisecond
+	eventQueueSize = 1024
+	tickInterval   = 50 * time.Millisecond
 )
 
-// event is something the coordinator takes from its box.
+// event is an input to the coordinator.
 type event interface{ event() }
 
-// announced is an upstream's announcement; the reply is nil or why it was refused.
-type announced struct {
+// announcementReceived is an upstream's announcement. The reply is nil or the reason for a
+// refusal.
+type announcementReceived struct {
 	announcement *messages.Announcement
 	reply        chan<- error
 }
 
-// configured is a configuration that control has accepted.
-type configured struct {
+// configurationReceived is a configuration that control has accepted.
+type configurationReceived struct {
 	update *messages.ConfigurationUpdate
 }
 
-// dumped wants the process's state.
-type dumped struct {
+// dumpRequested asks for the process's state.
+type dumpRequested struct {
 	reply chan<- *Dump
 }
 
-func (announced) event()  {}
-func (configured) event() {}
-func (dumped) event()     {}
+func (announcementReceived) event()  {}
+func (configurationReceived) event() {}
+func (dumpRequested) event()         {}
 
 // coordinator owns an entry's control state.
 type coordinator struct {
-	settings  *parser.Settings
-	log       zerolog.Logger
-	box       chan event
-	tracker   *tracker.Tracker
-	informer  *informer.Informer
-	messenger *messenger
-	view      *atomic.Pointer[messages.EntryView]
-	// leavers are the leaving upstreams that no other entry has confirmed;
-	// confirmed are those that one has.
-	leavers       map[units.Upstream][]leaver
-	confirmed     map[units.Upstream]units.Incarnation
-	configuration *parser.Configuration
-	// document is the configuration as it was written.
+	settings     *parser.Settings
+	log          zerolog.Logger
+	events       chan event
+	tracker      *tracker.Tracker
+	informer     *informer.Informer
+	gossipSender *gossipSender
+	view         *atomic.Pointer[messages.EntryView]
+	// pendingLeaves are the leaving upstreams that no other entry has confirmed; confirmedLeaves
+	// are those that one has.
+	pendingLeaves   map[units.Upstream][]pendingLeave
+	confirmedLeaves map[units.Upstream]units.Incarnation
+	configuration   *parser.Configuration
+	// document is the configuration's original text.
 	document []byte
-	// source serves the document to other entries.
+	// source provides the document to other entries.
 	source *atomic.Pointer[distributor.Source]
-	// changed is told of a new version in force; it may be nil.
-	changed  func()
-	snapshot *atomic.Pointer[indexer.Snapshot]
-	inForce  *atomic.Uint64
-	// departed is told of each upstream that leaves or is gone; it may be nil.
-	departed func(upstream *tracker.Upstream)
-	// cacheChanged is told of cache events; it may be nil.
-	cacheChanged func(upstream *tracker.Upstream, events *messages.CacheEvents)
-	// published is when the snapshot was last built, stale whether it has to be again.
-	published time.Time
-	stale     bool
+	// onConfigurationChange is called when a new version is in force; it may be nil.
+	onConfigurationChange func()
+	snapshot              *atomic.Pointer[indexer.Snapshot]
+	versionInForce        *atomic.Uint64
+	// onDeparture is called for each upstream that leaves or is gone; it may be nil.
+	onDeparture func(upstream *tracker.Upstream)
+	// onCacheEvents is called for cache events; it may be nil.
+	onCacheEvents func(upstream *tracker.Upstream, events *messages.CacheEvents)
+	// publishedAt is when the snapshot was last built, stale whether it must be rebuilt.
+	publishedAt time.Time
+	stale       bool
 }
 
 func newCoordinator(settings *parser.Settings, log zerolog.Logger, snapshot *atomic.Pointer[indexer.Snapshot],
@@ -80,21 +81,21 @@
 ) *coordinator {
 	informer := newInformer(settings)
 	return &coordinator{
-		settings:  settings,
-		log:       log,
-		box:       make(chan event, boxSize),
-		tracker:   informer.Tracker,
-		informer:  informer,
-		view:      view,
-		leavers:   make(map[units.Upstream][]leaver),
-		confirmed: make(map[units.Upstream]units.Incarnation),
-		snapshot:  snapshot,
-		inForce:   new(atomic.Uint64),
-		source:    new(atomic.Pointer[distributor.Source]),
+		settings:        settings,
+		log:             log,
+		events:          make(chan event, eventQueueSize),
+		tracker:         informer.Tracker,
+		informer:        informer,
+		view:            view,
+		pendingLeaves:   make(map[units.Upstream][]pendingLeave),
+		confirmedLeaves: make(map[units.Upstream]units.Incarnation),
+		snapshot:        snapshot,
+		versionInForce:  new(atomic.Uint64),
+		source:          new(atomic.Pointer[distributor.Source]),
 	}
 }
 
-// run takes events until ctx ends.
+// run handles events until ctx ends.
 func (c *coordinator) run(ctx context.Context) error {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -104,43 +105,43 @@
 			return nil
 		case <-ticker.C:
 			c.tickMembership()
-		case e := <-c.box:
-			c.take(e)
+		case e := <-c.events:
+			c.handle(e)
 		}
 	}
 }
 
-func (c *coordinator) take(e event) {
+func (c *coordinator) handle(e event) {
 	switch e := e.(type) {
-	case cached:
-		c.cache(e.events)
-	case configured:
-		c.configure(e.update)
-	case dumped:
+	case cacheEventsReceived:
+		c.handleCacheEvents(e.events)
+	case configurationReceived:
+		c.handleConfiguration(e.update)
+	case dumpRequested:
 		e.reply <- c.dump()
 	default:
-		c.takeMembership(e)
+		c.handleMembership(e)
 	}
 }
 
-// refresh publishes what has changed.
+// publishIfDue publishes a new snapshot if one is due.
 //
-// Announcements only refresh what is known, many times a second each; a
-// snapshot for each of them would cost more the more engines there are. What
-// left must get no new call, and does not wait.
-func (c *coordinator) refresh(left bool) {
-	if left || c.stale && time.Since(c.published) >= tickInterval {
+// Announcements only refresh known upstreams, many times a second each. A snapshot for each of
+// them would cost more the more engines there are. An upstream that has left must get no new
+// calls, so its removal does not wait.
+func (c *coordinator) publishIfDue(hasLeft bool) {
+	if hasLeft || c.stale && time.Since(c.publishedAt) >= tickInterval {
 		c.publish()
 	}
 }
 
-func (c *coordinator) configure(update *messages.ConfigurationUpdate) {
-	// Answers of control can overtake each other; without this check an older
-	// one would undo a change that the operator was told is in force.
-	if update.GetVersion() <= c.inForce.Load() {
+func (c *coordinator) handleConfiguration(update *messages.ConfigurationUpdate) {
+	// Control's responses can overtake each other. Without this check an older one would undo a
+	// change that the operator was told is in force.
+	if update.GetVersion() <= c.versionInForce.Load() {
 		return
 	}
-	document, err := distributor.Apply(units.Version(c.inForce.Load()), c.document, update)
+	document, err := distributor.Apply(units.Version(c.versionInForce.Load()), c.document, update)
 	if err != nil {
 		c.log.Warn().Err(err).Msg("update-refused")
 		return
@@ -153,10 +154,10 @@
 	c.configuration = configuration
 	c.document = document
 	c.publish()
-	c.inForce.Store(uint64(configuration.Version))
+	c.versionInForce.Store(uint64(configuration.Version))
 	c.source.Store(c.source.Load().With(configuration.Version, document))
-	if c.changed != nil {
-		c.changed()
+	if c.onConfigurationChange != nil {
+		c.onConfigurationChange()
 	}
 	c.log.Info().
 		Uint64("version", uint64(configuration.Version)).
@@ -167,7 +168,7 @@
 	if c.configuration == nil {
 		return
 	}
-	c.published = time.Now()
+	c.publishedAt = time.Now()
 	c.stale = false
 	c.snapshot.Store(indexer.Build(c.configuration, c.tracker.Usable()))
 }
--- a/src/entry/doc.go
+++ b/src/entry/doc.go
@@ -1,5 +1,5 @@
-// Package entry is the process that takes calls and brings them to upstreams.
+// Package entry is the process that receives calls and forwards them to upstreams.
 //
-// One goroutine, the coordinator, owns the configuration and the table of
-// upstreams and publishes immutable snapshots; the traffic reads those.
+// One goroutine, the coordinator, owns the configuration and the table of upstreams and publishes
+// immutable snapshots, which the request goroutines read.
 package entry
--- a/src/entry/dump.go
+++ b/src/entry/dump.go
@@ -11,18 +11,19 @@
 type Dump struct {
 	Name           units.Instance `yaml:"name"`
 	VersionInForce units.Version  `yaml:"version-in-force"`
-	// Fenced says that the lease to serve has ended, so that calls are refused.
+	// Fenced is set if the lease to serve has expired, so that calls are refused.
 	Fenced bool `yaml:"fenced"`
 	// View is the number of the entry view, 0 before the first.
 	View      uint64         `yaml:"view"`
 	Upstreams []UpstreamDump `yaml:"upstreams"`
 	Record    recorder.Dump  `yaml:"record"`
-	// Patience multiplies the times after which silent upstreams are suspected.
+	// Patience is the factor by which the timeouts for suspecting silent upstreams are
+	// multiplied.
 	Patience int        `yaml:"patience"`
 	Gossip   GossipDump `yaml:"gossip"`
 }
 
-// GossipDump counts the entries that this one tells of its upstreams.
+// GossipDump counts the entries that receive rumours about this entry's upstreams.
 type GossipDump struct {
 	Keepers    int `yaml:"keepers"`
 	Relays     int `yaml:"relays"`
@@ -39,7 +40,7 @@
 	Loading      units.ModelVersion `yaml:"loading"`
 	Leaving      bool               `yaml:"leaving"`
 	Suspected    bool               `yaml:"suspected"`
-	// Direct is set where the upstream announces itself to this entry.
+	// Direct is set if the upstream announces itself to this entry.
 	Direct      bool              `yaml:"direct"`
 	Incarnation units.Incarnation `yaml:"incarnation"`
 	InFlight    int64             `yaml:"in-flight"`
@@ -49,7 +50,7 @@
 func (c *coordinator) dump() *Dump {
 	dump := &Dump{
 		Name:           c.settings.Name,
-		VersionInForce: units.Version(c.inForce.Load()),
+		VersionInForce: units.Version(c.versionInForce.Load()),
 		Patience:       c.tracker.HealthMultiplier(),
 	}
 	dump.Gossip.Keepers, dump.Gossip.Relays, dump.Gossip.Neighbours = c.informer.Gossiper.Counts()
--- a/src/entry/entry.go
+++ b/src/entry/entry.go
@@ -26,7 +26,7 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// Entry is one entry process; its fields are set before Run.
+// Entry is one entry process. Its fields are set before Run.
 type Entry struct {
 	Settings *parser.Settings
 	Log      zerolog.Logger
@@ -40,38 +40,37 @@
 	// Certificates is nil only in tests.
 	Certificates *certifier.Certifier
 
-	snapshot    atomic.Pointer[indexer.Snapshot]
-	view        atomic.Pointer[messages.EntryView]
-	coordinator *coordinator
-	traffic     *traffic
-	shares      *shares
-	stopping    atomic.Bool
-	incarnation units.Incarnation
-	recorder    *recorder.Recorder
-	book        explainer.Book
-	// until is when the lease to serve ends.
-	until    atomic.Pointer[time.Time]
-	follower *follower
-	callers  *server.Server
-	// leaving is set once the last call has ended; control then drops this entry.
+	snapshot     atomic.Pointer[indexer.Snapshot]
+	view         atomic.Pointer[messages.EntryView]
+	coordinator  *coordinator
+	traffic      *traffic
+	shares       *shares
+	stopping     atomic.Bool
+	incarnation  units.Incarnation
+	recorder     *recorder.Recorder
+	explanations explainer.Book
+	// leaseExpiry is when the lease to serve expires.
+	leaseExpiry   atomic.Pointer[time.Time]
+	controlClient *controlClient
+	callers       *server.Server
+	// leaving is set once the last call has ended; control then removes this entry from the view.
 	leaving atomic.Bool
 }
 
-// Run serves until ctx ends and the calls under way have finished.
+// Run serves until ctx ends and the calls in progress have finished.
 func (e *Entry) Run(ctx context.Context) error {
 	e.build()
-	// The parts serve until the last call has its answer, which is after ctx has
-	// ended.
-	lasting, stopLasting := context.WithCancel(context.WithoutCancel(ctx))
-	defer stopLasting()
-	group, lasting := errgroup.WithContext(lasting)
-	e.coordinator.changed = func() { e.follower.pushDown(lasting) }
-	for _, part := range e.parts() {
-		group.Go(func() error { return part(lasting) })
+	// The components run until the last call has its answer, which is after ctx has ended.
+	componentsCtx, stopComponents := context.WithCancel(context.WithoutCancel(ctx))
+	defer stopComponents()
+	group, componentsCtx := errgroup.WithContext(componentsCtx)
+	e.coordinator.onConfigurationChange = func() { e.controlClient.pushToChildren(componentsCtx) }
+	for _, component := range e.components() {
+		group.Go(func() error { return component(componentsCtx) })
 	}
 	group.Go(func() error {
-		defer stopLasting()
-		return e.serveCallers(ctx, lasting)
+		defer stopComponents()
+		return e.serveCallers(ctx, componentsCtx)
 	})
 	e.Log.Info().
 		Str("callers", e.Callers.Addr().String()).
@@ -81,11 +80,11 @@
 	return group.Wait()
 }
 
-// build makes the parts and ties them together.
+// build creates the components and connects them.
 func (e *Entry) build() {
 	e.incarnation = units.Incarnation(time.Now().UnixNano())
 	e.coordinator = newCoordinator(e.Settings, e.Log, &e.snapshot, &e.view)
-	e.coordinator.messenger = newMessenger(e.Client, e.coordinator.box, e.Meter.Scope)
+	e.coordinator.gossipSender = newGossipSender(e.Client, e.coordinator.events, e.Meter.Scope)
 	e.shares = newShares(e.Client, e.View, e.Settings.Name, uint64(e.incarnation), e.Settings.Timing.Fence)
 	e.shares.limiter = &limiter.Limiter{
 		Snapshot:   &e.snapshot,
@@ -94,23 +93,23 @@
 		Scope:      e.Meter.Scope,
 	}
 	e.traffic = newTraffic(e)
-	e.coordinator.departed = e.traffic.departed
-	e.coordinator.cacheChanged = e.traffic.router.Cached
+	e.coordinator.onDeparture = e.traffic.handleDeparture
+	e.coordinator.onCacheEvents = e.traffic.router.Cached
 	e.recorder = e.newRecorder()
-	e.callers = e.callerServer()
-	e.follower = e.newFollower()
+	e.callers = e.newCallerServer()
+	e.controlClient = e.newControlClient()
 }
 
-// parts returns the loops that run beside the calls, each until its context ends.
-func (e *Entry) parts() []func(context.Context) error {
+// components returns the loops that run beside the callers' server, each until its context ends.
+func (e *Entry) components() []func(context.Context) error {
 	return []func(context.Context) error{
 		e.coordinator.run,
-		e.coordinator.messenger.run,
-		e.follower.run,
-		e.reporter().run,
-		e.receptionist().run,
-		e.operatorServer().Run,
-		e.peerServer().Run,
+		e.coordinator.gossipSender.run,
+		e.controlClient.run,
+		e.newReporter().run,
+		e.newAnnouncementServer().run,
+		e.newOperatorServer().Run,
+		e.newPeerServer().Run,
 		e.recorder.Run,
 		e.Certificates.Run,
 		e.traffic.reclaimer.Run,
@@ -118,11 +117,11 @@
 	}
 }
 
-// serveCallers serves until the planned stop or the failure of another part.
-func (e *Entry) serveCallers(ctx, lasting context.Context) error {
+// serveCallers serves until the planned stop or the failure of another component.
+func (e *Entry) serveCallers(ctx, componentsCtx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	defer context.AfterFunc(lasting, cancel)()
+	defer context.AfterFunc(componentsCtx, cancel)()
 	defer context.AfterFunc(ctx, func() { e.stopping.Store(true) })()
 	if err := e.callers.Run(ctx); err != nil {
 		return fmt.Errorf("serve callers: %w", err)
@@ -136,22 +135,22 @@
 // View returns the newest entry view that control has committed, nil before the first.
 func (e *Entry) View() *messages.EntryView { return e.view.Load() }
 
-// ready says whether the balancer should send calls here. Without the record the
-// entry would refuse every call that may not be repeated, so that callers saw
-// refusals just after each start.
-func (e *Entry) ready() bool {
-	return !e.stopping.Load() && e.snapshot.Load() != nil && e.recorder.Ready() && !fenced(&e.until) &&
-		e.shares.ready() && e.shares.limiter.Ready()
+// isReady reports whether the load balancer should send calls here. Without the record the entry
+// would refuse every call that may not be repeated, so callers would see refusals just after each
+// start.
+func (e *Entry) isReady() bool {
+	return !e.stopping.Load() && e.snapshot.Load() != nil && e.recorder.Ready() && !isFenced(&e.leaseExpiry) &&
+		e.shares.isReady() && e.shares.limiter.Ready()
 }
 
-func (e *Entry) callerServer() *server.Server {
+func (e *Entry) newCallerServer() *server.Server {
 	return &server.Server{
 		Listener:  e.Callers,
 		TLS:       e.Certificates.Callers(),
 		Log:       e.Log,
 		Scope:     e.Meter.Scope,
 		Snapshot:  &e.snapshot,
-		Explainer: &e.book,
+		Explainer: &e.explanations,
 		Dispatcher: &dispatcher.Dispatcher{
 			Limiter:   e.shares.limiter,
 			Budget:    &limiter.RetryBudget{},
@@ -160,7 +159,7 @@
 			Exchanger: e.traffic.forwarder,
 			Observer:  e.traffic.router,
 		},
-		Ready:      e.ready,
+		Ready:      e.isReady,
 		Drain:      e.Settings.Timing.Drain,
 		UnreadyFor: unreadyFor,
 		Adopter:    e,
@@ -168,8 +167,8 @@
 	}
 }
 
-// peerServer answers the other processes of the system.
-func (e *Entry) peerServer() *connector.Server {
+// newPeerServer returns the server for the other processes of the system.
+func (e *Entry) newPeerServer() *connector.Server {
 	server := &connector.Server{
 		Listener: e.Peers,
 		TLS:      e.Certificates.Peers(),
@@ -178,13 +177,13 @@
 	connector.Handle(server, MethodGossip, e.onGossip)
 	connector.Handle(server, MethodShare, e.shares.onShare)
 	e.recorder.Handle(server)
-	e.follower.serve(server)
+	e.controlClient.register(server)
 	e.handleAdoption(server)
 	return server
 }
 
-// reporter tells control of the upstreams that this entry hears.
-func (e *Entry) reporter() *reporter {
+// newReporter returns the reporter of the upstreams that announce themselves to this entry.
+func (e *Entry) newReporter() *reporter {
 	return &reporter{
 		client:      e.Client,
 		coordinator: e.coordinator,
@@ -194,52 +193,52 @@
 	}
 }
 
-func (e *Entry) newFollower() *follower {
-	return &follower{
-		settings:    e.Settings,
-		client:      e.Client,
-		coordinator: e.coordinator,
-		incarnation: uint64(e.incarnation),
-		confirmed:   e.shares.confirm,
-		view:        &e.view,
-		stopping:    &e.leaving,
+func (e *Entry) newControlClient() *controlClient {
+	return &controlClient{
+		settings:        e.Settings,
+		client:          e.Client,
+		coordinator:     e.coordinator,
+		incarnation:     uint64(e.incarnation),
+		onViewConfirmed: e.shares.confirmView,
+		view:            &e.view,
+		stopping:        &e.leaving,
 		pusher: &distributor.Pusher{
 			Client: e.Client,
 		},
-		until: &e.until,
-		news:  make(chan struct{}, 1),
+		leaseExpiry:       &e.leaseExpiry,
+		heartbeatRequests: make(chan struct{}, 1),
 		lease: distributor.Lease{
-			Fence: e.Settings.Timing.Fence,
+			Duration: e.Settings.Timing.Fence,
 		},
 	}
 }
 
-func (e *Entry) receptionist() *receptionist {
-	return &receptionist{
+func (e *Entry) newAnnouncementServer() *announcementServer {
+	return &announcementServer{
 		listener:    e.Upstreams,
 		tls:         e.Certificates.Upstreams(),
 		coordinator: e.coordinator,
 	}
 }
 
-func (e *Entry) operatorServer() *inspector.Inspector {
+func (e *Entry) newOperatorServer() *inspector.Inspector {
 	return &inspector.Inspector{
 		Listener: e.Operators,
 		TLS:      e.Certificates.Operators(),
 		Dump:     e.dump,
 		Explain:  e.explain,
-		Ready:    e.ready,
+		Ready:    e.isReady,
 		Metrics:  e.Meter.Handler,
 	}
 }
 
 func (e *Entry) dump(ctx context.Context) (any, error) {
 	reply := make(chan *Dump, 1)
-	e.coordinator.box <- dumped{reply: reply}
+	e.coordinator.events <- dumpRequested{reply: reply}
 	select {
 	case dump := <-reply:
 		dump.View = e.View().GetNumber()
-		dump.Fenced = fenced(&e.until)
+		dump.Fenced = isFenced(&e.leaseExpiry)
 		return e.dumpRecord(ctx, dump)
 	case <-ctx.Done():
 		return nil, ctx.Err()
@@ -247,6 +246,6 @@
 }
 
 func (e *Entry) explain(call units.CallID) (any, bool) {
-	explanation := e.book.Explain(call)
+	explanation := e.explanations.Explain(call)
 	return explanation, explanation != nil
 }
--- a/src/entry/messenger.go
+++ b/src/entry/gossipsender.go
@@ -13,101 +13,101 @@
 	"github.com/rosecroft/rosecroft/src/messages"
 )
 
-// MethodGossip carries what entries tell each other of upstreams.
+// MethodGossip carries the rumours about upstreams that entries exchange.
 const MethodGossip = "entry/gossip"
 
 const (
 	gossipTimeout = 500 * time.Millisecond
-	// gossipQueue and gossipsUnderWay bound the messages without an answer, so
-	// that silent entries hold no unbounded number of goroutines.
-	gossipQueue     = 256
-	gossipsUnderWay = 32
+	// gossipQueueSize and maxGossipInFlight bound the messages without a response, so that
+	// unresponsive entries do not hold an unbounded number of goroutines.
+	gossipQueueSize   = 256
+	maxGossipInFlight = 32
 )
 
-// messenger sends gossip and brings the answers to the coordinator.
-type messenger struct {
+// gossipSender sends gossip and passes the responses to the coordinator.
+type gossipSender struct {
 	client   *connector.Client
-	box      chan<- event
+	events   chan<- event
 	queue    chan gossiper.Send
 	sent     tally.Counter
 	failed   tally.Counter
 	received tally.Counter
 }
 
-func newMessenger(client *connector.Client, box chan<- event, scope tally.Scope) *messenger {
-	return &messenger{
+func newGossipSender(client *connector.Client, events chan<- event, scope tally.Scope) *gossipSender {
+	return &gossipSender{
 		client:   client,
-		box:      box,
-		queue:    make(chan gossiper.Send, gossipQueue),
+		events:   events,
+		queue:    make(chan gossiper.Send, gossipQueueSize),
 		sent:     scope.Counter("gossip_sent"),
 		failed:   scope.Counter("gossip_failed"),
 		received: scope.Counter("gossip_received"),
 	}
 }
 
-// post queues a message; beyond the bound it is dropped, and digests repair it.
-func (m *messenger) post(send gossiper.Send) {
+// enqueue queues a message. If the queue is full the message is dropped; digests repair the loss.
+func (s *gossipSender) enqueue(send gossiper.Send) {
 	select {
-	case m.queue <- send:
+	case s.queue <- send:
 	default:
-		m.failed.Inc(1)
+		s.failed.Inc(1)
 	}
 }
 
-// run sends until ctx ends.
-func (m *messenger) run(ctx context.Context) error {
+// run sends queued messages until ctx ends.
+func (s *gossipSender) run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
-	for range gossipsUnderWay {
+	for range maxGossipInFlight {
 		group.Go(func() error {
-			m.work(ctx)
+			s.sendQueued(ctx)
 			return nil
 		})
 	}
 	return group.Wait()
 }
 
-func (m *messenger) work(ctx context.Context) {
+func (s *gossipSender) sendQueued(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case send := <-m.queue:
-			m.deliver(ctx, send)
+		case send := <-s.queue:
+			s.deliver(ctx, send)
 		}
 	}
 }
 
-func (m *messenger) deliver(ctx context.Context, send gossiper.Send) {
-	started := time.Now()
+func (s *gossipSender) deliver(ctx context.Context, send gossiper.Send) {
+	startedAt := time.Now()
 	response := &messages.GossipResponse{}
-	m.sent.Inc(1)
+	s.sent.Inc(1)
 	callContext, cancel := context.WithTimeout(ctx, gossipTimeout)
-	err := m.client.Call(callContext, send.Address, MethodGossip, send.Gossip, response)
+	err := s.client.Call(callContext, send.Address, MethodGossip, send.Gossip, response)
 	cancel()
 	if err != nil {
-		m.failed.Inc(1)
+		s.failed.Inc(1)
 		response = nil
 	}
-	e := answered{
+	e := gossipEnded{
 		send:     send,
 		response: response,
-		took:     time.Since(started),
+		took:     time.Since(startedAt),
 	}
 	select {
-	case m.box <- e:
+	case s.events <- e:
 	case <-ctx.Done():
 	}
 }
 
-// onGossip answers another entry.
+// onGossip handles another entry's gossip.
 func (e *Entry) onGossip(ctx context.Context, peer connector.Peer, gossip *messages.Gossip) (*messages.GossipResponse, error) {
 	if err := peer.Speaks(certifier.Entry, gossip.GetFrom()); err != nil {
 		return nil, err
 	}
-	e.coordinator.messenger.received.Inc(1)
+	e.coordinator.gossipSender.received.Inc(1)
 	reply := make(chan *messages.GossipResponse, 1)
 	select {
-	case e.coordinator.box <- gossiped{gossip: gossip, reply: reply}:
+	case e.coordinator.events <- gossipReceived{gossip: gossip, reply: reply}:
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
--- a/src/entry/membership.go
+++ b/src/entry/membership.go
@@ -13,66 +13,68 @@
 )
 
 const (
-	// upstreamSuspicion and upstreamExpiry are several announcements long, so
-	// that a lost one does no harm.
-	upstreamSuspicion = 1500 * time.Millisecond
-	upstreamExpiry    = 3 * time.Second
-	// lateTick is far above what a loaded machine delays a tick by.
-	lateTick = time.Second
-
-	gossipInterval = 100 * time.Millisecond
-	refreshEvery   = time.Second
-	digestEvery    = time.Second
-	gossipBudget   = 4096
-	smallFleet     = 64
-	keepersOfEntry = 8
-	relaysOfCentre = 2
-	probesAsked    = 3
-	// confirmWithin bounds how long a leaving upstream waits until a second
-	// entry knows of it.
-	confirmWithin = 400 * time.Millisecond
+	// upstreamSuspicionTimeout and upstreamExpiry span several announcements, so that a lost one
+	// does no harm.
+	upstreamSuspicionTimeout = 1500 * time.Millisecond
+	upstreamExpiry           = 3 * time.Second
+	// pauseThreshold is far above the delay of a tick on a loaded machine.
+	pauseThreshold = time.Second
+
+	gossipInterval       = 100 * time.Millisecond
+	refreshInterval      = time.Second
+	digestInterval       = time.Second
+	gossipBytesPerSecond = 4096
+	smallFleet           = 64
+	keepersPerEntry      = 8
+	relaysPerDataCentre  = 2
+	probeCount           = 3
+	// confirmTimeout bounds how long a leaving upstream waits until a second entry knows that it
+	// leaves.
+	confirmTimeout = 400 * time.Millisecond
 )
 
-// gossiped is another entry's message.
-type gossiped struct {
+// gossipReceived is another entry's message.
+type gossipReceived struct {
 	gossip *messages.Gossip
 	reply  chan<- *messages.GossipResponse
 }
 
-// answered is another entry's answer, or nil where there was none.
-type answered struct {
+// gossipEnded is the outcome of a message to another entry; the response is nil if there was
+// none.
+type gossipEnded struct {
 	send     gossiper.Send
 	response *messages.GossipResponse
 	took     time.Duration
 }
 
-// viewed is a newer entry view.
-type viewed struct {
+// viewChanged is a newer entry view.
+type viewChanged struct {
 	view *messages.EntryView
 }
 
-// listed wants what this entry tells control of the upstreams that it hears itself.
-type listed struct {
+// directUpstreamsRequested asks for the upstreams that announce themselves to this entry, which
+// the reporter reports to control.
+type directUpstreamsRequested struct {
 	reply chan<- []*messages.Rumour
 }
 
-func (gossiped) event() {}
-func (answered) event() {}
-func (viewed) event()   {}
-func (listed) event()   {}
+func (gossipReceived) event()           {}
+func (gossipEnded) event()              {}
+func (viewChanged) event()              {}
+func (directUpstreamsRequested) event() {}
 
-// UnconfirmedError says that no other entry knows yet that an upstream leaves.
+// UnconfirmedError reports that no other entry knows yet that an upstream leaves.
 type UnconfirmedError struct {
 	Upstream units.Upstream
 }
 
-// Error names the remedy.
+// Error includes the remedy.
 func (e *UnconfirmedError) Error() string {
 	return "no other entry has confirmed that " + string(e.Upstream) + " leaves; announce it to another entry too"
 }
 
-// leaver is a leaving upstream that waits for its answer.
-type leaver struct {
+// pendingLeave is a leaving upstream that waits for the response to its announcement.
+type pendingLeave struct {
 	reply chan<- error
 	until time.Time
 }
@@ -80,126 +82,126 @@
 func newInformer(settings *parser.Settings) *informer.Informer {
 	return &informer.Informer{
 		Tracker: &tracker.Tracker{
-			SuspicionTimeout: upstreamSuspicion,
+			SuspicionTimeout: upstreamSuspicionTimeout,
 			Expiry:           upstreamExpiry,
-			PauseThreshold:   lateTick,
+			PauseThreshold:   pauseThreshold,
 		},
 		Gossiper: &gossiper.Gossiper{
 			Options: gossiper.Options{
 				ID:             settings.Name,
 				DataCentre:     settings.DataCentre,
 				Interval:       gossipInterval,
-				Refresh:        refreshEvery,
-				Digest:         digestEvery,
-				BytesPerSecond: gossipBudget,
+				Refresh:        refreshInterval,
+				Digest:         digestInterval,
+				BytesPerSecond: gossipBytesPerSecond,
 				SmallFleet:     smallFleet,
-				Keepers:        keepersOfEntry,
-				Relays:         relaysOfCentre,
-				Probes:         probesAsked,
+				Keepers:        keepersPerEntry,
+				Relays:         relaysPerDataCentre,
+				Probes:         probeCount,
 			},
 			Random: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 		},
 	}
 }
 
-// inform brings an event to the informer and carries out what it leads to.
-func (c *coordinator) inform(e informer.Event) informer.Outcome {
+// stepInformer passes an event to the informer and carries out the outcome.
+func (c *coordinator) stepInformer(e informer.Event) informer.Outcome {
 	out := c.informer.Step(time.Now(), e)
 	c.stale = c.stale || out.Changed
-	c.refresh(len(out.Left)+len(out.Suspected) > 0)
+	c.publishIfDue(len(out.Left)+len(out.Suspected) > 0)
 	for _, left := range out.Left {
-		if c.departed != nil {
-			c.departed(left.Upstream)
+		if c.onDeparture != nil {
+			c.onDeparture(left.Upstream)
 		}
 	}
 	for _, send := range out.Sends {
-		c.messenger.post(send)
+		c.gossipSender.enqueue(send)
 	}
 	for _, name := range out.Confirmed {
-		c.confirm(name, nil)
+		c.endLeaves(name, nil)
 	}
 	c.logMembership(out)
 	return out
 }
 
-// announce answers an upstream; a leaving one waits until another entry knows,
-// so that its mark outlives this entry.
-func (c *coordinator) announce(e announced) {
-	refused := c.inform(informer.Announced{Announcement: e.announcement}).Refused
-	alone := len(c.view.Load().GetMembers()) < 2
-	if refused != nil || !e.announcement.GetLeaving() || alone {
+// handleAnnouncement answers an upstream. A leaving upstream waits until another entry knows that
+// it leaves, so that its leaving mark survives the loss of this entry.
+func (c *coordinator) handleAnnouncement(e announcementReceived) {
+	refused := c.stepInformer(informer.Announced{Announcement: e.announcement}).Refused
+	isAlone := len(c.view.Load().GetMembers()) < 2
+	if refused != nil || !e.announcement.GetLeaving() || isAlone {
 		e.reply <- refused
 		return
 	}
 	name := units.Upstream(e.announcement.GetUpstream())
-	if c.confirmed[name] == units.Incarnation(e.announcement.GetIncarnation()) {
+	if c.confirmedLeaves[name] == units.Incarnation(e.announcement.GetIncarnation()) {
 		e.reply <- nil
 		return
 	}
-	c.leavers[name] = append(c.leavers[name], leaver{
+	c.pendingLeaves[name] = append(c.pendingLeaves[name], pendingLeave{
 		reply: e.reply,
-		until: time.Now().Add(confirmWithin),
+		until: time.Now().Add(confirmTimeout),
 	})
 }
 
-func (c *coordinator) confirm(name units.Upstream, err error) {
+func (c *coordinator) endLeaves(name units.Upstream, err error) {
 	if known := c.tracker.Upstream(name); known != nil && err == nil {
-		c.confirmed[name] = known.Incarnation
+		c.confirmedLeaves[name] = known.Incarnation
 	}
-	for _, waiting := range c.leavers[name] {
+	for _, waiting := range c.pendingLeaves[name] {
 		waiting.reply <- err
 	}
-	delete(c.leavers, name)
+	delete(c.pendingLeaves, name)
 }
 
 func (c *coordinator) tickMembership() {
-	c.inform(informer.Ticked{})
+	c.stepInformer(informer.Ticked{})
 	now := time.Now()
-	for name, waiting := range c.leavers {
+	for name, waiting := range c.pendingLeaves {
 		if now.After(waiting[0].until) {
-			c.confirm(name, &UnconfirmedError{Upstream: name})
+			c.endLeaves(name, &UnconfirmedError{Upstream: name})
 		}
 	}
-	for name := range c.confirmed {
+	for name := range c.confirmedLeaves {
 		if c.tracker.Upstream(name) == nil {
-			delete(c.confirmed, name)
+			delete(c.confirmedLeaves, name)
 		}
 	}
 }
 
-func (c *coordinator) takeMembership(e event) {
+func (c *coordinator) handleMembership(e event) {
 	switch e := e.(type) {
-	case announced:
-		c.announce(e)
-	case gossiped:
-		e.reply <- c.inform(informer.Received{Gossip: e.gossip}).Response
-	case answered:
-		c.takeAnswer(e)
-	case viewed:
-		c.inform(informer.ViewChanged{View: e.view})
-	case listed:
-		e.reply <- c.list()
+	case announcementReceived:
+		c.handleAnnouncement(e)
+	case gossipReceived:
+		e.reply <- c.stepInformer(informer.Received{Gossip: e.gossip}).Response
+	case gossipEnded:
+		c.handleGossipEnded(e)
+	case viewChanged:
+		c.stepInformer(informer.ViewChanged{View: e.view})
+	case directUpstreamsRequested:
+		e.reply <- c.directUpstreams()
 	}
 }
 
-func (c *coordinator) takeAnswer(e answered) {
+func (c *coordinator) handleGossipEnded(e gossipEnded) {
 	if e.response == nil {
-		c.inform(informer.Failed{
+		c.stepInformer(informer.Failed{
 			To:     e.send.To,
 			Gossip: e.send.Gossip,
 			Took:   e.took,
 		})
 		return
 	}
-	c.inform(informer.Answered{
+	c.stepInformer(informer.Answered{
 		To:       e.send.To,
 		Gossip:   e.send.Gossip,
 		Response: e.response,
 	})
 }
 
-// list returns the upstreams that announce themselves here.
-func (c *coordinator) list() []*messages.Rumour {
+// directUpstreams returns the upstreams that announce themselves to this entry.
+func (c *coordinator) directUpstreams() []*messages.Rumour {
 	var list []*messages.Rumour
 	for _, upstream := range c.tracker.All() {
 		if upstream.Direct {
--- a/src/entry/record.go
+++ b/src/entry/record.go
@@ -7,10 +7,10 @@
 	"github.com/rosecroft/rosecroft/src/recorder"
 )
 
-// recordDrain is how long a stop waits until the ends of calls are stored.
-const recordDrain = 2 * time.Second
+// recordDrainTimeout bounds how long a stop waits until the outcomes of calls are stored.
+const recordDrainTimeout = 2 * time.Second
 
-// newRecorder returns this entry's part of the record of calls.
+// newRecorder returns this entry's part of the call record.
 func (e *Entry) newRecorder() *recorder.Recorder {
 	return &recorder.Recorder{
 		Self: recorder.Identity{
@@ -34,10 +34,10 @@
 	return bounds.KeepFor, bounds.KeepBytes
 }
 
-// drainRecord waits for the ends of the last calls: a peer that is asked for
-// one of them after this entry has gone would have to say "unknown".
+// drainRecord waits until the outcomes of the last calls are stored. A peer that is asked for one
+// of them after this entry has gone would otherwise have to answer "unknown".
 func (e *Entry) drainRecord(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), recordDrain)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), recordDrainTimeout)
 	defer cancel()
 	e.recorder.Drain(ctx)
 }
--- a/src/entry/relay.go
+++ b/src/entry/relay.go
@@ -14,177 +14,177 @@
 )
 
 const (
-	// childExpiry is how long an entry is a child after its last heartbeat.
+	// childExpiry is how long an entry remains a child after its last heartbeat.
 	childExpiry    = 2 * time.Second
 	contactTimeout = 300 * time.Millisecond
-	// mostContacts bounds the questions to peers that are under way at once.
-	mostContacts = 64
+	// maxConcurrentContacts bounds the contact requests to peers that are in flight at once.
+	maxConcurrentContacts = 64
 )
 
-// child is an entry that reports through this one.
-type child struct {
-	heartbeat *messages.EntryHeartbeat
-	at        time.Time
-	// reported says that control has had the heartbeat.
+// childEntry is an entry that reports through this one.
+type childEntry struct {
+	heartbeat  *messages.EntryHeartbeat
+	receivedAt time.Time
+	// reported is set once control has received the heartbeat.
 	reported bool
 }
 
-// serve registers what this entry answers to control and to other entries.
-func (f *follower) serve(server *connector.Server) {
+// register registers the handlers for requests of control and of other entries.
+func (c *controlClient) register(server *connector.Server) {
 	if server.Allowed == nil {
 		server.Allowed = make(map[connector.Method][]certifier.Role)
 	}
 	server.Allowed[distributor.MethodHeartbeat] = []certifier.Role{certifier.Entry}
 	server.Allowed[distributor.MethodContact] = []certifier.Role{certifier.Entry}
 	server.Allowed[distributor.MethodUpdate] = []certifier.Role{certifier.Control, certifier.Entry}
-	connector.Handle(server, distributor.MethodHeartbeat, f.onHeartbeat)
-	connector.Handle(server, distributor.MethodContact, f.onContact)
-	connector.Handle(server, distributor.MethodUpdate, f.onUpdate)
+	connector.Handle(server, distributor.MethodHeartbeat, c.onHeartbeat)
+	connector.Handle(server, distributor.MethodContact, c.onContact)
+	connector.Handle(server, distributor.MethodUpdate, c.onUpdate)
 }
 
-// onHeartbeat answers a child in control's place; the child's lease counts from
-// this entry's own contact, so that a relay that is cut off renews nobody's.
-func (f *follower) onHeartbeat(_ context.Context, peer connector.Peer, heartbeat *messages.EntryHeartbeat) (*messages.EntryHeartbeatResponse, error) {
+// onHeartbeat answers a child on behalf of control. The child's lease counts from this entry's
+// own contact with control, so a relay that is cut off renews no lease.
+func (c *controlClient) onHeartbeat(_ context.Context, peer connector.Peer, heartbeat *messages.EntryHeartbeat) (*messages.EntryHeartbeatResponse, error) {
 	if err := peer.Speaks(certifier.Entry, heartbeat.GetEntry()); err != nil {
 		return nil, err
 	}
 	now := time.Now()
-	f.mu.Lock()
-	if f.children == nil {
-		f.children = make(map[string]*child)
+	c.mu.Lock()
+	if c.children == nil {
+		c.children = make(map[string]*childEntry)
 	}
-	if last := f.children[heartbeat.GetEntry()]; last != nil && last.heartbeat.GetVersionInForce() < heartbeat.GetVersionInForce() {
-		f.hasNews()
+	if last := c.children[heartbeat.GetEntry()]; last != nil && last.heartbeat.GetVersionInForce() < heartbeat.GetVersionInForce() {
+		c.requestHeartbeat()
 	}
-	f.children[heartbeat.GetEntry()] = &child{
-		heartbeat: heartbeat,
-		at:        now,
+	c.children[heartbeat.GetEntry()] = &childEntry{
+		heartbeat:  heartbeat,
+		receivedAt: now,
 	}
-	age := f.lease.ControlAge(now)
-	f.mu.Unlock()
-	source := f.coordinator.source.Load()
+	age := c.lease.ControlContactAge(now)
+	c.mu.Unlock()
+	source := c.coordinator.source.Load()
 	response := &messages.EntryHeartbeatResponse{
 		AcceptedVersion: uint64(source.Version()),
 		Update:          source.Update(units.Version(heartbeat.GetVersionInForce())),
-		// A relay that is cut off says so early: its children need the rest of their
-		// leases to find another way.
-		InContact: age < f.settings.Timing.Fence/alarmShare,
+		// A relay that is cut off reports it early: its children need the rest of their leases to
+		// find another way to control.
+		InContact: age < c.settings.Timing.Fence/peerContactDivisor,
 	}
 	if response.GetInContact() {
 		response.ContactAgeMs = uint64(age.Milliseconds()) + 1
 	}
-	if view := f.view.Load(); heartbeat.GetViewNumber() < view.GetNumber() {
+	if view := c.view.Load(); heartbeat.GetViewNumber() < view.GetNumber() {
 		response.View = view
 	}
 	return response, nil
 }
 
-// onUpdate takes a pushed version; an older one changes nothing.
-func (f *follower) onUpdate(_ context.Context, _ connector.Peer, update *messages.ConfigurationUpdate) (*messages.ConfigurationPushResponse, error) {
-	f.take(update, nil)
+// onUpdate applies a pushed version; an older one changes nothing.
+func (c *controlClient) onUpdate(_ context.Context, _ connector.Peer, update *messages.ConfigurationUpdate) (*messages.ConfigurationPushResponse, error) {
+	c.applyNewer(update, nil)
 	return &messages.ConfigurationPushResponse{
-		VersionInForce: f.coordinator.inForce.Load(),
+		VersionInForce: c.coordinator.versionInForce.Load(),
 	}, nil
 }
 
-// onContact tells a peer what this entry has, and gives it what it lacks. A peer
-// without any version gets none here: it is to hear the newest from control.
-func (f *follower) onContact(_ context.Context, _ connector.Peer, contact *messages.PeerContact) (*messages.PeerContactResponse, error) {
+// onContact reports to a peer what this entry has, and sends it what it lacks. A peer without any
+// version gets none here: it must receive the newest from control.
+func (c *controlClient) onContact(_ context.Context, _ connector.Peer, contact *messages.PeerContact) (*messages.PeerContactResponse, error) {
 	response := &messages.PeerContactResponse{
-		Entry:          string(f.settings.Name),
-		Incarnation:    f.incarnation,
-		VersionInForce: f.coordinator.inForce.Load(),
-		ViewNumber:     f.view.Load().GetNumber(),
+		Entry:          string(c.settings.Name),
+		Incarnation:    c.incarnation,
+		VersionInForce: c.coordinator.versionInForce.Load(),
+		ViewNumber:     c.view.Load().GetNumber(),
 	}
 	if contact.GetVersionInForce() > 0 {
-		response.Update = f.coordinator.source.Load().Update(units.Version(contact.GetVersionInForce()))
+		response.Update = c.coordinator.source.Load().Update(units.Version(contact.GetVersionInForce()))
 	}
-	if view := f.view.Load(); contact.GetViewNumber() < view.GetNumber() {
+	if view := c.view.Load(); contact.GetViewNumber() < view.GetNumber() {
 		response.View = view
 	}
 	return response, nil
 }
 
-// relayed returns the children's heartbeats that control has not had.
-func (f *follower) relayed() []*messages.EntryHeartbeat {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	var fresh []*messages.EntryHeartbeat
-	for name, c := range f.children {
-		if time.Since(c.at) > childExpiry {
-			delete(f.children, name)
+// unreportedHeartbeats returns the children's heartbeats that control has not received.
+func (c *controlClient) unreportedHeartbeats() []*messages.EntryHeartbeat {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	var unreported []*messages.EntryHeartbeat
+	for name, child := range c.children {
+		if time.Since(child.receivedAt) > childExpiry {
+			delete(c.children, name)
 			continue
 		}
-		if !c.reported {
-			fresh = append(fresh, c.heartbeat)
+		if !child.reported {
+			unreported = append(unreported, child.heartbeat)
 		}
 	}
-	return fresh
+	return unreported
 }
 
-// reported notes that control has had these heartbeats.
-func (f *follower) reported(heartbeats []*messages.EntryHeartbeat) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+// markReported records that control has received these heartbeats.
+func (c *controlClient) markReported(heartbeats []*messages.EntryHeartbeat) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	for _, heartbeat := range heartbeats {
-		if c := f.children[heartbeat.GetEntry()]; c != nil && c.heartbeat == heartbeat {
-			c.reported = true
+		if child := c.children[heartbeat.GetEntry()]; child != nil && child.heartbeat == heartbeat {
+			child.reported = true
 		}
 	}
 }
 
-// pushDown sends a new version on to the children.
-func (f *follower) pushDown(ctx context.Context) {
-	f.hasNews()
-	source := f.coordinator.source.Load()
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for _, c := range f.children {
-		f.pusher.Push(ctx, c.heartbeat.GetPeerAddress(), source.Update(units.Version(c.heartbeat.GetVersionInForce())))
+// pushToChildren pushes a new version to the children.
+func (c *controlClient) pushToChildren(ctx context.Context) {
+	c.requestHeartbeat()
+	source := c.coordinator.source.Load()
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, child := range c.children {
+		c.pusher.Push(ctx, child.heartbeat.GetPeerAddress(), source.Update(units.Version(child.heartbeat.GetVersionInForce())))
 	}
 }
 
-// askPeers asks the entries of the view once control has been out of reach for a
-// part of the fence. Calm entries ask nobody.
-func (f *follower) askPeers(ctx context.Context) {
-	view := f.view.Load()
-	if f.controlAge() < f.settings.Timing.Fence/alarmShare || f.coordinator.inForce.Load() == 0 {
+// contactPeers contacts the entries of the view once control has been out of reach for the lease
+// duration divided by peerContactDivisor. While control is in reach, no peer is contacted.
+func (c *controlClient) contactPeers(ctx context.Context) {
+	view := c.view.Load()
+	if c.controlContactAge() < c.settings.Timing.Fence/peerContactDivisor || c.coordinator.versionInForce.Load() == 0 {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, contactTimeout)
 	defer cancel()
-	asked := time.Now()
-	answers := make([]*messages.PeerContactResponse, len(view.GetMembers()))
+	sentAt := time.Now()
+	responses := make([]*messages.PeerContactResponse, len(view.GetMembers()))
 	group := &errgroup.Group{}
-	group.SetLimit(mostContacts)
+	group.SetLimit(maxConcurrentContacts)
 	for i, member := range view.GetMembers() {
-		if member.GetEntry() == string(f.settings.Name) {
+		if member.GetEntry() == string(c.settings.Name) {
 			continue
 		}
 		group.Go(func() error {
-			answers[i] = f.askPeer(ctx, member.GetPeerAddress(), view.GetNumber())
+			responses[i] = c.contactPeer(ctx, member.GetPeerAddress(), view.GetNumber())
 			return nil
 		})
 	}
 	_ = group.Wait()
-	for _, answer := range answers {
-		f.take(answer.GetUpdate(), answer.GetView())
+	for _, response := range responses {
+		c.applyNewer(response.GetUpdate(), response.GetView())
 	}
-	f.renew(distributor.PeersHeard{
-		Asked:   asked,
-		Answers: answers,
+	c.renewLease(distributor.PeersResponded{
+		SentAt:    sentAt,
+		Responses: responses,
 	})
 }
 
-// askPeer returns a peer's answer, nil where there was none.
-func (f *follower) askPeer(ctx context.Context, address string, view uint64) *messages.PeerContactResponse {
-	answer := &messages.PeerContactResponse{}
-	err := f.client.Call(ctx, address, distributor.MethodContact, &messages.PeerContact{
-		VersionInForce: f.coordinator.inForce.Load(),
+// contactPeer returns a peer's response, nil if there was none.
+func (c *controlClient) contactPeer(ctx context.Context, address string, view uint64) *messages.PeerContactResponse {
+	response := &messages.PeerContactResponse{}
+	err := c.client.Call(ctx, address, distributor.MethodContact, &messages.PeerContact{
+		VersionInForce: c.coordinator.versionInForce.Load(),
 		ViewNumber:     view,
-	}, answer)
+	}, response)
 	if err != nil {
 		return nil
 	}
-	return answer
+	return response
 }
--- a/src/entry/reporter.go
+++ b/src/entry/reporter.go
@@ -14,13 +14,14 @@
 )
 
 const (
-	// loadEvery is how often control learns of the load; other changes go at once.
-	loadEvery = time.Second
-	// reportEvery is the time between two reports without news.
-	reportEvery = time.Second
+	// loadInterval is how often the load is reported to control. Other changes are reported at
+	// once.
+	loadInterval = time.Second
+	// reportInterval is the time between two reports without changes.
+	reportInterval = time.Second
 )
 
-// reporter tells the control leader of the upstreams that announce themselves here.
+// reporter reports the upstreams that announce themselves to this entry to the control leader.
 type reporter struct {
 	client      *connector.Client
 	coordinator *coordinator
@@ -29,15 +30,15 @@
 
 	controls []parser.ControlAddress
 
-	// told is what the leader has acknowledged, nil where it has to be told all.
-	told       map[string]*messages.Rumour
-	next       int
-	number     uint64
-	loadedAt   time.Time
-	reportedAt time.Time
+	// acknowledged is what the leader has acknowledged, nil if it needs a full report.
+	acknowledged   map[string]*messages.Rumour
+	nextControl    int
+	number         uint64
+	loadReportedAt time.Time
+	reportedAt     time.Time
 }
 
-// run reports until ctx ends.
+// run sends reports until ctx ends.
 func (r *reporter) run(ctx context.Context) error {
 	ticker := time.NewTicker(heartbeatInterval)
 	defer ticker.Stop()
@@ -51,36 +52,36 @@
 	}
 }
 
-// report sends what is new; it sends everything to a leader that is new.
+// report sends what has changed, and everything to a new leader.
 func (r *reporter) report(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
-	list, err := r.list(ctx)
+	upstreams, err := r.directUpstreams(ctx)
 	if err != nil {
 		return
 	}
-	whole := r.told == nil
-	if whole {
-		r.told = make(map[string]*messages.Rumour)
+	full := r.acknowledged == nil
+	if full {
+		r.acknowledged = make(map[string]*messages.Rumour)
 	}
-	report := r.difference(list)
-	report.Whole = whole
-	// Without news a report goes now and then all the same: a new leader has
-	// heard nothing and asks for everything in its answer.
-	quiet := len(report.GetChanged()) == 0 && len(report.GetRemoved()) == 0
-	if !whole && quiet && time.Since(r.reportedAt) < reportEvery {
+	report := r.difference(upstreams)
+	report.Whole = full
+	// A report without changes is sent now and then all the same: a new leader has received
+	// nothing and requests a full report in its response.
+	isUnchanged := len(report.GetChanged()) == 0 && len(report.GetRemoved()) == 0
+	if !full && isUnchanged && time.Since(r.reportedAt) < reportInterval {
 		return
 	}
 	response := &messages.FleetReportResponse{}
-	address := r.controls[r.next%len(r.controls)].Address
+	address := r.controls[r.nextControl%len(r.controls)].Address
 	err = r.client.Call(ctx, address, control.MethodReport, report, response)
 	if err != nil || !response.GetIsLeader() {
-		r.told = nil
-		r.next++
+		r.acknowledged = nil
+		r.nextControl++
 		return
 	}
 	if response.GetWantWhole() {
-		r.told = nil
+		r.acknowledged = nil
 		return
 	}
 	r.number = report.GetNumber()
@@ -88,41 +89,41 @@
 	r.acknowledge(report)
 }
 
-func (r *reporter) list(ctx context.Context) ([]*messages.Rumour, error) {
+func (r *reporter) directUpstreams(ctx context.Context) ([]*messages.Rumour, error) {
 	reply := make(chan []*messages.Rumour, 1)
 	select {
-	case r.coordinator.box <- listed{reply: reply}:
+	case r.coordinator.events <- directUpstreamsRequested{reply: reply}:
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 	select {
-	case list := <-reply:
-		return list, nil
+	case upstreams := <-reply:
+		return upstreams, nil
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 }
 
-func (r *reporter) difference(list []*messages.Rumour) *messages.FleetReport {
+func (r *reporter) difference(upstreams []*messages.Rumour) *messages.FleetReport {
 	report := &messages.FleetReport{
 		Entry:       string(r.entry),
 		Incarnation: r.incarnation,
 		Number:      r.number + 1,
 	}
-	loads := time.Since(r.loadedAt) >= loadEvery
-	if loads {
-		r.loadedAt = time.Now()
+	withLoads := time.Since(r.loadReportedAt) >= loadInterval
+	if withLoads {
+		r.loadReportedAt = time.Now()
 	}
 	present := make(map[string]bool)
-	for _, rumour := range list {
+	for _, rumour := range upstreams {
 		name := rumour.GetAnnouncement().GetUpstream()
 		present[name] = true
-		known := r.told[name]
-		if known == nil || differs(known, rumour, loads) {
+		known := r.acknowledged[name]
+		if known == nil || needsReport(known, rumour, withLoads) {
 			report.Changed = append(report.Changed, rumour)
 		}
 	}
-	for name := range r.told {
+	for name := range r.acknowledged {
 		if !present[name] {
 			report.Removed = append(report.Removed, name)
 		}
@@ -132,20 +133,21 @@
 
 func (r *reporter) acknowledge(report *messages.FleetReport) {
 	for _, rumour := range report.GetChanged() {
-		r.told[rumour.GetAnnouncement().GetUpstream()] = rumour
+		r.acknowledged[rumour.GetAnnouncement().GetUpstream()] = rumour
 	}
 	for _, name := range report.GetRemoved() {
-		delete(r.told, name)
+		delete(r.acknowledged, name)
 	}
 }
 
-// differs reports whether control should know; a sequence alone tells it nothing.
-func differs(known, next *messages.Rumour, loads bool) bool {
+// needsReport reports whether control should receive the next state. A new sequence number alone
+// is of no use to it.
+func needsReport(known, next *messages.Rumour, withLoads bool) bool {
 	if known.GetState() != next.GetState() {
 		return true
 	}
 	a, b := proto.CloneOf(known.GetAnnouncement()), proto.CloneOf(next.GetAnnouncement())
-	if !loads {
+	if !withLoads {
 		a.Load = b.GetLoad()
 	}
 	a.Sequence = b.GetSequence()
--- a/src/entry/shares.go
+++ b/src/entry/shares.go
@@ -14,22 +14,22 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// MethodShare asks an entry for shares of the limits that it lends.
+// MethodShare requests shares of the limits that the receiving entry lends.
 const MethodShare = "limit/share"
 
 const (
 	renewInterval = 250 * time.Millisecond
 	renewTimeout  = 500 * time.Millisecond
 	shareLease    = 2 * time.Second
-	// smallView is the size up to which entries ask for all limits, so that each
-	// has an equal share of an idle one; in a larger view they ask as calls come.
-	smallView = 32
-	// idleRenewal is how many renewals apart a limit without calls takes part; its
-	// lease lasts for twice as long.
-	idleRenewal = 4
+	// maxSmallView is the maximum number of entries at which each asks for all limits, so that
+	// each has an equal share of an idle one. In a larger view they ask as calls arrive.
+	maxSmallView = 32
+	// idleRenewalRounds is how many rounds of renewal lie between two renewals of a limit without
+	// calls; its lease lasts twice as long.
+	idleRenewalRounds = 4
 )
 
-// shares lends and borrows shares of limits; one lock guards both machines.
+// shares lends and borrows shares of limits. One lock guards both state machines.
 type shares struct {
 	client  *connector.Client
 	view    func() *messages.EntryView
@@ -42,7 +42,7 @@
 	borrower *borrower.Borrower
 }
 
-func newShares(client *connector.Client, view func() *messages.EntryView, self units.Instance, incarnation uint64, hold time.Duration) *shares {
+func newShares(client *connector.Client, view func() *messages.EntryView, self units.Instance, incarnation uint64, viewTTL time.Duration) *shares {
 	return &shares{
 		client: client,
 		view:   view,
@@ -50,12 +50,12 @@
 			Self:        self,
 			Incarnation: incarnation,
 			Lease:       shareLease,
-			ViewTTL:     hold,
+			ViewTTL:     viewTTL,
 		},
 		borrower: &borrower.Borrower{
 			Self:        self,
 			Incarnation: incarnation,
-			ViewTTL:     hold,
+			ViewTTL:     viewTTL,
 		},
 	}
 }
@@ -75,63 +75,63 @@
 }
 
 func (s *shares) renew(ctx context.Context) {
-	wanted := make(map[string]borrower.Demand)
+	demands := make(map[string]borrower.Demand)
 	s.renewals++
-	idleToo := len(s.view().GetMembers()) <= smallView && s.renewals%idleRenewal == 0
+	includeIdle := len(s.view().GetMembers()) <= maxSmallView && s.renewals%idleRenewalRounds == 0
 	for limit, demand := range s.limiter.RefreshShares(time.Now()) {
-		if !idleToo && demand == (limiter.Demand{}) {
+		if !includeIdle && demand == (limiter.Demand{}) {
 			continue
 		}
-		wanted[limit] = borrower.Demand{
+		demands[limit] = borrower.Demand{
 			Offered: demand.Offered,
 			InUse:   demand.InUse,
 		}
 	}
 	s.mu.Lock()
-	s.follow(time.Now())
-	actions := s.borrower.Step(time.Now(), borrower.DemandChanged{Demands: wanted})
+	s.updateView(time.Now())
+	actions := s.borrower.Step(time.Now(), borrower.DemandChanged{Demands: demands})
 	s.mu.Unlock()
 	for _, action := range actions {
-		if ask, ok := action.(borrower.SendRequest); ok {
-			go s.ask(ctx, ask)
+		if send, ok := action.(borrower.SendRequest); ok {
+			go s.sendRequest(ctx, send)
 		}
 	}
 }
 
-func (s *shares) ask(ctx context.Context, ask borrower.SendRequest) {
+func (s *shares) sendRequest(ctx context.Context, send borrower.SendRequest) {
 	sentAt := time.Now()
 	response := &messages.ShareResponse{}
-	if ask.Member.GetEntry() == string(s.lender.Self) {
-		response = s.lend(ask.Request)
+	if send.Member.GetEntry() == string(s.lender.Self) {
+		response = s.answerRequest(send.Request)
 	} else {
 		ctx, cancel := context.WithTimeout(ctx, renewTimeout)
 		defer cancel()
-		if err := s.client.Call(ctx, ask.Member.GetPeerAddress(), MethodShare, ask.Request, response); err != nil {
+		if err := s.client.Call(ctx, send.Member.GetPeerAddress(), MethodShare, send.Request, response); err != nil {
 			return
 		}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.borrower.Step(time.Now(), borrower.ResponseReceived{
-		From:     units.Instance(ask.Member.GetEntry()),
+		From:     units.Instance(send.Member.GetEntry()),
 		SentAt:   sentAt,
 		Response: response,
 	})
 }
 
-// onShare answers another entry.
+// onShare handles another entry's request.
 func (s *shares) onShare(_ context.Context, peer connector.Peer, request *messages.ShareRequest) (*messages.ShareResponse, error) {
 	if err := peer.Speaks(certifier.Entry, request.GetEntry()); err != nil {
 		return nil, err
 	}
-	return s.lend(request), nil
+	return s.answerRequest(request), nil
 }
 
-func (s *shares) lend(request *messages.ShareRequest) *messages.ShareResponse {
+func (s *shares) answerRequest(request *messages.ShareRequest) *messages.ShareResponse {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	s.follow(now)
+	s.updateView(now)
 	for _, action := range s.lender.Step(now, lender.RequestReceived{Request: request}) {
 		if answer, ok := action.(lender.SendResponse); ok {
 			return answer.Response
@@ -140,46 +140,46 @@
 	return &messages.ShareResponse{}
 }
 
-// follow takes the newest view; the caller holds the lock.
-func (s *shares) follow(now time.Time) {
+// updateView passes the newest view to both state machines. The caller holds the lock.
+func (s *shares) updateView(now time.Time) {
 	if view := s.view(); view != nil {
 		s.lender.Step(now, lender.ViewChanged{View: view})
 		s.borrower.Step(now, borrower.ViewChanged{View: view})
 	}
 }
 
-// confirm takes that control's leader held the view for the newest not before at.
-func (s *shares) confirm(at time.Time) {
+// confirmView records that control's leader considered the view the newest one not before at.
+func (s *shares) confirmView(at time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.follow(time.Now())
+	s.updateView(time.Now())
 	s.lender.Step(time.Now(), lender.ViewConfirmed{At: at})
 	s.borrower.Step(time.Now(), borrower.ViewConfirmed{At: at})
 }
 
-// Shares returns what this entry may use of a limit now.
+// Shares returns the shares of a limit that this entry may use now.
 func (s *shares) Shares(limit string) []limiter.Share {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	s.follow(now)
-	var list []limiter.Share
-	if floor := s.borrower.GuaranteedShare(now); floor > 0 {
-		list = append(list, limiter.Share{Fraction: floor})
+	s.updateView(now)
+	var usable []limiter.Share
+	if guaranteed := s.borrower.GuaranteedShare(now); guaranteed > 0 {
+		usable = append(usable, limiter.Share{Fraction: guaranteed})
 	}
-	for _, loan := range s.borrower.Shares(now, limit) {
-		list = append(list, limiter.Share{
-			Fraction: loan.Fraction,
-			Until:    loan.Until,
+	for _, borrowed := range s.borrower.Shares(now, limit) {
+		usable = append(usable, limiter.Share{
+			Fraction: borrowed.Fraction,
+			Until:    borrowed.Until,
 		})
 	}
-	return list
+	return usable
 }
 
-// ready reports whether this entry has a share of the limits at all.
-func (s *shares) ready() bool {
+// isReady reports whether this entry has any share of the limits.
+func (s *shares) isReady() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.follow(time.Now())
+	s.updateView(time.Now())
 	return s.borrower.GuaranteedShare(time.Now()) > 0
 }
--- a/src/entry/traffic.go
+++ b/src/entry/traffic.go
@@ -12,7 +12,7 @@
 // indexBits sizes the cache index: 16,384 buckets of 64 bytes, 1 MiB.
 const indexBits = 14
 
-// traffic is the part of an entry that brings calls to upstreams.
+// traffic is the part of an entry that forwards calls to upstreams.
 type traffic struct {
 	router    *router.Router
 	forwarder *forwarder.Forwarder
@@ -23,14 +23,14 @@
 	pools := &forwarder.Pools{
 		TLS: e.Certificates.ToUpstreams(),
 	}
-	chooser := &router.Router{
+	callRouter := &router.Router{
 		Snapshot: &e.snapshot,
 		Entry:    e.Settings.Name,
 		Index:    locator.New(indexBits),
 	}
-	reclaimer := forwarder.NewReclaimer(chooser, pools, e.Log)
+	reclaimer := forwarder.NewReclaimer(callRouter, pools, e.Log)
 	return &traffic{
-		router:    chooser,
+		router:    callRouter,
 		reclaimer: reclaimer,
 		forwarder: &forwarder.Forwarder{
 			Pools:     pools,
@@ -39,9 +39,9 @@
 	}
 }
 
-// departed takes up that an upstream leaves or is gone. One whose time has
-// passed was told of before.
-func (t *traffic) departed(upstream *tracker.Upstream) {
+// handleDeparture handles an upstream that leaves or is gone. An upstream whose time to leave has
+// passed was reported before.
+func (t *traffic) handleDeparture(upstream *tracker.Upstream) {
 	if upstream.Leaving && !time.Now().Before(upstream.LeavesAt) {
 		return
 	}
--- a/src/gossiper/doc.go
+++ b/src/gossiper/doc.go
@@ -1,6 +1,7 @@
-// Package gossiper decides which entry tells which others of upstreams, and when.
+// Package gossiper decides which entry sends rumours about upstreams to which others, and when.
 //
-// News goes at once to the entries that keep this entry's upstreams: to those
-// of its own data centre, and by two relays to those of each other one. Signs
-// of life follow at a bounded rate, and digests repair what was lost.
+// Changes are sent at once to the entries that keep this entry's upstreams: directly to those of
+// its own data centre, and through two relays to those of each other data centre. Refreshes,
+// which only show that an upstream is alive, follow at a bounded rate, and digests repair what
+// was lost.
 package gossiper
--- a/src/gossiper/event.go
+++ b/src/gossiper/event.go
@@ -7,50 +7,50 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// Event is something that happened to the gossiper.
+// Event is an input to the gossiper.
 type Event interface{ event() }
 
-// Viewed says that the set of entries is new.
+// Viewed reports a new set of entries.
 type Viewed struct {
 	View *messages.EntryView
 }
 
-// News says that this entry's table has changed.
+// News reports that this entry's table has changed.
 type News struct {
 	Rumour *messages.Rumour
 	Urgent bool
-	// From is the entry that told of it, "" for the upstream itself.
+	// From is the entry that sent the rumour, "" if the upstream announced itself here.
 	From units.Instance
-	// PassOn is set where that entry asked to tell this data centre.
+	// PassOn is set if that entry asked to pass the rumour on in this data centre.
 	PassOn bool
 }
 
-// Probed asks what others know of a silent upstream.
+// Probed requests what other entries know of a silent upstream.
 type Probed struct {
 	Line *messages.DigestLine
 }
 
-// Asked says that another entry wants to be told of an upstream.
+// Asked reports that another entry requested the rumour about an upstream.
 type Asked struct {
 	By     units.Instance
 	Rumour *messages.Rumour
 }
 
-// Failed says that a message got no answer.
+// Failed reports that a message got no response.
 type Failed struct {
 	To     units.Instance
 	Gossip *messages.Gossip
-	// Took is how long the answer was waited for.
+	// Took is the time from sending the message to the failure.
 	Took time.Duration
 }
 
-// Ticked says that time has passed.
+// Ticked reports that time has passed.
 type Ticked struct {
 	// Now sends what is queued without waiting for the interval.
 	Now bool
-	// Alive are signs of life of the upstreams that this entry hears itself.
+	// Alive returns rumours that refresh the upstreams that announce themselves to this entry.
 	Alive func() []*messages.Rumour
-	// Digest returns how far this entry's knowledge goes.
+	// Digest returns the digest lines of what this entry knows.
 	Digest func(all bool) []*messages.DigestLine
 }
 
@@ -61,30 +61,31 @@
 func (Failed) event() {}
 func (Ticked) event() {}
 
-// Send asks for a message to be sent; it may be lost.
+// Send is a message to be sent; it may be lost.
 type Send struct {
 	To      units.Instance
 	Address string
 	Gossip  *messages.Gossip
 }
 
-// Options are the gossiper's limits.
+// Options are the gossiper's parameters and limits.
 type Options struct {
 	ID         units.Instance
 	DataCentre units.DataCentre
 	// Interval is the time between two rounds.
 	Interval time.Duration
-	// Refresh is the least time between two signs of life of one upstream.
+	// Refresh is the minimum time between two refreshes of one upstream.
 	Refresh time.Duration
 	// Digest is the time between two digests.
 	Digest time.Duration
-	// BytesPerSecond bounds signs of life and digests; news goes beyond it.
+	// BytesPerSecond bounds refreshes and digests. Changes are sent even beyond it.
 	BytesPerSecond int
-	// SmallFleet is the number of entries up to which each keeps all upstreams.
+	// SmallFleet is the number of entries below which every entry keeps all upstreams.
 	SmallFleet int
-	// Keepers is how many entries of its own data centre keep an entry's upstreams in a larger fleet.
+	// Keepers is how many entries of its own data centre keep an entry's upstreams in a larger
+	// fleet.
 	Keepers int
-	// Relays is how many entries of each other data centre are told directly.
+	// Relays is how many entries of each other data centre receive rumours directly.
 	Relays int
 	// Probes is how many entries are asked before a suspicion is spread.
 	Probes int
--- a/src/gossiper/gossiper.go
+++ b/src/gossiper/gossiper.go
@@ -14,69 +14,70 @@
 )
 
 const (
-	// maxRumours bounds one message; the rest goes with the next round.
+	// maxRumours bounds one message. The remaining rumours go with the next round.
 	maxRumours = 64
-	// maxDigest bounds the lines of one digest; they go round the table.
-	maxDigest = 128
-	// repeatFor is how long news that got no answer is sent again.
-	repeatFor = 3 * time.Second
+	// maxDigestLines bounds one digest. Successive digests rotate through the table.
+	maxDigestLines = 128
+	// retryWindow is the maximum age of a change that is sent again after it got no response.
+	retryWindow = 3 * time.Second
 )
 
-// Gossiper spreads what one entry knows; its fields are set before the first Step.
+// Gossiper spreads what one entry knows. Its fields are set before the first Step.
 type Gossiper struct {
 	Options Options
-	// Random chooses the entries that are asked.
+	// Random selects the entries to contact.
 	Random *rand.Rand
 
-	members   map[units.Instance]*messages.EntryMember
-	keepers   []units.Instance
-	relays    []units.Instance
-	neighbour []units.Instance
-	others    []units.Instance
-	queues    map[units.Instance]*queue
-	cursor    int
+	members      map[units.Instance]*messages.EntryMember
+	keepers      []units.Instance
+	relays       []units.Instance
+	neighbours   []units.Instance
+	others       []units.Instance
+	queues       map[units.Instance]*queue
+	digestOffset int
 
-	flushedAt   time.Time
-	refreshedAt time.Time
-	digestedAt  time.Time
-	credit      float64
-	creditAt    time.Time
+	flushedAt       time.Time
+	refreshedAt     time.Time
+	digestedAt      time.Time
+	byteCredit      float64
+	creditUpdatedAt time.Time
 }
 
-// queue is what one entry is to be told.
+// queue holds what is to be sent to one entry.
 type queue struct {
-	order  []string
-	queued map[string]queued
-	passOn bool
-	digest []*messages.DigestLine
+	upstreams []string
+	rumours   map[string]queuedRumour
+	passOn    bool
+	digest    []*messages.DigestLine
 }
 
-type queued struct {
-	rumour *messages.Rumour
-	at     time.Time
+type queuedRumour struct {
+	rumour   *messages.Rumour
+	queuedAt time.Time
 }
 
-// Step takes one event and returns the messages to send.
+// Step handles one event and returns the messages to send.
 func (g *Gossiper) Step(now time.Time, event Event) []Send {
 	switch e := event.(type) {
 	case Viewed:
-		g.follow(e.View)
+		g.updateView(e.View)
 	case News:
-		g.spread(now, e)
+		g.spreadChange(now, e)
 	case Probed:
 		return g.probe(e.Line)
 	case Asked:
-		g.put(now, e.By, e.Rumour, false)
+		g.enqueue(now, e.By, e.Rumour, false)
 	case Failed:
-		g.repeat(now, e)
+		g.requeue(now, e)
 	case Ticked:
 		return g.tick(now, e)
 	}
 	return nil
 }
 
-// follow chooses whom this entry tells, the same for every process with the same view.
-func (g *Gossiper) follow(view *messages.EntryView) {
+// updateView determines the entries that this one sends rumours to. Every process with the same
+// view computes the same result.
+func (g *Gossiper) updateView(view *messages.EntryView) {
 	g.members = make(map[units.Instance]*messages.EntryMember)
 	byDataCentre := make(map[string][]units.Instance)
 	g.others = nil
@@ -89,15 +90,15 @@
 		g.others = append(g.others, name)
 		byDataCentre[member.GetDataCentre()] = append(byDataCentre[member.GetDataCentre()], name)
 	}
-	g.neighbour = byDataCentre[string(g.Options.DataCentre)]
-	g.keepers = g.neighbour
-	if !g.small() {
-		g.keepers = first(g.rank(g.neighbour), g.Options.Keepers)
+	g.neighbours = byDataCentre[string(g.Options.DataCentre)]
+	g.keepers = g.neighbours
+	if !g.isSmallFleet() {
+		g.keepers = firstN(g.rankByHash(g.neighbours), g.Options.Keepers)
 	}
 	g.relays = nil
 	for dataCentre, entries := range byDataCentre {
 		if dataCentre != string(g.Options.DataCentre) {
-			g.relays = append(g.relays, first(g.rank(entries), g.Options.Relays)...)
+			g.relays = append(g.relays, firstN(g.rankByHash(entries), g.Options.Relays)...)
 		}
 	}
 	slices.Sort(g.relays)
@@ -108,12 +109,12 @@
 	}
 }
 
-// small reports whether every entry keeps all upstreams.
-func (g *Gossiper) small() bool { return len(g.members) < g.Options.SmallFleet }
+// isSmallFleet reports whether every entry keeps all upstreams.
+func (g *Gossiper) isSmallFleet() bool { return len(g.members) < g.Options.SmallFleet }
 
-// rank orders entries by rendezvous hashing, so that each entry's upstreams
-// are told to others and the work of relaying is spread evenly.
-func (g *Gossiper) rank(entries []units.Instance) []units.Instance {
+// rankByHash orders entries by rendezvous hashing with this entry's ID, so that each entry
+// selects different ones and the relaying is spread evenly.
+func (g *Gossiper) rankByHash(entries []units.Instance) []units.Instance {
 	ranked := slices.Clone(entries)
 	score := func(name units.Instance) uint64 {
 		return xxhash.Sum64String(string(g.Options.ID) + "/" + string(name))
@@ -130,107 +131,109 @@
 	return ranked
 }
 
-// spread decides who is told of a change.
-func (g *Gossiper) spread(now time.Time, e News) {
+// spreadChange queues a change for the entries that should receive it.
+func (g *Gossiper) spreadChange(now time.Time, e News) {
 	switch {
 	case e.From == "" && !e.Urgent:
-		// A sign of life goes with the next round of refreshes.
+		// A refresh goes with the next round of refreshes.
 		return
 	case e.From == "":
-		g.putAll(now, g.keepers, e.Rumour, false)
-		g.putAll(now, g.relays, e.Rumour, g.small())
+		g.enqueueAll(now, g.keepers, e.Rumour, false)
+		g.enqueueAll(now, g.relays, e.Rumour, g.isSmallFleet())
 	case e.PassOn:
-		g.putAll(now, g.neighbour, e.Rumour, false)
+		g.enqueueAll(now, g.neighbours, e.Rumour, false)
 	case e.Urgent:
-		// The one who heard it first may have died before it told others: each
-		// that hears news tells one more of its own data centre and one of all.
-		g.putAll(now, g.sample(g.neighbour, 1), e.Rumour, false)
-		g.putAll(now, g.sample(g.others, 1), e.Rumour, g.small())
+		// The entry that received the change first may have died before it sent it to others.
+		// Each entry that receives an urgent change therefore sends it to one more entry of its
+		// own data centre and to one of the whole fleet.
+		g.enqueueAll(now, g.sample(g.neighbours, 1), e.Rumour, false)
+		g.enqueueAll(now, g.sample(g.others, 1), e.Rumour, g.isSmallFleet())
 	}
 	if e.From != "" {
-		g.drop(e.From, e.Rumour)
+		g.dequeue(e.From, e.Rumour)
 	}
 }
 
-func (g *Gossiper) putAll(now time.Time, to []units.Instance, rumour *messages.Rumour, passOn bool) {
+func (g *Gossiper) enqueueAll(now time.Time, to []units.Instance, rumour *messages.Rumour, passOn bool) {
 	for _, name := range to {
-		g.put(now, name, rumour, passOn)
+		g.enqueue(now, name, rumour, passOn)
 	}
 }
 
-func (g *Gossiper) put(now time.Time, to units.Instance, rumour *messages.Rumour, passOn bool) {
+func (g *Gossiper) enqueue(now time.Time, to units.Instance, rumour *messages.Rumour, passOn bool) {
 	if g.members[to] == nil {
 		return
 	}
-	q := g.queue(to)
+	q := g.queueFor(to)
 	name := rumour.GetAnnouncement().GetUpstream()
-	earlier, known := q.queued[name]
-	if known && outdoes(earlier.rumour, rumour) {
+	queued, isQueued := q.rumours[name]
+	if isQueued && supersedes(queued.rumour, rumour) {
 		return
 	}
-	if !known {
-		q.order = append(q.order, name)
+	if !isQueued {
+		q.upstreams = append(q.upstreams, name)
 	}
-	q.queued[name] = queued{
-		rumour: rumour,
-		at:     now,
+	q.rumours[name] = queuedRumour{
+		rumour:   rumour,
+		queuedAt: now,
 	}
 	q.passOn = q.passOn || passOn
 }
 
-// outdoes reports whether a queued rumour says more than a sign of life that would replace it.
-func outdoes(earlier, next *messages.Rumour) bool {
-	sameLife := earlier.GetAnnouncement().GetIncarnation() == next.GetAnnouncement().GetIncarnation()
-	return sameLife && (earlier.GetState() > next.GetState() ||
-		earlier.GetAnnouncement().GetAddress() != "" && next.GetAnnouncement().GetAddress() == "" &&
+// supersedes reports whether a queued rumour carries more information than a refresh that would
+// replace it.
+func supersedes(queued, next *messages.Rumour) bool {
+	sameIncarnation := queued.GetAnnouncement().GetIncarnation() == next.GetAnnouncement().GetIncarnation()
+	return sameIncarnation && (queued.GetState() > next.GetState() ||
+		queued.GetAnnouncement().GetAddress() != "" && next.GetAnnouncement().GetAddress() == "" &&
 			next.GetState() == messages.UpstreamState_UPSTREAM_STATE_ANNOUNCED)
 }
 
-func (g *Gossiper) drop(to units.Instance, rumour *messages.Rumour) {
+func (g *Gossiper) dequeue(to units.Instance, rumour *messages.Rumour) {
 	q := g.queues[to]
 	if q == nil {
 		return
 	}
 	name := rumour.GetAnnouncement().GetUpstream()
-	if _, known := q.queued[name]; known {
-		delete(q.queued, name)
-		q.order = slices.DeleteFunc(q.order, func(other string) bool { return other == name })
+	if _, isQueued := q.rumours[name]; isQueued {
+		delete(q.rumours, name)
+		q.upstreams = slices.DeleteFunc(q.upstreams, func(other string) bool { return other == name })
 	}
 }
 
-func (g *Gossiper) queue(to units.Instance) *queue {
+func (g *Gossiper) queueFor(to units.Instance) *queue {
 	if g.queues == nil {
 		g.queues = make(map[units.Instance]*queue)
 	}
 	q := g.queues[to]
 	if q == nil {
 		q = &queue{
-			queued: make(map[string]queued),
+			rumours: make(map[string]queuedRumour),
 		}
 		g.queues[to] = q
 	}
 	return q
 }
 
-// repeat queues news that got no answer again, until it is too old to matter.
-func (g *Gossiper) repeat(now time.Time, e Failed) {
+// requeue queues changes again that got no response, until they are older than retryWindow.
+func (g *Gossiper) requeue(now time.Time, e Failed) {
 	for _, rumour := range e.Gossip.GetRumours() {
-		fresh := time.Duration(rumour.GetAgeMs())*time.Millisecond < repeatFor
-		if rumour.GetAnnouncement().GetAddress() == "" && rumour.GetState() == messages.UpstreamState_UPSTREAM_STATE_ANNOUNCED || !fresh {
+		isRecent := time.Duration(rumour.GetAgeMs())*time.Millisecond < retryWindow
+		if rumour.GetAnnouncement().GetAddress() == "" && rumour.GetState() == messages.UpstreamState_UPSTREAM_STATE_ANNOUNCED || !isRecent {
 			continue
 		}
-		if q := g.queue(e.To); q.queued[rumour.GetAnnouncement().GetUpstream()].rumour == nil {
-			g.put(now.Add(-e.Took), e.To, rumour, e.Gossip.GetPassOn())
+		if q := g.queueFor(e.To); q.rumours[rumour.GetAnnouncement().GetUpstream()].rumour == nil {
+			g.enqueue(now.Add(-e.Took), e.To, rumour, e.Gossip.GetPassOn())
 		}
 	}
 }
 
-// probe asks a few others at once whether they have heard a silent upstream.
+// probe asks a few other entries at once whether they have heard from a silent upstream.
 func (g *Gossiper) probe(line *messages.DigestLine) []Send {
-	asked := g.sample(g.others, g.Options.Probes)
-	sends := make([]Send, 0, len(asked))
-	for _, name := range asked {
-		sends = append(sends, g.send(name, &messages.Gossip{
+	targets := g.sample(g.others, g.Options.Probes)
+	sends := make([]Send, 0, len(targets))
+	for _, name := range targets {
+		sends = append(sends, g.newSend(name, &messages.Gossip{
 			Digest: []*messages.DigestLine{line},
 		}))
 	}
@@ -248,9 +251,9 @@
 	return chosen
 }
 
-func (g *Gossiper) send(to units.Instance, gossip *messages.Gossip) Send {
+func (g *Gossiper) newSend(to units.Instance, gossip *messages.Gossip) Send {
 	gossip.From = string(g.Options.ID)
-	g.credit -= float64(proto.Size(gossip))
+	g.byteCredit -= float64(proto.Size(gossip))
 	return Send{
 		To:      to,
 		Address: g.members[to].GetPeerAddress(),
@@ -258,6 +261,6 @@
 	}
 }
 
-func first(names []units.Instance, count int) []units.Instance {
+func firstN(names []units.Instance, count int) []units.Instance {
 	return names[:min(count, len(names))]
 }
--- a/src/gossiper/round.go
+++ b/src/gossiper/round.go
@@ -12,46 +12,46 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// tick sends what is queued and, within the budget, signs of life and a digest.
+// tick sends what is queued and, within the byte budget, refreshes and a digest.
 func (g *Gossiper) tick(now time.Time, e Ticked) []Send {
 	if len(g.members) == 0 || !e.Now && now.Sub(g.flushedAt) < g.Options.Interval {
 		return nil
 	}
-	g.earn(now)
+	g.addCredit(now)
 	g.flushedAt = now
-	// The budget delays signs of life and digests, never news. Without it a
-	// larger fleet would cost each entry more; with it the pace falls instead.
-	if g.credit > 0 && now.Sub(g.refreshedAt) >= g.Options.Refresh {
+	// The budget delays refreshes and digests, but never changes. With it, a larger fleet reduces
+	// the rate of refreshes instead of increasing the traffic of each entry.
+	if g.byteCredit > 0 && now.Sub(g.refreshedAt) >= g.Options.Refresh {
 		g.refreshedAt = now
-		g.refresh(now, e.Alive())
+		g.enqueueRefreshes(now, e.Alive())
 	}
-	if g.credit > 0 && now.Sub(g.digestedAt) >= g.Options.Digest {
+	if g.byteCredit > 0 && now.Sub(g.digestedAt) >= g.Options.Digest {
 		g.digestedAt = now
-		g.digest(e.Digest(g.small()))
+		g.enqueueDigest(e.Digest(g.isSmallFleet()))
 	}
 	return g.flush(now)
 }
 
-// earn adds to the credit of bytes, up to one second's.
-func (g *Gossiper) earn(now time.Time) {
+// addCredit adds to the credit of bytes, up to that of one second.
+func (g *Gossiper) addCredit(now time.Time) {
 	perSecond := float64(g.Options.BytesPerSecond)
-	if !g.creditAt.IsZero() {
-		g.credit += now.Sub(g.creditAt).Seconds() * perSecond
+	if !g.creditUpdatedAt.IsZero() {
+		g.byteCredit += now.Sub(g.creditUpdatedAt).Seconds() * perSecond
 	}
-	g.credit = min(g.credit, perSecond)
-	g.creditAt = now
+	g.byteCredit = min(g.byteCredit, perSecond)
+	g.creditUpdatedAt = now
 }
 
-func (g *Gossiper) refresh(now time.Time, alive []*messages.Rumour) {
+func (g *Gossiper) enqueueRefreshes(now time.Time, alive []*messages.Rumour) {
 	for _, rumour := range alive {
-		short := brief(rumour)
-		g.putAll(now, g.keepers, short, false)
-		g.putAll(now, g.relays, short, g.small())
+		refresh := refreshOf(rumour)
+		g.enqueueAll(now, g.keepers, refresh, false)
+		g.enqueueAll(now, g.relays, refresh, g.isSmallFleet())
 	}
 }
 
-// brief leaves out of a rumour what does not change within an incarnation.
-func brief(rumour *messages.Rumour) *messages.Rumour {
+// refreshOf returns a rumour without the fields that do not change within an incarnation.
+func refreshOf(rumour *messages.Rumour) *messages.Rumour {
 	a := rumour.GetAnnouncement()
 	return &messages.Rumour{
 		State: rumour.GetState(),
@@ -65,10 +65,10 @@
 	}
 }
 
-// digest gives one other entry a part of this entry's digest.
-func (g *Gossiper) digest(lines []*messages.DigestLine) {
+// enqueueDigest queues a part of this entry's digest for one other entry.
+func (g *Gossiper) enqueueDigest(lines []*messages.DigestLine) {
 	partners := g.others
-	if !g.small() {
+	if !g.isSmallFleet() {
 		partners = append(slices.Clone(g.keepers), g.relays...)
 	}
 	chosen := g.sample(partners, 1)
@@ -78,41 +78,41 @@
 	slices.SortFunc(lines, func(a, b *messages.DigestLine) int {
 		return strings.Compare(a.GetUpstream(), b.GetUpstream())
 	})
-	if len(lines) > maxDigest {
-		g.cursor = (g.cursor + maxDigest) % len(lines)
-		lines = append(slices.Clone(lines[g.cursor:]), lines[:g.cursor]...)[:maxDigest]
+	if len(lines) > maxDigestLines {
+		g.digestOffset = (g.digestOffset + maxDigestLines) % len(lines)
+		lines = append(slices.Clone(lines[g.digestOffset:]), lines[:g.digestOffset]...)[:maxDigestLines]
 	}
-	g.queue(chosen[0]).digest = lines
+	g.queueFor(chosen[0]).digest = lines
 }
 
-// flush empties the queues, a bounded message for each entry.
+// flush returns one bounded message from each non-empty queue.
 func (g *Gossiper) flush(now time.Time) []Send {
 	var sends []Send
 	for _, name := range slices.Sorted(maps.Keys(g.queues)) {
 		q := g.queues[name]
-		if len(q.order) == 0 && q.digest == nil {
+		if len(q.upstreams) == 0 && q.digest == nil {
 			continue
 		}
 		gossip := &messages.Gossip{
 			PassOn: q.passOn,
 			Digest: q.digest,
 		}
-		count := min(len(q.order), maxRumours)
-		for _, upstream := range q.order[:count] {
-			gossip.Rumours = append(gossip.Rumours, aged(now, q.queued[upstream]))
-			delete(q.queued, upstream)
+		count := min(len(q.upstreams), maxRumours)
+		for _, upstream := range q.upstreams[:count] {
+			gossip.Rumours = append(gossip.Rumours, withQueueTime(now, q.rumours[upstream]))
+			delete(q.rumours, upstream)
 		}
-		q.order = slices.Clone(q.order[count:])
+		q.upstreams = slices.Clone(q.upstreams[count:])
 		q.digest = nil
-		q.passOn = q.passOn && len(q.order) > 0
-		sends = append(sends, g.send(name, gossip))
+		q.passOn = q.passOn && len(q.upstreams) > 0
+		sends = append(sends, g.newSend(name, gossip))
 	}
 	return sends
 }
 
-// aged adds the time that a rumour waited here.
-func aged(now time.Time, q queued) *messages.Rumour {
-	waited := now.Sub(q.at).Milliseconds()
+// withQueueTime returns a rumour with the time that it was queued added to its age.
+func withQueueTime(now time.Time, q queuedRumour) *messages.Rumour {
+	waited := now.Sub(q.queuedAt).Milliseconds()
 	if waited <= 0 {
 		return q.rumour
 	}
@@ -124,10 +124,11 @@
 	return rumour
 }
 
-// Counts returns how many entries this one tells: its keepers, its relays and all of its data centre.
+// Counts returns how many entries this one sends rumours to: its keepers, its relays and all
+// entries of its data centre.
 func (g *Gossiper) Counts() (keepers, relays, neighbours int) {
-	return len(g.keepers), len(g.relays), len(g.neighbour)
+	return len(g.keepers), len(g.relays), len(g.neighbours)
 }
 
-// Peer returns the address of an entry, "" where it is not in the view.
+// Peer returns the address of an entry, "" if it is not in the view.
 func (g *Gossiper) Peer(name units.Instance) string { return g.members[name].GetPeerAddress() }
--- a/src/mover/event.go
+++ b/src/mover/event.go
@@ -9,16 +9,16 @@
 // StreamID identifies one attempt of one call within this entry.
 type StreamID uint64
 
-// Stream is what the decision needs to know of one running stream.
+// Stream is the state of one running stream that the decision depends on.
 type Stream struct {
 	ID StreamID
-	// Context is the tokens that would have to be computed again elsewhere.
+	// Context is the number of tokens that would have to be recomputed elsewhere.
 	Context units.Tokens
-	// Left is the most tokens that are still to be generated.
+	// Left is the maximum number of tokens still to be generated.
 	Left units.Tokens
 }
 
-// Upstream is one life of a leaving upstream.
+// Upstream is one incarnation of a leaving upstream.
 type Upstream struct {
 	Name        units.Upstream
 	Incarnation units.Incarnation
@@ -29,7 +29,8 @@
 	Upstream Upstream
 	LeavesAt time.Time
 	Step     time.Duration
-	// BytesPerToken and BytesPerSecond are what an export costs, 0 where there is none.
+	// BytesPerToken and BytesPerSecond determine how long an export takes. They are 0 if the
+	// upstream supports none.
 	BytesPerToken  int64
 	BytesPerSecond int64
 }
@@ -37,41 +38,41 @@
 // Event is something that happened to a leaving upstream or its streams.
 type Event interface{ event() }
 
-// Noticed says that an upstream leaves, with the streams that run there.
+// Noticed reports that an upstream leaves, and the streams that run there.
 type Noticed struct {
 	Notice  Notice
 	Streams []Stream
 }
 
-// Joined says that a stream began at an upstream after its notice.
+// Joined reports that a stream started at an upstream after its notice.
 type Joined struct {
 	Upstream Upstream
 	Stream   Stream
 }
 
-// Progressed says how far a stream has come.
+// Progressed reports the new state of a stream.
 type Progressed struct {
 	Upstream Upstream
 	Stream   Stream
 }
 
-// Ended says that a stream is no longer at the upstream.
+// Ended reports that a stream no longer runs at the upstream.
 type Ended struct {
 	Upstream Upstream
 	Stream   StreamID
 }
 
-// Exported says how an export ended; Took is how long it needed.
+// Exported reports that an export ended. Took is its duration.
 type Exported struct {
 	Upstream Upstream
 	Stream   StreamID
 	Tokens   units.Tokens
 	Took     time.Duration
-	// Failed says that the target or the source was lost, or the export was cut.
+	// Failed is set if the target or the source was lost, or the export was interrupted.
 	Failed bool
 }
 
-// Ticked says that time has passed.
+// Ticked reports that time has passed.
 type Ticked struct{}
 
 func (Noticed) event()    {}
@@ -84,14 +85,14 @@
 // Action is something that the caller of Step must carry out.
 type Action interface{ action() }
 
-// Export wants the stream's KV cache brought to another upstream, and the
-// stream to go on there once it has arrived.
+// Export moves the stream's KV cache to another upstream. The stream continues there once the
+// cache has arrived.
 type Export struct {
 	Upstream Upstream
 	Stream   StreamID
 }
 
-// Recompute wants the stream to go on elsewhere without its KV cache.
+// Recompute makes the stream continue elsewhere without its KV cache.
 type Recompute struct {
 	Upstream Upstream
 	Stream   StreamID
--- a/src/mover/mover.go
+++ b/src/mover/mover.go
@@ -9,26 +9,26 @@
 )
 
 const (
-	// finishShare is the part of the time left that a stream must finish in to
-	// be left alone; steps can slow down.
-	finishShare = 0.8
-	// exportShare is the part of the time left that an export must fit in.
-	exportShare = 0.8
-	// exportCost is what each export takes besides its bytes.
-	exportCost = 20 * time.Millisecond
-	// maxLead is how long before the stop what remains is recomputed elsewhere;
-	// with a short notice it is the part of the notice below.
-	maxLead   = 500 * time.Millisecond
-	leadShare = 4
-	// maxExports bounds the tries to move one stream.
+	// finishFraction is the fraction of the remaining time in which a stream must be expected to
+	// finish to be left alone, since steps can slow down.
+	finishFraction = 0.8
+	// exportFraction is the fraction of the remaining time in which an export must fit.
+	exportFraction = 0.8
+	// exportOverhead is the duration of an export apart from transferring its bytes.
+	exportOverhead = 20 * time.Millisecond
+	// maxRecomputeLead is how long before the stop the remaining streams are recomputed
+	// elsewhere. With a short notice it is the notice divided by recomputeLeadDivisor.
+	maxRecomputeLead     = 500 * time.Millisecond
+	recomputeLeadDivisor = 4
+	// maxExports bounds the attempts to move one stream.
 	maxExports = 2
-	// forgetAfter is how long after its stop an upstream is remembered.
-	forgetAfter = 5 * time.Second
-	// paceGain is the weight of the newest export in the measured pace.
-	paceGain = 0.5
+	// departureRetention is how long an upstream is kept after its stop.
+	departureRetention = 5 * time.Second
+	// slowdownGain is the weight of the latest export in the measured slowdown.
+	slowdownGain = 0.5
 )
 
-// Mover plans the streams of all leaving upstreams of one entry.
+// Mover plans the streams of all leaving upstreams for one entry.
 type Mover struct {
 	leaving map[Upstream]*departure
 }
@@ -40,15 +40,15 @@
 	recomputeAt time.Time
 	streams     map[StreamID]*stream
 	exporting   StreamID
-	// pace is how much longer exports take than announced, 1 at first.
-	pace float64
+	// slowdown is the ratio of the measured to the announced export time, initially 1.
+	slowdown float64
 }
 
 type stream struct {
 	Stream
 	exports int
-	// gone says that the last action for the stream was given.
-	gone bool
+	// decided is set once no further action will follow for the stream.
+	decided bool
 }
 
 // Step takes one event and returns the actions to carry out, in order.
@@ -58,24 +58,24 @@
 	}
 	switch e := event.(type) {
 	case Noticed:
-		return m.notice(now, e)
+		return m.handleNotice(now, e)
 	case Joined:
 		if d := m.leaving[e.Upstream]; d != nil {
-			d.join(e.Stream)
+			d.addStream(e.Stream)
 			return d.plan(now)
 		}
 	case Progressed:
 		if d := m.leaving[e.Upstream]; d != nil {
-			d.progress(e.Stream)
+			d.updateStream(e.Stream)
 		}
 	case Ended:
 		if d := m.leaving[e.Upstream]; d != nil {
-			d.end(e.Stream)
+			d.removeStream(e.Stream)
 			return d.plan(now)
 		}
 	case Exported:
 		if d := m.leaving[e.Upstream]; d != nil {
-			d.exported(e)
+			d.handleExported(e)
 			return d.plan(now)
 		}
 	case Ticked:
@@ -87,34 +87,34 @@
 // Active reports whether any upstream is leaving.
 func (m *Mover) Active() bool { return len(m.leaving) > 0 }
 
-// Leaving reports whether an upstream has had its notice.
+// Leaving reports whether the mover has received the upstream's notice.
 func (m *Mover) Leaving(upstream Upstream) bool { return m.leaving[upstream] != nil }
 
-func (m *Mover) notice(now time.Time, e Noticed) []Action {
+func (m *Mover) handleNotice(now time.Time, e Noticed) []Action {
 	d := m.leaving[e.Notice.Upstream]
 	if d == nil {
 		d = &departure{
-			streams: make(map[StreamID]*stream),
-			pace:    1,
+			streams:  make(map[StreamID]*stream),
+			slowdown: 1,
 		}
 		m.leaving[e.Notice.Upstream] = d
 	}
 	if !d.notice.LeavesAt.Equal(e.Notice.LeavesAt) {
-		lead := min(maxLead, max(0, e.Notice.LeavesAt.Sub(now))/leadShare)
+		lead := min(maxRecomputeLead, max(0, e.Notice.LeavesAt.Sub(now))/recomputeLeadDivisor)
 		d.recomputeAt = e.Notice.LeavesAt.Add(-lead)
 	}
 	d.notice = e.Notice
 	for _, s := range e.Streams {
-		d.join(s)
+		d.addStream(s)
 	}
 	return d.plan(now)
 }
 
-// tick plans each departure, in the order of their stops.
+// tick plans all departures, ordered by their stops.
 func (m *Mover) tick(now time.Time) []Action {
 	all := make([]*departure, 0, len(m.leaving))
 	for upstream, d := range m.leaving {
-		if now.Sub(d.notice.LeavesAt) > forgetAfter {
+		if now.Sub(d.notice.LeavesAt) > departureRetention {
 			delete(m.leaving, upstream)
 			continue
 		}
@@ -131,51 +131,51 @@
 	return actions
 }
 
-func (d *departure) join(s Stream) {
+func (d *departure) addStream(s Stream) {
 	if d.streams[s.ID] == nil {
 		d.streams[s.ID] = &stream{Stream: s}
 	}
 }
 
-func (d *departure) progress(s Stream) {
+func (d *departure) updateStream(s Stream) {
 	if known := d.streams[s.ID]; known != nil {
 		known.Stream = s
 	}
 }
 
-func (d *departure) end(id StreamID) {
+func (d *departure) removeStream(id StreamID) {
 	delete(d.streams, id)
 	if d.exporting == id {
 		d.exporting = 0
 	}
 }
 
-func (d *departure) exported(e Exported) {
+func (d *departure) handleExported(e Exported) {
 	if d.exporting == e.Stream {
 		d.exporting = 0
 	}
-	if expected := d.announced(e.Tokens); !e.Failed && expected > 0 {
-		// Other entries share the upstream's link; the pace tells how much of it is left.
-		measured := float64(e.Took) / float64(expected)
-		d.pace += paceGain * (max(1, measured) - d.pace)
+	if nominal := d.nominalTransferTime(e.Tokens); !e.Failed && nominal > 0 {
+		// Other entries share the upstream's link, so an export can take longer than announced.
+		measured := float64(e.Took) / float64(nominal)
+		d.slowdown += slowdownGain * (max(1, measured) - d.slowdown)
 	}
 	if s := d.streams[e.Stream]; s != nil && !e.Failed {
-		s.gone = true
+		s.decided = true
 	}
 }
 
-// plan gives the actions that are due.
+// plan returns the actions that are due.
 func (d *departure) plan(now time.Time) []Action {
-	// A stream that still runs at the stop is cut: its caller waits for a
-	// watchdog, and its tokens are lost all the same. The lead leaves time to go
-	// on elsewhere before that, also where an export hangs.
+	// A stream that still runs at the stop is cut off: its caller waits for a watchdog timeout,
+	// and its tokens are lost anyway. The lead leaves time to continue elsewhere before that,
+	// also if an export hangs.
 	if !now.Before(d.recomputeAt) {
 		return d.recompute(now)
 	}
 	if d.exporting != 0 {
 		return nil
 	}
-	best := d.best(now)
+	best := d.bestExport(now)
 	if best == nil {
 		return nil
 	}
@@ -187,42 +187,43 @@
 	}}
 }
 
-// best returns the stream whose export saves the most tokens for each second of
-// notice, among those that cannot finish and whose export still fits.
-func (d *departure) best(now time.Time) *stream {
+// bestExport returns the stream whose export saves the most tokens per second, among those that
+// cannot finish and whose export still fits.
+func (d *departure) bestExport(now time.Time) *stream {
 	if d.notice.BytesPerSecond <= 0 || d.notice.BytesPerToken <= 0 {
 		return nil
 	}
-	left := d.recomputeAt.Sub(now)
+	remaining := d.recomputeAt.Sub(now)
 	var best *stream
 	for _, s := range d.streams {
-		fits := d.transfer(s.Context) <= time.Duration(exportShare*float64(left))
-		if s.gone || s.exports >= maxExports || !fits || d.finishes(s, now) {
+		fits := d.exportTime(s.Context) <= time.Duration(exportFraction*float64(remaining))
+		if s.decided || s.exports >= maxExports || !fits || d.canFinish(s, now) {
 			continue
 		}
-		if best == nil || d.before(s, best) {
+		if best == nil || d.isBetter(s, best) {
 			best = s
 		}
 	}
 	return best
 }
 
-func (d *departure) before(a, b *stream) bool {
-	saved := cmp.Compare(d.value(a), d.value(b))
-	return saved > 0 || saved == 0 && a.ID < b.ID
+func (d *departure) isBetter(a, b *stream) bool {
+	bySavings := cmp.Compare(d.savedPerSecond(a), d.savedPerSecond(b))
+	return bySavings > 0 || bySavings == 0 && a.ID < b.ID
 }
 
-// value is the tokens that a stream's export saves for each second it takes.
-func (d *departure) value(s *stream) float64 {
-	return float64(s.Context) / d.transfer(s.Context).Seconds()
+// savedPerSecond returns the number of tokens that a stream's export saves per second of its
+// duration.
+func (d *departure) savedPerSecond(s *stream) float64 {
+	return float64(s.Context) / d.exportTime(s.Context).Seconds()
 }
 
-// transfer predicts how long an export takes.
-func (d *departure) transfer(tokens units.Tokens) time.Duration {
-	return exportCost + time.Duration(d.pace*float64(d.announced(tokens)))
+// exportTime predicts the duration of an export.
+func (d *departure) exportTime(tokens units.Tokens) time.Duration {
+	return exportOverhead + time.Duration(d.slowdown*float64(d.nominalTransferTime(tokens)))
 }
 
-func (d *departure) announced(tokens units.Tokens) time.Duration {
+func (d *departure) nominalTransferTime(tokens units.Tokens) time.Duration {
 	if d.notice.BytesPerSecond <= 0 {
 		return 0
 	}
@@ -230,17 +231,18 @@
 	return time.Duration(size / float64(d.notice.BytesPerSecond) * float64(time.Second))
 }
 
-func (d *departure) finishes(s *stream, now time.Time) bool {
-	left := time.Duration(finishShare * float64(d.notice.LeavesAt.Sub(now)))
-	return time.Duration(s.Left)*d.notice.Step <= left
+func (d *departure) canFinish(s *stream, now time.Time) bool {
+	remaining := time.Duration(finishFraction * float64(d.notice.LeavesAt.Sub(now)))
+	return time.Duration(s.Left)*d.notice.Step <= remaining
 }
 
-// recompute gives up what cannot finish, the longest first, which takes longest elsewhere.
+// recompute moves the streams that cannot finish without their KV cache, the longest first, since
+// it takes longest to recompute.
 func (d *departure) recompute(now time.Time) []Action {
 	var due []*stream
 	for _, s := range d.streams {
-		if !s.gone && !d.finishes(s, now) {
-			s.gone = true
+		if !s.decided && !d.canFinish(s, now) {
+			s.decided = true
 			due = append(due, s)
 		}
 	}
--- a/src/mover/mover_test.go
+++ b/src/mover/mover_test.go
@@ -17,7 +17,7 @@
 	testStep = 2 * time.Millisecond
 )
 
-// TestMain fixes the seed of the property tests unless the command line names one.
+// TestMain fixes the seed and the number of checks of the property tests.
 func TestMain(m *testing.M) {
 	_ = flag.Set("rapid.seed", "1")
 	_ = flag.Set("rapid.checks", "500")
@@ -35,10 +35,10 @@
 	}
 }
 
-// Streams of different lengths run at an engine with two seconds of notice. What
-// can finish is left alone; of the rest the link has time for some, and callers
-// of those see no pause. The longest go first, since they cost most elsewhere.
-func TestChoice(t *testing.T) {
+// Streams of different lengths run at an engine with two seconds of notice. A stream that can
+// finish is left alone. The link has time to export some of the others, whose callers then see no
+// pause. The longest are exported first, since they are the most expensive to recompute.
+func TestExportChoice(t *testing.T) {
 	cases := map[string]struct {
 		streams []Stream
 		want    string
@@ -71,152 +71,152 @@
 	}
 }
 
-// world is a leaving engine with the streams that the machine has not yet taken away.
-type world struct {
-	now       time.Time
-	machine   Mover
-	notice    Notice
-	streams   map[StreamID]*Stream
-	exporting map[StreamID]time.Time
-	recompute map[StreamID]bool
-	lastID    StreamID
+// simulation is a leaving engine with the streams that still run there.
+type simulation struct {
+	now        time.Time
+	machine    Mover
+	notice     Notice
+	streams    map[StreamID]*Stream
+	exporting  map[StreamID]time.Time
+	recomputed map[StreamID]bool
+	lastID     StreamID
 }
 
-func (w *world) step(t *rapid.T, e Event) {
-	for _, action := range w.machine.Step(w.now, e) {
+func (sim *simulation) step(t *rapid.T, e Event) {
+	for _, action := range sim.machine.Step(sim.now, e) {
 		switch a := action.(type) {
 		case Export:
-			w.check(t, a.Stream)
-			if got, want := len(w.exporting), 0; got != want {
-				t.Fatalf("exports at once: got %d more, want %d", got, want)
+			sim.checkRunning(t, a.Stream)
+			if got, want := len(sim.exporting), 0; got != want {
+				t.Fatalf("exports in progress: got %d, want %d", got, want)
 			}
-			if w.recompute[a.Stream] {
-				t.Fatalf("stream %d: got an export after it was given up, want none", a.Stream)
+			if sim.recomputed[a.Stream] {
+				t.Fatalf("stream %d: got an export after it was recomputed, want none", a.Stream)
 			}
-			w.exporting[a.Stream] = w.now
+			sim.exporting[a.Stream] = sim.now
 		case Recompute:
-			w.check(t, a.Stream)
-			if w.recompute[a.Stream] {
-				t.Fatalf("stream %d: got given up twice, want once", a.Stream)
+			sim.checkRunning(t, a.Stream)
+			if sim.recomputed[a.Stream] {
+				t.Fatalf("stream %d: got recomputed twice, want once", a.Stream)
 			}
-			w.recompute[a.Stream] = true
+			sim.recomputed[a.Stream] = true
 		}
 	}
 }
 
-func (w *world) check(t *rapid.T, id StreamID) {
-	if w.streams[id] == nil {
-		t.Fatalf("stream %d: got an action after its end, want none", id)
+func (sim *simulation) checkRunning(t *rapid.T, id StreamID) {
+	if sim.streams[id] == nil {
+		t.Fatalf("stream %d: got an action after it ended, want none", id)
 	}
 }
 
-// tick lets time pass: each stream generates, and those that are done end.
-func (w *world) tick(t *rapid.T) {
-	w.now = w.now.Add(testTick)
-	for id := StreamID(1); id <= w.lastID; id++ {
-		s := w.streams[id]
+// tick advances the time by one tick: each stream generates tokens, and completed streams end.
+func (sim *simulation) tick(t *rapid.T) {
+	sim.now = sim.now.Add(testTick)
+	for id := StreamID(1); id <= sim.lastID; id++ {
+		s := sim.streams[id]
 		if s == nil {
 			continue
 		}
 		s.Left -= units.Tokens(testTick / testStep)
 		s.Context += units.Tokens(testTick / testStep)
 		if s.Left > 0 {
-			w.step(t, Progressed{Upstream: w.notice.Upstream, Stream: *s})
+			sim.step(t, Progressed{Upstream: sim.notice.Upstream, Stream: *s})
 			continue
 		}
-		w.end(t, id)
+		sim.endStream(t, id)
 	}
-	w.step(t, Ticked{})
+	sim.step(t, Ticked{})
 }
 
-func (w *world) end(t *rapid.T, id StreamID) {
-	delete(w.streams, id)
-	delete(w.exporting, id)
-	w.step(t, Ended{Upstream: w.notice.Upstream, Stream: id})
+func (sim *simulation) endStream(t *rapid.T, id StreamID) {
+	delete(sim.streams, id)
+	delete(sim.exporting, id)
+	sim.step(t, Ended{Upstream: sim.notice.Upstream, Stream: id})
 }
 
-// An engine is taken back while streams run, begin, end and fail to move, in any
-// order. Its callers must not be cut: by the stop, each stream has finished, has
-// moved, or was told in time to go on elsewhere, and is told only once.
+// Guards against streams that are cut off when an engine is reclaimed while streams start, end
+// and fail to move in any order. By the stop, each stream must have finished, been moved, or been
+// recomputed elsewhere in time, and be recomputed only once.
 func TestNoStreamIsLeftAtTheStop(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{
-			now:       time.Unix(0, 0),
-			streams:   make(map[StreamID]*Stream),
-			exporting: make(map[StreamID]time.Time),
-			recompute: make(map[StreamID]bool),
+		sim := &simulation{
+			now:        time.Unix(0, 0),
+			streams:    make(map[StreamID]*Stream),
+			exporting:  make(map[StreamID]time.Time),
+			recomputed: make(map[StreamID]bool),
 		}
-		w.notice = testNotice(w.now, time.Duration(rapid.IntRange(0, 3000).Draw(t, "notice-ms"))*time.Millisecond)
+		sim.notice = testNotice(sim.now, time.Duration(rapid.IntRange(0, 3000).Draw(t, "notice-ms"))*time.Millisecond)
 		for range rapid.IntRange(0, 20).Draw(t, "streams") {
-			w.begin(t)
+			sim.startStream(t)
 		}
-		w.step(t, w.noticed())
-		for w.now.Before(w.notice.LeavesAt) {
+		sim.step(t, sim.noticed())
+		for sim.now.Before(sim.notice.LeavesAt) {
 			switch rapid.IntRange(0, 5).Draw(t, "event") {
 			case 0:
-				w.step(t, Joined{Upstream: w.notice.Upstream, Stream: *w.begin(t)})
+				sim.step(t, Joined{Upstream: sim.notice.Upstream, Stream: *sim.startStream(t)})
 			case 1:
-				w.finishExport(t, true)
+				sim.finishExport(t, true)
 			case 2:
-				w.finishExport(t, false)
+				sim.finishExport(t, false)
 			case 3:
-				w.step(t, w.noticed())
+				sim.step(t, sim.noticed())
 			}
-			w.tick(t)
+			sim.tick(t)
 		}
-		for id, s := range w.streams {
-			if !w.recompute[id] {
-				t.Fatalf("stream %d with %d tokens left: got nothing by the stop, want it moved or given up", id, s.Left)
+		for id, s := range sim.streams {
+			if !sim.recomputed[id] {
+				t.Fatalf("stream %d with %d tokens left: got no action by the stop, want it moved or recomputed", id, s.Left)
 			}
 		}
 	})
 }
 
-// noticed is the notice, which can come again, with the streams of now.
-func (w *world) noticed() Noticed {
-	event := Noticed{Notice: w.notice}
-	for id := StreamID(1); id <= w.lastID; id++ {
-		if s := w.streams[id]; s != nil {
+// noticed returns the notice, which may arrive repeatedly, with the streams that run now.
+func (sim *simulation) noticed() Noticed {
+	event := Noticed{Notice: sim.notice}
+	for id := StreamID(1); id <= sim.lastID; id++ {
+		if s := sim.streams[id]; s != nil {
 			event.Streams = append(event.Streams, *s)
 		}
 	}
 	return event
 }
 
-func (w *world) begin(t *rapid.T) *Stream {
-	w.lastID++
+func (sim *simulation) startStream(t *rapid.T) *Stream {
+	sim.lastID++
 	s := &Stream{
-		ID:      w.lastID,
+		ID:      sim.lastID,
 		Context: units.Tokens(rapid.IntRange(1, 20000).Draw(t, "context")),
 		Left:    units.Tokens(rapid.IntRange(1, 4000).Draw(t, "left")),
 	}
-	w.streams[s.ID] = s
+	sim.streams[s.ID] = s
 	return s
 }
 
-// finishExport ends the export under way; a stream that arrived leaves this engine.
-func (w *world) finishExport(t *rapid.T, failed bool) {
-	for id, began := range w.exporting {
-		tokens := w.streams[id].Context
-		delete(w.exporting, id)
-		w.step(t, Exported{
-			Upstream: w.notice.Upstream,
+// finishExport ends the export in progress. A stream whose export succeeded leaves this engine.
+func (sim *simulation) finishExport(t *rapid.T, failed bool) {
+	for id, began := range sim.exporting {
+		tokens := sim.streams[id].Context
+		delete(sim.exporting, id)
+		sim.step(t, Exported{
+			Upstream: sim.notice.Upstream,
 			Stream:   id,
 			Tokens:   tokens,
-			Took:     w.now.Sub(began),
+			Took:     sim.now.Sub(began),
 			Failed:   failed,
 		})
 		if !failed {
-			w.end(t, id)
+			sim.endStream(t, id)
 		}
 		return
 	}
 }
 
-// The link is slower than announced, since other entries export over it too.
-// What is planned must shrink with the measured pace, or the last exports would
-// not be whole at the stop and their tokens be lost after all.
-func TestPaceFollowsTheLink(t *testing.T) {
+// Guards against exports that are incomplete at the stop, whose tokens are lost: the link is
+// slower than announced, since other entries export over it too, so the plan must shrink with the
+// measured export time.
+func TestPlanFollowsMeasuredExportTime(t *testing.T) {
 	now := time.Unix(0, 0)
 	m := &Mover{}
 	notice := testNotice(now, 2*time.Second)
@@ -239,6 +239,6 @@
 		Took:     400 * time.Millisecond,
 	})
 	if got, want := fmt.Sprint(second), "[{{ember-1 1} 3}]"; got != want {
-		t.Errorf("next export on a link at a fraction of its pace: got %s, want %s", got, want)
+		t.Errorf("next export on a slow link: got %s, want %s", got, want)
 	}
 }
--- a/src/watcher/doc.go
+++ b/src/watcher/doc.go
@@ -1,2 +1,3 @@
-// Package watcher decides how long an upstream may be silent and notices when it is silent for longer.
+// Package watcher decides how long an upstream may be silent and detects when it is silent for
+// longer.
 package watcher
--- a/src/watcher/watchdog.go
+++ b/src/watcher/watchdog.go
@@ -5,27 +5,27 @@
 	"time"
 )
 
-// Watchdog calls a function once where it is not fed in time.
+// Watchdog calls a function once if it is not fed in time.
 type Watchdog struct {
 	timer *time.Timer
 	fired atomic.Bool
 }
 
-// Start returns a watchdog that calls silent unless it is fed or stopped within limit.
-func Start(limit time.Duration, silent func()) *Watchdog {
+// Start returns a watchdog that calls onSilence unless it is fed or stopped within the timeout.
+func Start(timeout time.Duration, onSilence func()) *Watchdog {
 	w := &Watchdog{}
-	w.timer = time.AfterFunc(limit, func() {
+	w.timer = time.AfterFunc(timeout, func() {
 		w.fired.Store(true)
-		silent()
+		onSilence()
 	})
 	return w
 }
 
-// Feed says that there was a sign of life, and allows limit until the next.
-func (w *Watchdog) Feed(limit time.Duration) { w.timer.Reset(limit) }
+// Feed restarts the watchdog with the given timeout after a sign of life.
+func (w *Watchdog) Feed(timeout time.Duration) { w.timer.Reset(timeout) }
 
-// Stop ends the watch.
+// Stop disables the watchdog.
 func (w *Watchdog) Stop() { w.timer.Stop() }
 
-// Fired reports whether the silence was too long.
+// Fired reports whether the watchdog has timed out.
 func (w *Watchdog) Fired() bool { return w.fired.Load() }
--- a/src/watcher/watcher_test.go
+++ b/src/watcher/watcher_test.go
@@ -9,17 +9,17 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// An engine with a long prompt queue answers late without being silent. If its
-// callers' watchdogs fired, each would open another connection for nothing; the
-// limit must grow with the work that waits there, and with a slow step.
-func TestLimitsFollowTheEngine(t *testing.T) {
-	engine := func(step time.Duration, waiting units.Tokens, running int) *tracker.Upstream {
+// Guards against watchdogs that fire on an engine with a long prompt queue, which answers late
+// without being silent: each caller would open another connection for nothing. The limits must
+// grow with the queued work and with a slow step.
+func TestTimeoutsFollowEngineLoad(t *testing.T) {
+	engine := func(step time.Duration, queuedTokens units.Tokens, running int) *tracker.Upstream {
 		return &tracker.Upstream{
 			Step:           step,
 			PrefillPerStep: 128,
 			Slots:          16,
 			Load: tracker.Load{
-				QueuedTokens: waiting,
+				QueuedTokens: queuedTokens,
 				Running:      running,
 			},
 			Local: &tracker.LocalState{},
@@ -34,29 +34,29 @@
 	}{
 		"idle": {
 			upstream:   engine(step, 0, 0),
-			wantFirst:  firstTokenFloor + predictionFactor*step,
-			wantTokens: betweenFloor,
+			wantFirst:  minFirstTokenTimeout + predictionFactor*step,
+			wantTokens: minTokenTimeout,
 		},
 		"long prompt": {
 			upstream:   engine(step, 0, 0),
 			prompt:     12800,
-			wantFirst:  firstTokenFloor + predictionFactor*101*step,
-			wantTokens: betweenFloor,
+			wantFirst:  minFirstTokenTimeout + predictionFactor*101*step,
+			wantTokens: minTokenTimeout,
 		},
-		"prompts that wait": {
+		"queued prompts": {
 			upstream:   engine(step, 128000, 0),
-			wantFirst:  firstTokenFloor + predictionFactor*1001*step,
-			wantTokens: betweenFloor,
+			wantFirst:  minFirstTokenTimeout + predictionFactor*1001*step,
+			wantTokens: minTokenTimeout,
 		},
 		"full": {
 			upstream:   engine(step, 0, 31),
-			wantFirst:  firstTokenFloor + predictionFactor*(step+typicalOutput*step),
-			wantTokens: betweenFloor,
+			wantFirst:  minFirstTokenTimeout + predictionFactor*(step+typicalOutputTokens*step),
+			wantTokens: minTokenTimeout,
 		},
 		"slow step": {
 			upstream:   engine(50*time.Millisecond, 0, 0),
-			wantFirst:  firstTokenFloor + predictionFactor*50*time.Millisecond,
-			wantTokens: betweenSteps * 50 * time.Millisecond,
+			wantFirst:  minFirstTokenTimeout + predictionFactor*50*time.Millisecond,
+			wantTokens: tokenTimeoutSteps * 50 * time.Millisecond,
 		},
 	}
 	for name, c := range cases {
@@ -72,8 +72,8 @@
 	}
 }
 
-// A stream's tokens feed its watchdog; when they stop coming, it must fire once,
-// and not before, or a caller would wait for a connection that is dead.
+// Guards against a caller that waits for a dead connection: once a stream's tokens, which feed
+// its watchdog, stop coming, the watchdog must fire once, and not before.
 func TestWatchdogFiresWhenNotFed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fired := 0
