--- a/src/apportioner/apportioner_test.go
+++ b/src/apportioner/apportioner_test.go
@@ -33,7 +33,7 @@
 
 func newFleet(entries int) *fleet {
 	f := &fleet{
-		account: &matcher.Account{Name: "hot", ByTokens: true, Rate: 200_000, Burst: 200_000},
+		account: &matcher.Account{Name: "hot", CountsTokens: true, Rate: 200_000, Burst: 200_000},
 		divider: &Allocator{Lease: 4 * time.Second, Since: start.Add(-time.Hour), Window: window},
 	}
 	for range entries {
@@ -297,7 +297,7 @@
 // admitting at the account's rate despite the debt.
 func TestDebtIsPaidFirst(t *testing.T) {
 	m := &LocalLimiter{Window: window}
-	account := &matcher.Account{Name: "a", ByTokens: true, Rate: 200_000, Burst: 200_000}
+	account := &matcher.Account{Name: "a", CountsTokens: true, Rate: 200_000, Burst: 200_000}
 	m.SetShare(start, account, 0.5, -200_000)
 	if _, admitted := m.Admit(start.Add(500*time.Millisecond), account, 1000); admitted {
 		t.Error("call 0.5 s after a debt of 1 s: got admitted, want refused")
--- a/src/control/coordinator.go
+++ b/src/control/coordinator.go
@@ -75,7 +75,7 @@
 			Client: out.client,
 		},
 		proof: distributor.Proof{
-			Fence: settings.Timing.Fence,
+			LeaseDuration: settings.Timing.Fence,
 		},
 		entries: make(map[units.Instance]*entryState),
 	}
--- a/src/control/distribution.go
+++ b/src/control/distribution.go
@@ -188,14 +188,14 @@
 		e.fencedSince = time.Time{}
 	}
 	if e.fencedSince.IsZero() {
-		since, fenced := d.proof.Fenced(now, d.views, e.heartbeat.GetViewNumber())
+		since, fenced := d.proof.FencedSince(now, d.views, e.heartbeat.GetViewNumber())
 		behind := units.Version(e.heartbeat.GetVersionInForce()) < d.state.Version()
 		if fenced && behind {
 			e.fencedSince = since
 			e.fencedView = newest
 		}
 	}
-	silent := now.Sub(e.lastHeartbeatAt) > entryExpiryPeriods*d.proof.Fence
+	silent := now.Sub(e.lastHeartbeatAt) > entryExpiryPeriods*d.proof.LeaseDuration
 	canBeForgotten := e.heartbeat.GetStopping() || !e.fencedSince.IsZero() || d.isCurrent(e)
 	if silent && canBeForgotten && !d.isInNewestView(name) {
 		delete(d.entries, name)
@@ -220,7 +220,7 @@
 		e := d.entries[name]
 		fenced := !e.fencedSince.IsZero() || e.heartbeat.GetStopping()
 		// An entry that has left and cannot serve an older version is not missing.
-		if !d.isInNewestView(name) && (fenced || d.isCurrent(e)) && now.Sub(e.lastHeartbeatAt) > d.proof.Fence {
+		if !d.isInNewestView(name) && (fenced || d.isCurrent(e)) && now.Sub(e.lastHeartbeatAt) > d.proof.LeaseDuration {
 			continue
 		}
 		status.Entries++
--- a/src/control/distribution_test.go
+++ b/src/control/distribution_test.go
@@ -18,7 +18,7 @@
 func newTestDistribution(now time.Time) *distribution {
 	d := &distribution{
 		state:   &configurationMachine{},
-		proof:   distributor.Proof{Fence: testFence},
+		proof:   distributor.Proof{LeaseDuration: testFence},
 		entries: make(map[units.Instance]*entryState),
 	}
 	document := []byte("version: 5")
--- a/src/dispatcher/backoff.go
+++ b/src/dispatcher/backoff.go
@@ -18,13 +18,13 @@
 
 // Budget limits how many attempts beyond the first the calls of a service make.
 type Budget interface {
-	// Earn records that a call was answered.
-	Earn(service units.Service)
-	// Spend reports whether a call may make another attempt, and counts that attempt.
-	Spend(service units.Service) bool
-	// Resume reports whether a started stream may resume at another upstream, and
+	// RecordAnswer records that a call was answered.
+	RecordAnswer(service units.Service)
+	// AllowRetry reports whether a call may make another attempt, and counts that attempt.
+	AllowRetry(service units.Service) bool
+	// AllowResume reports whether a started stream may resume at another upstream, and
 	// counts that attempt.
-	Resume(service units.Service) bool
+	AllowResume(service units.Service) bool
 }
 
 // awaitRetry reports whether the call may make another attempt, and waits for the
@@ -44,13 +44,13 @@
 		sleep(ctx, backoff(state.failures, rand.Float64()))
 		return true
 	}
-	if stream.Offset() > call.From {
+	if stream.Offset() > call.ResumeOffset {
 		return d.awaitResume(ctx, call)
 	}
 	if state.failures == 0 {
 		return true
 	}
-	if d.Budget != nil && !d.Budget.Spend(call.Service) {
+	if d.Budget != nil && !d.Budget.AllowRetry(call.Service) {
 		return false
 	}
 	sleep(ctx, backoff(state.failures, rand.Float64()))
@@ -66,7 +66,7 @@
 		return true
 	}
 	for waited := time.Duration(0); waited < resumeTimeout; waited += resumePollInterval {
-		if d.Budget.Resume(call.Service) {
+		if d.Budget.AllowResume(call.Service) {
 			return true
 		}
 		sleep(ctx, resumePollInterval)
--- a/src/dispatcher/backoff_test.go
+++ b/src/dispatcher/backoff_test.go
@@ -26,7 +26,7 @@
 
 func (r *refusingUpstreams) Begin(context.Context, *Call) (*Answer, error) { return nil, nil }
 
-func (r *refusingUpstreams) Dispatching(context.Context, *Call, units.Attempt, units.Upstream) error {
+func (r *refusingUpstreams) BeforeDispatch(context.Context, *Call, units.Attempt, units.Upstream) error {
 	return nil
 }
 
@@ -41,19 +41,19 @@
 func (r *refusingUpstreams) Exchange(context.Context, *Call, units.Attempt, *tracker.Upstream, *Stream) Result {
 	r.attempts++
 	if r.attempts <= r.unsent {
-		return Result{Kind: NotRun, Unreached: true, Unsent: true}
+		return Result{Kind: NotRun, ConnectFailed: true, Unsent: true}
 	}
 	return Result{Kind: NotRun, RetryAfter: 3 * time.Second}
 }
 
-func (r *refusingUpstreams) Earn(units.Service) { r.earned++ }
+func (r *refusingUpstreams) RecordAnswer(units.Service) { r.earned++ }
 
-func (r *refusingUpstreams) Spend(units.Service) bool {
+func (r *refusingUpstreams) AllowRetry(units.Service) bool {
 	r.budget--
 	return r.budget >= 0
 }
 
-func (r *refusingUpstreams) Resume(service units.Service) bool { return r.Spend(service) }
+func (r *refusingUpstreams) AllowResume(service units.Service) bool { return r.AllowRetry(service) }
 
 type noSink struct{}
 
@@ -126,7 +126,7 @@
 func (r *interruptingUpstreams) Exchange(_ context.Context, _ *Call, _ units.Attempt, _ *tracker.Upstream, stream *Stream) Result {
 	r.attempts++
 	_ = stream.Event(units.Tokens(r.attempts), nil, nil)
-	return Result{Kind: NotRun, Unreached: true, Unsent: true}
+	return Result{Kind: NotRun, ConnectFailed: true, Unsent: true}
 }
 
 // An upstream is killed during a stream, and the same attempt cannot reconnect to it. The
@@ -154,11 +154,11 @@
 	requests    int
 }
 
-func (s *delayedBudget) Earn(units.Service) {}
+func (s *delayedBudget) RecordAnswer(units.Service) {}
 
-func (s *delayedBudget) Spend(units.Service) bool { return false }
+func (s *delayedBudget) AllowRetry(units.Service) bool { return false }
 
-func (s *delayedBudget) Resume(units.Service) bool {
+func (s *delayedBudget) AllowResume(units.Service) bool {
 	s.requests++
 	return !time.Now().Before(s.availableAt)
 }
--- a/src/dispatcher/call.go
+++ b/src/dispatcher/call.go
@@ -9,16 +9,16 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// MadeKeyPrefix is the prefix of the idempotency keys that are generated for calls without one.
-const MadeKeyPrefix = "rosecroft-"
+// GeneratedKeyPrefix is the prefix of the idempotency keys that are generated for calls without one.
+const GeneratedKeyPrefix = "rosecroft-"
 
 // Call is one accepted request; it is immutable once dispatched.
 type Call struct {
 	ID units.CallID
 	// Key is the caller's Idempotency-Key, or one generated from the call's id.
 	Key string
-	// KeyGiven is set where the caller sent the key.
-	KeyGiven bool
+	// HasCallerKey is set where the caller sent the key.
+	HasCallerKey bool
 	// Adopted is set where another entry handed the call over to this one.
 	Adopted bool
 	Brand   units.Brand
@@ -33,31 +33,31 @@
 	Query  string
 	Header http.Header
 	Body   []byte
-	// RecordedBody is the body as the caller sent it, where it differs from Body.
-	RecordedBody []byte
+	// OriginalBody is the body as the caller sent it, where it differs from Body.
+	OriginalBody []byte
 	Deadline     time.Time
-	// BetweenTokens is the target for the latency between two tokens, 0 for none.
-	BetweenTokens time.Duration
+	// InterTokenLatency is the target for the latency between two tokens, 0 for none.
+	InterTokenLatency time.Duration
 	// Repeatable is set where running the call twice does no harm.
 	Repeatable bool
 	Stream     bool
 	Model      units.Model
-	// Prompt is the estimated size of the prompt, MaxOutput the maximum size of the output.
-	Prompt    units.Tokens
-	MaxOutput units.Tokens
-	// Blocks are chained hashes over the complete blocks of the prompt.
-	Blocks []uint64
-	// Parts are the consecutive sections of the prompt, where the caller names them.
-	Parts []Part
-	// From is the count of tokens that the caller has from an earlier call of the stream.
-	From units.Tokens
+	// PromptTokens is the estimated size of the prompt, MaxOutput the maximum size of the output.
+	PromptTokens units.Tokens
+	MaxOutput    units.Tokens
+	// BlockHashes are chained hashes over the complete blocks of the prompt.
+	BlockHashes []uint64
+	// Prefixes are the consecutive sections of the prompt, where the caller names them.
+	Prefixes []PromptPrefix
+	// ResumeOffset is the count of tokens that the caller has from an earlier call of the stream.
+	ResumeOffset units.Tokens
 	// MaxAttempts limits how many attempts may run the call, 0 for no limit.
 	MaxAttempts int
-	// Target is the target for the time to the answer or its first event, 0 for none.
-	Target time.Duration
-	// Pause is the maximum time between two events of a stream that counts as on time,
+	// LatencyTarget is the target for the time to the answer or its first event, 0 for none.
+	LatencyTarget time.Duration
+	// MaxEventGap is the maximum time between two events of a stream that counts as on time,
 	// 0 for no maximum.
-	Pause time.Duration
+	MaxEventGap time.Duration
 	// Urgency is the call's priority, 0 the highest, and RouteUrgency its priority among
 	// the calls of the same account. Rank is the position of the pair among all pairs in
 	// the configuration.
@@ -66,39 +66,39 @@
 	Rank         int
 	// Credential is the API key that the caller sent, "" for none.
 	Credential string
-	// Expires is the deadline on the clock that keeps running while the instance is
+	// BootTimeDeadline is the deadline on the clock that keeps running while the instance is
 	// suspended, zero where only Deadline applies.
-	Expires time.Time
-	// Size is what the call is charged against its account's limit.
-	Size float64
+	BootTimeDeadline time.Time
+	// LimitCost is what the call is charged against its account's limit.
+	LimitCost float64
 	// Fingerprint is equal for all resends of one request, 0 where unknown.
 	Fingerprint units.Fingerprint
-	// Trail may be nil.
-	Trail Trail
+	// Trace may be nil.
+	Trace Trace
 }
 
 // cachedFraction is the assumed fraction of shared prompt tokens that an upstream has
 // cached from earlier calls, where its cache is unknown.
 const cachedFraction = 0.7
 
-// Shared returns how many of the prompt's tokens may also begin the prompts of other calls.
-func (c *Call) Shared() units.Tokens {
+// SharedTokens returns how many of the prompt's tokens may also begin the prompts of other calls.
+func (c *Call) SharedTokens() units.Tokens {
 	shared := units.Tokens(0)
-	for _, part := range c.Parts[:max(0, len(c.Parts)-1)] {
+	for _, part := range c.Prefixes[:max(0, len(c.Prefixes)-1)] {
 		shared += part.Tokens
 	}
-	return min(shared, c.Prompt)
+	return min(shared, c.PromptTokens)
 }
 
-// Unread returns how many prompt tokens an upstream is expected to prefill because they
+// UncachedTokens returns how many prompt tokens an upstream is expected to prefill because they
 // are not cached.
-func (c *Call) Unread() units.Tokens {
-	return c.Prompt - units.Tokens(cachedFraction*float64(c.Shared()))
+func (c *Call) UncachedTokens() units.Tokens {
+	return c.PromptTokens - units.Tokens(cachedFraction*float64(c.SharedTokens()))
 }
 
-// Part is one section of a prompt. All but the last are prompt prefixes that other calls
+// PromptPrefix is one section of a prompt. All but the last are prompt prefixes that other calls
 // share; the last belongs to the call alone.
-type Part struct {
+type PromptPrefix struct {
 	ID     uint64
 	Tokens units.Tokens
 }
@@ -125,9 +125,9 @@
 
 // Batcher is a Sink that can combine several events into one write.
 type Batcher interface {
-	// Hold sets whether the sink buffers the events that follow. Buffered events are
+	// SetBuffering sets whether the sink buffers the events that follow. Buffered events are
 	// written with the first event after Hold(false).
-	Hold(hold bool)
+	SetBuffering(hold bool)
 }
 
 // Executed is what is known of whether a refused call ran.
@@ -145,23 +145,23 @@
 
 // The kinds of refusal that are returned to callers.
 const (
-	ProblemNoUpstream  ProblemKind = "no-upstream"
-	ProblemLost        ProblemKind = "outcome-unknown"
-	ProblemDeadline    ProblemKind = "deadline-passed"
-	ProblemConflict    ProblemKind = "idempotency-conflict"
-	ProblemLimit       ProblemKind = "limit-reached"
-	ProblemOverload    ProblemKind = "overloaded"
-	ProblemUnready     ProblemKind = "unready"
-	ProblemBadRequest  ProblemKind = "bad-request"
-	ProblemUnknownHost ProblemKind = "unknown-brand"
-	ProblemBadKey      ProblemKind = "bad-key"
-	ProblemNotFound    ProblemKind = "not-found"
-	ProblemTooLarge    ProblemKind = "too-large"
-	ProblemRecord      ProblemKind = "record-unavailable"
-	ProblemForbidden   ProblemKind = "forbidden"
-	ProblemMethod      ProblemKind = "method-not-allowed"
-	ProblemMediaType   ProblemKind = "unsupported-media-type"
-	ProblemTooSlow     ProblemKind = "too-slow"
+	ProblemNoUpstream     ProblemKind = "no-upstream"
+	ProblemOutcomeUnknown ProblemKind = "outcome-unknown"
+	ProblemDeadline       ProblemKind = "deadline-passed"
+	ProblemConflict       ProblemKind = "idempotency-conflict"
+	ProblemLimit          ProblemKind = "limit-reached"
+	ProblemOverload       ProblemKind = "overloaded"
+	ProblemUnready        ProblemKind = "unready"
+	ProblemBadRequest     ProblemKind = "bad-request"
+	ProblemUnknownHost    ProblemKind = "unknown-brand"
+	ProblemBadKey         ProblemKind = "bad-key"
+	ProblemNotFound       ProblemKind = "not-found"
+	ProblemTooLarge       ProblemKind = "too-large"
+	ProblemRecord         ProblemKind = "record-unavailable"
+	ProblemForbidden      ProblemKind = "forbidden"
+	ProblemMethod         ProblemKind = "method-not-allowed"
+	ProblemMediaType      ProblemKind = "unsupported-media-type"
+	ProblemTooSlow        ProblemKind = "too-slow"
 	// ProblemQuarantined refuses a request that crashed the upstreams that ran it.
 	ProblemQuarantined ProblemKind = "quarantined"
 )
--- a/src/dispatcher/dispatcher.go
+++ b/src/dispatcher/dispatcher.go
@@ -27,14 +27,14 @@
 	Answered ResultKind = iota
 	// NotRun means that the upstream provably did not run the call.
 	NotRun
-	// Lost means that it is unknown whether, or how far, the upstream ran the call.
-	Lost
+	// OutcomeUnknown means that it is unknown whether, or how far, the upstream ran the call.
+	OutcomeUnknown
 	// CallerGone means that the caller no longer accepts an answer.
 	CallerGone
 	// Moved means that the stream was moved to another upstream as planned.
 	Moved
-	// Broken means that the stream is lost and cannot resume at any upstream.
-	Broken
+	// Unresumable means that the stream is lost and cannot resume at any upstream.
+	Unresumable
 	// Failed means that the upstream ran the call and answered with an error of its
 	// own, which is in Answer.
 	Failed
@@ -45,21 +45,21 @@
 	Kind ResultKind
 	// Answer is set where the answer or failure was not streamed.
 	Answer *Answer
-	// Unreached is set where no connection to the upstream could be made.
-	Unreached bool
+	// ConnectFailed is set where no connection to the upstream could be made.
+	ConnectFailed bool
 	// Unsent is set where no byte of the call was sent, so that the upstream cannot have
 	// received it.
 	Unsent bool
 	// RetryAfter is the wait that the refusing upstream requested.
 	RetryAfter time.Duration
-	// Next is the upstream where a moved stream resumes, nil for any.
-	Next *tracker.Upstream
-	// Cut is set where the upstream closed or lost the connection before the answer was
+	// MoveTarget is the upstream where a moved stream resumes, nil for any.
+	MoveTarget *tracker.Upstream
+	// ConnectionLost is set where the upstream closed or lost the connection before the answer was
 	// complete. Answering is the time since the answer had begun by then, 0 where it had
 	// not.
-	Cut       bool
-	Answering time.Duration
-	Err       error
+	ConnectionLost bool
+	AnswerDuration time.Duration
+	Err            error
 }
 
 // Limiter admits calls.
@@ -74,9 +74,9 @@
 	// Begin returns the earlier answer to the same key, or nil for a new call. It
 	// waits for an earlier call that is still running. The error is a *Refusal.
 	Begin(ctx context.Context, call *Call) (*Answer, error)
-	// Dispatching records that the call is about to be sent; it must return before the
+	// BeforeDispatch records that the call is about to be sent; it must return before the
 	// first byte is sent to the upstream. Its error, a *Refusal, ends the call.
-	Dispatching(ctx context.Context, call *Call, attempt units.Attempt, upstream units.Upstream) error
+	BeforeDispatch(ctx context.Context, call *Call, attempt units.Attempt, upstream units.Upstream) error
 	// Finish records how the call ended, with an answer or a refusal, and returns the
 	// refusal to send to the caller, which may claim less than the given one.
 	Finish(ctx context.Context, call *Call, answer *Answer, refusal *Refusal) *Refusal
@@ -119,7 +119,7 @@
 	// A refusal by a limit says that the call has not run. For a resend that may be
 	// false, because the earlier call with its key may have run; so the record is checked
 	// before the limits. Other calls check the limits first, which is cheaper.
-	if call.KeyGiven && !call.Repeatable {
+	if call.HasCallerKey && !call.Repeatable {
 		return d.runRecorded(ctx, call, sink, d.runAdmitted)
 	}
 	release, err := d.admit(ctx, call)
@@ -138,7 +138,7 @@
 	if err != nil {
 		return nil, err
 	}
-	call.Note(StepAdmitted, "", "")
+	call.RecordStep(StepAdmitted, "", "")
 	return release, nil
 }
 
@@ -146,7 +146,7 @@
 // ExecutedUnknown: the limiter cannot know whether an earlier call with this key ran.
 func correctLimitRefusal(call *Call, err error) error {
 	var refusal *Refusal
-	if !call.KeyGiven || !errors.As(err, &refusal) {
+	if !call.HasCallerKey || !errors.As(err, &refusal) {
 		return err
 	}
 	corrected := *refusal
@@ -171,11 +171,11 @@
 		return err
 	}
 	if earlier != nil {
-		call.Note(StepOutcome, "", "answered from the record of an earlier sending")
+		call.RecordStep(StepOutcome, "", "answered from the record of an earlier sending")
 		return sink.Answer(earlier)
 	}
 	runCtx := ctx
-	if !call.Repeatable && (!call.Stream || call.KeyGiven) {
+	if !call.Repeatable && (!call.Stream || call.HasCallerKey) {
 		// A non-repeatable call, such as a payment, takes effect even if its caller
 		// hangs up, so it runs on and its answer is stored for the resend. A stream
 		// without a key is cancelled, since no resend could fetch it.
@@ -185,7 +185,7 @@
 	}
 	answer, err := run(runCtx, call, &Stream{
 		Sink:   sink,
-		offset: call.From,
+		offset: call.ResumeOffset,
 	})
 	var refusal *Refusal
 	errors.As(err, &refusal)
@@ -229,7 +229,7 @@
 // attempts that provably did not run do not count.
 func (a *attemptState) exhausted(call *Call, stream *Stream) bool {
 	limit := call.MaxAttempts
-	if stream.Offset() > call.From {
+	if stream.Offset() > call.ResumeOffset {
 		limit = max(limit, 1+maxResumes)
 	}
 	return call.MaxAttempts > 0 && a.possibleRuns >= limit
@@ -251,7 +251,7 @@
 		if upstream == nil {
 			break
 		}
-		if err := d.Recorder.Dispatching(ctx, call, attempt, upstream.Name); err != nil {
+		if err := d.Recorder.BeforeDispatch(ctx, call, attempt, upstream.Name); err != nil {
 			return nil, state.correctRefusal(err)
 		}
 		offsetBefore := stream.Offset()
@@ -283,15 +283,15 @@
 	switch result.Kind {
 	case CallerGone:
 		return result.Err
-	case Broken:
+	case Unresumable:
 		return outcomeUnknownRefusal()
 	case Moved:
 		a.possibleRuns++
 		a.executed = ExecutedUnknown
-		a.moveTarget = result.Next
+		a.moveTarget = result.MoveTarget
 	case NotRun:
 		a.refusalWait = max(a.refusalWait, result.RetryAfter)
-	case Lost:
+	case OutcomeUnknown:
 		a.possibleRuns++
 		a.executed = ExecutedUnknown
 		if !call.Repeatable {
@@ -351,11 +351,11 @@
 func (d *Dispatcher) exchange(ctx context.Context, call *Call, attempt units.Attempt, upstream *tracker.Upstream, stream *Stream) Result {
 	upstream.Local.InFlight.Add(1)
 	defer upstream.Local.InFlight.Add(-1)
-	call.Note(StepAttempt, upstream.Name, "")
+	call.RecordStep(StepAttempt, upstream.Name, "")
 	result := d.Exchanger.Exchange(ctx, call, attempt, upstream, stream)
 	recordAttemptEnd(call, upstream.Name, result)
 	if result.Kind == Answered && d.Budget != nil {
-		d.Budget.Earn(call.Service)
+		d.Budget.RecordAnswer(call.Service)
 	}
 	if d.Observer != nil && ctx.Err() == nil {
 		d.Observer.Observe(upstream, result)
@@ -376,7 +376,7 @@
 func outcomeUnknownRefusal() *Refusal {
 	return &Refusal{
 		Status:     http.StatusBadGateway,
-		Kind:       ProblemLost,
+		Kind:       ProblemOutcomeUnknown,
 		Detail:     "the upstream was lost while the call may have run; ask what became of it before you send it under a new key",
 		Executed:   ExecutedUnknown,
 		RetryAfter: retryAfter,
--- a/src/dispatcher/dispatcher_test.go
+++ b/src/dispatcher/dispatcher_test.go
@@ -45,7 +45,7 @@
 
 func (s *simulation) Begin(context.Context, *Call) (*Answer, error) { return nil, nil }
 
-func (s *simulation) Dispatching(_ context.Context, _ *Call, attempt units.Attempt, _ units.Upstream) error {
+func (s *simulation) BeforeDispatch(_ context.Context, _ *Call, attempt units.Attempt, _ units.Upstream) error {
 	if rapid.IntRange(0, 9).Draw(s.t, "record fails") == 0 {
 		return &Refusal{
 			Status:   http.StatusServiceUnavailable,
@@ -87,9 +87,9 @@
 	if s.mayHaveRun && !call.Repeatable {
 		s.t.Fatalf("attempt %d: got another attempt of a non-repeatable call that may have run, want none", attempt)
 	}
-	kinds := []ResultKind{Answered, NotRun, Lost}
+	kinds := []ResultKind{Answered, NotRun, OutcomeUnknown}
 	if call.Stream {
-		kinds = append(kinds, Moved, Broken)
+		kinds = append(kinds, Moved, Unresumable)
 	}
 	kind := rapid.SampledFrom(kinds).Draw(s.t, "result")
 	s.mayHaveRun = s.mayHaveRun || kind != NotRun
@@ -105,7 +105,7 @@
 		result.Answer = &Answer{Status: http.StatusOK}
 	}
 	if kind == Moved && rapid.Bool().Draw(s.t, "target") {
-		result.Next = s.Pick(call, []units.Upstream{upstream.Name})
+		result.MoveTarget = s.Pick(call, []units.Upstream{upstream.Name})
 	}
 	return result
 }
@@ -195,7 +195,7 @@
 	firstTokenSent bool
 }
 
-func (c *outageFleet) Dispatching(context.Context, *Call, units.Attempt, units.Upstream) error {
+func (c *outageFleet) BeforeDispatch(context.Context, *Call, units.Attempt, units.Upstream) error {
 	return nil
 }
 
@@ -213,5 +213,5 @@
 	c.firstTokenSent = true
 	_, _ = stream.Begin(nil, upstream, "1")
 	_ = stream.Event(1, nil, nil)
-	return Result{Kind: Lost}
+	return Result{Kind: OutcomeUnknown}
 }
--- a/src/dispatcher/resend_test.go
+++ b/src/dispatcher/resend_test.go
@@ -59,9 +59,9 @@
 		want error
 	}{
 		"non-repeatable":            {},
-		"non-repeatable with a key": {call: Call{KeyGiven: true}},
+		"non-repeatable with a key": {call: Call{HasCallerKey: true}},
 		"repeatable":                {call: Call{Repeatable: true}, want: context.Canceled},
-		"repeatable with a key":     {call: Call{Repeatable: true, KeyGiven: true}, want: context.Canceled},
+		"repeatable with a key":     {call: Call{Repeatable: true, HasCallerKey: true}, want: context.Canceled},
 	} {
 		t.Run(name, func(t *testing.T) {
 			ctx, hangUp := context.WithCancel(t.Context())
@@ -83,7 +83,7 @@
 	fake := &answeredRecorder{}
 	sink := &answerSink{}
 	d := &Dispatcher{Limiter: fake, Recorder: fake, Router: fake, Exchanger: fake}
-	err := d.Do(t.Context(), &Call{KeyGiven: true, Deadline: time.Now().Add(time.Minute)}, sink)
+	err := d.Do(t.Context(), &Call{HasCallerKey: true, Deadline: time.Now().Add(time.Minute)}, sink)
 	if err != nil || sink.answer == nil {
 		t.Errorf("resend: got error %v, want the first call's answer", err)
 	}
@@ -103,7 +103,7 @@
 		t.Run(name, func(t *testing.T) {
 			fake := &answeredRecorder{}
 			d := &Dispatcher{Limiter: fake, Recorder: fake, Router: fake, Exchanger: fake}
-			err := d.Do(t.Context(), &Call{Repeatable: true, KeyGiven: c.given, Deadline: time.Now().Add(time.Minute)}, noSink{})
+			err := d.Do(t.Context(), &Call{Repeatable: true, HasCallerKey: c.given, Deadline: time.Now().Add(time.Minute)}, noSink{})
 			var refusal *Refusal
 			if !errors.As(err, &refusal) {
 				t.Fatalf("error: got %v, want a refusal", err)
--- a/src/dispatcher/stream.go
+++ b/src/dispatcher/stream.go
@@ -85,8 +85,8 @@
 	return s.Sink.Event(offset, data)
 }
 
-// Beside sends an event that has no offset of its own; it follows the last event sent.
-func (s *Stream) Beside(data []byte) error {
+// EventWithoutOffset sends an event that has no offset of its own; it follows the last event sent.
+func (s *Stream) EventWithoutOffset(data []byte) error {
 	s.eventSent = true
 	return s.Sink.Event(s.offset, data)
 }
--- a/src/dispatcher/trail.go
+++ b/src/dispatcher/trail.go
@@ -9,25 +9,25 @@
 
 // The steps of a call, in the order in which they first occur.
 const (
-	StepAccepted  Step = "accepted"
-	StepAdmitted  Step = "admitted"
-	StepCandidate Step = "candidate"
-	StepAttempt   Step = "attempt"
-	StepEnded     Step = "attempt-ended"
-	StepOutcome   Step = "outcome"
+	StepAccepted     Step = "accepted"
+	StepAdmitted     Step = "admitted"
+	StepCandidate    Step = "candidate"
+	StepAttempt      Step = "attempt"
+	StepAttemptEnded Step = "attempt-ended"
+	StepOutcome      Step = "outcome"
 )
 
-// Trail records the decisions about one call for operators to inspect.
-type Trail interface {
-	Note(step Step, upstream units.Upstream, detail string)
-	// Candidate records an upstream that could be chosen, and its score.
-	Candidate(upstream units.Upstream, score float64)
+// Trace records the decisions about one call for operators to inspect.
+type Trace interface {
+	RecordStep(step Step, upstream units.Upstream, detail string)
+	// RecordCandidate records an upstream that could be chosen, and its score.
+	RecordCandidate(upstream units.Upstream, score float64)
 }
 
-// Note records a decision if the call has a trail.
-func (c *Call) Note(step Step, upstream units.Upstream, detail string) {
-	if c.Trail != nil {
-		c.Trail.Note(step, upstream, detail)
+// RecordStep records a decision if the call has a trail.
+func (c *Call) RecordStep(step Step, upstream units.Upstream, detail string) {
+	if c.Trace != nil {
+		c.Trace.RecordStep(step, upstream, detail)
 	}
 }
 
@@ -38,13 +38,13 @@
 		return "answered"
 	case NotRun:
 		return "not-run"
-	case Lost:
+	case OutcomeUnknown:
 		return "lost"
 	case CallerGone:
 		return "caller-gone"
 	case Moved:
 		return "moved"
-	case Broken:
+	case Unresumable:
 		return "broken"
 	case Failed:
 		return "failed"
@@ -54,12 +54,12 @@
 
 // recordAttemptEnd records how an attempt ended if the call has a trail.
 func recordAttemptEnd(call *Call, upstream units.Upstream, result Result) {
-	if call.Trail == nil {
+	if call.Trace == nil {
 		return
 	}
 	detail := result.Kind.String()
 	if result.Err != nil {
 		detail += ": " + result.Err.Error()
 	}
-	call.Note(StepEnded, upstream, detail)
+	call.RecordStep(StepAttemptEnded, upstream, detail)
 }
--- a/src/distributor/lease_test.go
+++ b/src/distributor/lease_test.go
@@ -56,7 +56,7 @@
 		t:              t,
 		now:            time.Unix(1000, 0),
 		accepted:       1,
-		proof:          Proof{Fence: testLease},
+		proof:          Proof{LeaseDuration: testLease},
 		reportedFenced: make(map[*simulatedEntry]units.Version),
 	}
 	for i := range rapid.IntRange(1, 5).Draw(t, "entries") {
@@ -201,7 +201,7 @@
 		if e.lastHeartbeat == nil || units.Version(e.lastHeartbeat.GetVersionInForce()) >= s.accepted {
 			continue
 		}
-		if _, fenced := s.proof.Fenced(s.now, s.views, e.lastHeartbeat.GetViewNumber()); fenced && s.reportedFenced[e] == 0 {
+		if _, fenced := s.proof.FencedSince(s.now, s.views, e.lastHeartbeat.GetViewNumber()); fenced && s.reportedFenced[e] == 0 {
 			s.reportedFenced[e] = s.accepted
 		}
 	}
@@ -226,14 +226,14 @@
 			Incarnation: 1,
 		})
 	}
-	proof := &Proof{Fence: testLease}
+	proof := &Proof{LeaseDuration: testLease}
 	now := time.Unix(1000, 0)
 	for range 100 {
 		now = now.Add(time.Second)
 		proof.Observe(now, 2, Views{view}, func(member *messages.EntryMember) bool {
 			return member.GetEntry() < "e2"
 		})
-		if _, got := proof.Fenced(now, Views{view}, 1); got {
+		if _, got := proof.FencedSince(now, Views{view}, 1); got {
 			t.Fatal("three of five entries fenced: got yes, want no")
 		}
 	}
--- a/src/distributor/proof.go
+++ b/src/distributor/proof.go
@@ -36,7 +36,7 @@
 // duration later, plus a margin for clock drift, both kinds of lease have expired, whether or not
 // the entry can be reached.
 type Proof struct {
-	Fence time.Duration
+	LeaseDuration time.Duration
 
 	accepted units.Version
 	// acceptedSince is when this leader first knew of the version or began to lead.
@@ -80,9 +80,9 @@
 	p.majoritySince = nil
 }
 
-// Fenced returns the time by which an entry that lacks the version must have stopped, and whether
+// FencedSince returns the time by which an entry that lacks the version must have stopped, and whether
 // that time has passed. reportedView is the newest view that the entry is known to have had.
-func (p *Proof) Fenced(now time.Time, views Views, reportedView uint64) (time.Time, bool) {
+func (p *Proof) FencedSince(now time.Time, views Views, reportedView uint64) (time.Time, bool) {
 	if p.majoritySince == nil || len(views) > 0 && views[0].GetNumber() > max(reportedView, 1) {
 		return time.Time{}, false
 	}
@@ -99,6 +99,6 @@
 			latest = since
 		}
 	}
-	stopped := latest.Add(p.Fence + p.Fence/driftMarginDivisor)
+	stopped := latest.Add(p.LeaseDuration + p.LeaseDuration/driftMarginDivisor)
 	return stopped, !now.Before(stopped)
 }
--- a/src/enroller/digest.go
+++ b/src/enroller/digest.go
@@ -36,10 +36,10 @@
 	return buckets
 }
 
-// Differing returns the upstreams in the buckets in which the table differs from another one with
+// Differences returns the upstreams in the buckets in which the table differs from another one with
 // the given digest. It returns false if there are more than maxChanges or if the digest has
 // another number of buckets.
-func (t *Table) Differing(now time.Time, other Digest, maxChanges int) ([]*messages.RegisteredUpstream, bool) {
+func (t *Table) Differences(now time.Time, other Digest, maxChanges int) ([]*messages.RegisteredUpstream, bool) {
 	if len(other) != digestBuckets {
 		return nil, false
 	}
@@ -53,7 +53,7 @@
 		if len(changes) == maxChanges {
 			return nil, false
 		}
-		changes = append(changes, upstream.message(max(0, now.Sub(upstream.HeardAt))))
+		changes = append(changes, upstream.message(max(0, now.Sub(upstream.HeartbeatAt))))
 	}
 	return changes, true
 }
@@ -67,7 +67,7 @@
 		b = append(b, text...)
 		b = append(b, 0)
 	}
-	b = binary.AppendUvarint(b, uint64(u.Born))
+	b = binary.AppendUvarint(b, uint64(u.Incarnation))
 	b = binary.AppendVarint(b, int64(u.Slots))
 	b = binary.AppendVarint(b, int64(u.State))
 	for _, flag := range []bool{u.Silent, u.ColdFor > 0} {
--- a/src/enroller/digest_test.go
+++ b/src/enroller/digest_test.go
@@ -22,26 +22,26 @@
 		for n := range rapid.IntRange(1, 400).Draw(t, "heartbeats") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 200).Draw(t, "passes")) * time.Millisecond)
 			r := Registration{
-				ID:       units.Upstream(fmt.Sprint(rapid.IntRange(0, upstreamCount-1).Draw(t, "upstream"))),
-				State:    State(rapid.IntRange(int(Ready), int(Gone)).Draw(t, "state")),
-				Born:     1,
-				Sequence: uint64(n + 1),
+				ID:          units.Upstream(fmt.Sprint(rapid.IntRange(0, upstreamCount-1).Draw(t, "upstream"))),
+				State:       State(rapid.IntRange(int(Ready), int(Gone)).Draw(t, "state")),
+				Incarnation: 1,
+				Sequence:    uint64(n + 1),
 			}
 			r.Address = string(r.ID)
-			leader.Hear(now, r, 0)
+			leader.Record(now, r, 0)
 			if rapid.IntRange(0, 3).Draw(t, "heard") > 0 {
-				entry.Hear(now, r, 0)
+				entry.Record(now, r, 0)
 			}
 			leader.Expire(now)
 		}
-		changes, complete := leader.Differing(now, entry.Digest(), upstreamCount)
+		changes, complete := leader.Differences(now, entry.Digest(), upstreamCount)
 		if !complete {
 			t.Fatal("differences: got too many, want all of them")
 		}
 		for _, m := range changes {
-			entry.Follow(now, m)
+			entry.Merge(now, m)
 		}
-		for _, e := range leader.Entries() {
+		for _, e := range leader.Upstreams() {
 			got := entry.upstreams[e.ID]
 			if got == nil && e.State == Gone {
 				continue
@@ -60,27 +60,27 @@
 	entry := &Table{ID: 2, Interval: time.Second}
 	for i := range 3000 {
 		r := Registration{
-			ID:       units.Upstream(fmt.Sprint(i)),
-			Address:  fmt.Sprint(i),
-			State:    Ready,
-			Born:     1,
-			Sequence: 1,
+			ID:          units.Upstream(fmt.Sprint(i)),
+			Address:     fmt.Sprint(i),
+			State:       Ready,
+			Incarnation: 1,
+			Sequence:    1,
 		}
-		leader.Hear(now, r, 0)
+		leader.Record(now, r, 0)
 		r.Sequence += uint64(i % 3)
-		entry.Hear(now, r, 0)
+		entry.Record(now, r, 0)
 	}
 	const maxChanges = 256
-	changes, complete := leader.Differing(now, entry.Digest(), maxChanges)
+	changes, complete := leader.Differences(now, entry.Digest(), maxChanges)
 	if !complete || len(changes) > 0 {
 		t.Errorf("differences of equal tables: got %d (complete %t), want none", len(changes), complete)
 	}
-	entry.Leave(now, "7")
-	changes, complete = leader.Differing(now, entry.Digest(), maxChanges)
+	entry.MarkGone(now, "7")
+	changes, complete = leader.Differences(now, entry.Digest(), maxChanges)
 	if !complete || len(changes) == 0 || len(changes) > 3*3000/digestBuckets {
 		t.Errorf("differences in one upstream: got %d (complete %t), want those of one bucket", len(changes), complete)
 	}
-	if _, complete := leader.Differing(now, (&Table{}).Digest(), maxChanges); complete {
+	if _, complete := leader.Differences(now, (&Table{}).Digest(), maxChanges); complete {
 		t.Error("differences from an empty table: got complete, want too many")
 	}
 }
--- a/src/enroller/registration.go
+++ b/src/enroller/registration.go
@@ -30,9 +30,9 @@
 	DataCentre units.DataCentre
 	Slots      int
 	State      State
-	// Born is when the incarnation started, in milliseconds of Unix time.
-	Born     units.Incarnation
-	Sequence uint64
+	// Incarnation is when the incarnation started, in milliseconds of Unix time.
+	Incarnation units.Incarnation
+	Sequence    uint64
 	// ColdFor is how much longer the upstream is slow after its start.
 	ColdFor     time.Duration
 	Reclaimable bool
@@ -52,7 +52,7 @@
 		DataCentre:  units.DataCentre(m.GetDataCentre()),
 		Slots:       int(m.GetSlots()),
 		State:       State(m.GetState()),
-		Born:        units.Incarnation(m.GetBornMs()),
+		Incarnation: units.Incarnation(m.GetBornMs()),
 		Sequence:    m.GetSequence(),
 		ColdFor:     time.Duration(m.GetColdMs()) * time.Millisecond,
 		Reclaimable: m.GetReclaimable(),
@@ -70,7 +70,7 @@
 		DataCentre:  string(r.DataCentre),
 		Slots:       int64(r.Slots),
 		State:       messages.RegistrationState(r.State),
-		BornMs:      int64(r.Born),
+		BornMs:      int64(r.Incarnation),
 		Sequence:    r.Sequence,
 		ColdMs:      max(0, r.ColdFor-age).Milliseconds(),
 		Reclaimable: r.Reclaimable,
--- a/src/enroller/table.go
+++ b/src/enroller/table.go
@@ -52,17 +52,17 @@
 // Upstream is what is known of one upstream.
 type Upstream struct {
 	Registration
-	// HeardAt is when any control instance received the last heartbeat, and FirstAt when this
+	// HeartbeatAt is when any control instance received the last heartbeat, and FirstAt when this
 	// table first recorded the incarnation.
-	HeardAt time.Time
-	FirstAt time.Time
+	HeartbeatAt time.Time
+	FirstSeenAt time.Time
 	// changed is the table's cursor at the upstream's last change.
 	changed uint64
 }
 
-// Hear records one heartbeat that arrived age ago, and reports whether it changes how callers
+// Record records one heartbeat that arrived age ago, and reports whether it changes how callers
 // treat the upstream. A heartbeat older than the last one changes nothing.
-func (t *Table) Hear(now time.Time, r Registration, age time.Duration) bool {
+func (t *Table) Record(now time.Time, r Registration, age time.Duration) bool {
 	if t.upstreams == nil {
 		t.upstreams = make(map[units.Upstream]*Upstream)
 		t.byAddress = make(map[string]units.Upstream)
@@ -73,18 +73,18 @@
 	}
 	upstream := &Upstream{
 		Registration: r,
-		HeardAt:      now.Add(-age),
-		FirstAt:      now,
+		HeartbeatAt:  now.Add(-age),
+		FirstSeenAt:  now,
 	}
-	if known != nil && known.Born == r.Born {
-		upstream.FirstAt = known.FirstAt
+	if known != nil && known.Incarnation == r.Incarnation {
+		upstream.FirstSeenAt = known.FirstSeenAt
 	}
 	if t.supersede(upstream) {
 		return false
 	}
 	// A heartbeat that was overtaken on its way may report "ready" after one that reported
 	// "leaving". An incarnation that leaves never becomes ready again.
-	if known != nil && known.Born == r.Born && known.State > r.State {
+	if known != nil && known.Incarnation == r.Incarnation && known.State > r.State {
 		upstream.State = known.State
 		upstream.LeavesIn = known.LeavesIn
 	}
@@ -102,15 +102,15 @@
 
 // isNewer reports whether b was sent after a.
 func isNewer(a, b *Registration) bool {
-	if a.Born != b.Born {
-		return b.Born > a.Born
+	if a.Incarnation != b.Incarnation {
+		return b.Incarnation > a.Incarnation
 	}
 	return b.Sequence > a.Sequence || b.Sequence == a.Sequence && b.State > a.State
 }
 
 // isEquivalent reports whether callers treat both the same.
 func isEquivalent(a, b *Registration) bool {
-	return a.Born == b.Born && a.Service == b.Service && a.Address == b.Address && a.Slots == b.Slots &&
+	return a.Incarnation == b.Incarnation && a.Service == b.Service && a.Address == b.Address && a.Slots == b.Slots &&
 		a.State == b.State && a.Silent == b.Silent && a.DataCentre == b.DataCentre && a.Release == b.Release &&
 		(a.ColdFor > 0) == (b.ColdFor > 0)
 }
@@ -124,7 +124,7 @@
 	if other == nil || other.ID == u.ID || other.Address != u.Address || other.State == Gone {
 		return false
 	}
-	if other.Born > u.Born || other.Born == u.Born && other.FirstAt.After(u.FirstAt) {
+	if other.Incarnation > u.Incarnation || other.Incarnation == u.Incarnation && other.FirstSeenAt.After(u.FirstSeenAt) {
 		return true
 	}
 	other.State = Gone
@@ -132,15 +132,15 @@
 	return false
 }
 
-// Leave marks an upstream as gone, and reports whether it was known and not gone before.
-func (t *Table) Leave(now time.Time, id units.Upstream) bool {
+// MarkGone marks an upstream as gone, and reports whether it was known and not gone before.
+func (t *Table) MarkGone(now time.Time, id units.Upstream) bool {
 	upstream := t.upstreams[id]
 	if upstream == nil || upstream.State == Gone {
 		return false
 	}
 	upstream.State = Gone
 	upstream.Sequence++
-	upstream.HeardAt = now
+	upstream.HeartbeatAt = now
 	t.recordChange(upstream)
 	return true
 }
@@ -151,7 +151,7 @@
 	changed := false
 	silenceLimit := time.Duration(maxMissedIntervals * float64(t.Interval))
 	for id, upstream := range t.upstreams {
-		silentFor := now.Sub(upstream.HeardAt)
+		silentFor := now.Sub(upstream.HeartbeatAt)
 		switch {
 		case upstream.State == Gone && silentFor > goneRetention, upstream.State != Gone && silentFor > silentRetention:
 			delete(t.upstreams, id)
@@ -189,19 +189,19 @@
 // Cursor returns the cursor after the latest change.
 func (t *Table) Cursor() uint64 { return t.cursor }
 
-// Since returns the changes after a cursor of the table with this ID; with another ID it returns
+// ChangesSince returns the changes after a cursor of the table with this ID; with another ID it returns
 // everything.
-func (t *Table) Since(now time.Time, id, cursor uint64) []*messages.RegisteredUpstream {
-	changes, _ := t.Part(now, id, cursor, t.cursor, math.MaxInt)
+func (t *Table) ChangesSince(now time.Time, id, cursor uint64) []*messages.RegisteredUpstream {
+	changes, _ := t.Page(now, id, cursor, t.cursor, math.MaxInt)
 	return changes
 }
 
-// Part returns the first maxChanges changes after one cursor and up to another, as Since does,
+// Page returns the first maxChanges changes after one cursor and up to another, as Since does,
 // and the cursor after them.
 //
 // Sending a table of thousands of upstreams in one response over a slow link would take longer
 // than the reader's timeout, and the reader would then request all of it again.
-func (t *Table) Part(now time.Time, id, cursor, until uint64, maxChanges int) (changes []*messages.RegisteredUpstream, reached uint64) {
+func (t *Table) Page(now time.Time, id, cursor, until uint64, maxChanges int) (changes []*messages.RegisteredUpstream, reached uint64) {
 	if id != t.ID {
 		cursor = 0
 	}
@@ -222,27 +222,27 @@
 			return changes, reached
 		}
 		upstream := t.upstreams[c.id]
-		changes = append(changes, upstream.message(max(0, now.Sub(upstream.HeardAt))))
+		changes = append(changes, upstream.message(max(0, now.Sub(upstream.HeartbeatAt))))
 		reached = c.cursor
 	}
 	return changes, until
 }
 
-// Follow merges what another table reported of an upstream, and reports whether that changes how
+// Merge merges what another table reported of an upstream, and reports whether that changes how
 // callers treat it.
-func (t *Table) Follow(now time.Time, m *messages.RegisteredUpstream) bool {
+func (t *Table) Merge(now time.Time, m *messages.RegisteredUpstream) bool {
 	r := fromMessage(m)
 	age := time.Duration(m.GetAgeMs()) * time.Millisecond
 	known := t.upstreams[r.ID]
 	// The other table may know nothing newer than this one except whether the upstream is silent.
-	if known != nil && known.Born == r.Born && known.State == r.State && known.Silent != r.Silent && r.Sequence >= known.Sequence {
+	if known != nil && known.Incarnation == r.Incarnation && known.State == r.State && known.Silent != r.Silent && r.Sequence >= known.Sequence {
 		known.Silent = r.Silent
 		known.Sequence = r.Sequence
-		known.HeardAt = now.Add(-age)
+		known.HeartbeatAt = now.Add(-age)
 		t.recordChange(known)
 		return true
 	}
-	return t.Hear(now, r, age)
+	return t.Record(now, r, age)
 }
 
 // Message returns what is known of one upstream, nil if it is unknown.
@@ -251,11 +251,11 @@
 	if upstream == nil {
 		return nil
 	}
-	return upstream.message(max(0, now.Sub(upstream.HeardAt)))
+	return upstream.message(max(0, now.Sub(upstream.HeartbeatAt)))
 }
 
-// Entries returns all upstreams, sorted by ID. The caller must not modify them.
-func (t *Table) Entries() []*Upstream {
+// Upstreams returns all upstreams, sorted by ID. The caller must not modify them.
+func (t *Table) Upstreams() []*Upstream {
 	list := make([]*Upstream, 0, len(t.upstreams))
 	for _, id := range slices.Sorted(maps.Keys(t.upstreams)) {
 		list = append(list, t.upstreams[id])
--- a/src/enroller/table_test.go
+++ b/src/enroller/table_test.go
@@ -17,13 +17,13 @@
 
 func registration(id, address string, born units.Incarnation, sequence uint64, state State) Registration {
 	return Registration{
-		ID:       units.Upstream(id),
-		Service:  "s",
-		Address:  address,
-		Slots:    8,
-		State:    state,
-		Born:     born,
-		Sequence: sequence,
+		ID:          units.Upstream(id),
+		Service:     "s",
+		Address:     address,
+		Slots:       8,
+		State:       state,
+		Incarnation: born,
+		Sequence:    sequence,
 	}
 }
 
@@ -76,7 +76,7 @@
 		t.Run(name, func(t *testing.T) {
 			table := newTable()
 			for _, r := range c.heartbeats {
-				table.Hear(start, r, 0)
+				table.Record(start, r, 0)
 			}
 			for id, want := range c.want {
 				if got := table.state(id); got != want {
@@ -96,8 +96,8 @@
 		entry := &Table{ID: 3, Interval: interval}
 		var id, cursor uint64
 		follow := func(now time.Time, from *Table) {
-			for _, m := range from.Since(now, id, cursor) {
-				entry.Follow(now, m)
+			for _, m := range from.ChangesSince(now, id, cursor) {
+				entry.Merge(now, m)
 			}
 			id, cursor = from.ID, from.Cursor()
 		}
@@ -111,7 +111,7 @@
 			r.Address = string(r.ID)
 			// Heartbeats reach both tables, since control instances forward them to each other.
 			for _, table := range tables {
-				table.Hear(now, r, 0)
+				table.Record(now, r, 0)
 				table.Expire(now)
 			}
 			if rapid.Bool().Draw(t, "asks") {
@@ -119,9 +119,9 @@
 			}
 		}
 		follow(now, tables[0])
-		for _, want := range tables[0].Entries() {
+		for _, want := range tables[0].Upstreams() {
 			got := entry.upstreams[want.ID]
-			if got == nil || got.Born != want.Born || got.State != want.State || got.Silent != want.Silent {
+			if got == nil || got.Incarnation != want.Incarnation || got.State != want.State || got.Silent != want.Silent {
 				t.Fatalf("entry of %s: got %+v, want %+v", want.ID, got, want)
 			}
 		}
@@ -130,7 +130,7 @@
 
 func TestSilenceIsReportedAndCleared(t *testing.T) {
 	table := newTable()
-	table.Hear(start, registration("a", "x", 5, 1, Ready), 0)
+	table.Record(start, registration("a", "x", 5, 1, Ready), 0)
 	if table.Expire(start.Add(2 * interval)) {
 		t.Error("silent after two intervals: got true, want false")
 	}
@@ -138,7 +138,7 @@
 	if !table.Expire(later) || !table.upstreams["a"].Silent {
 		t.Error("silent after four intervals: got false, want true")
 	}
-	if !table.Hear(later, registration("a", "x", 5, 2, Ready), 0) || table.upstreams["a"].Silent {
+	if !table.Record(later, registration("a", "x", 5, 2, Ready), 0) || table.upstreams["a"].Silent {
 		t.Error("after a heartbeat: got still silent, want not silent")
 	}
 }
@@ -156,20 +156,20 @@
 			id := fmt.Sprint(rapid.IntRange(0, 6).Draw(t, "id"))
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
 			case 0:
-				table.Leave(now, units.Upstream(id))
+				table.MarkGone(now, units.Upstream(id))
 			case 1:
 				table.Expire(now)
 			case 2:
 				cursors = append(cursors, table.Cursor())
 			default:
-				table.Hear(now, registration(id, fmt.Sprint(rapid.IntRange(0, 3).Draw(t, "address")),
+				table.Record(now, registration(id, fmt.Sprint(rapid.IntRange(0, 3).Draw(t, "address")),
 					units.Incarnation(rapid.IntRange(1, 5).Draw(t, "born")),
 					rapid.Uint64Range(1, 30).Draw(t, "sequence"),
 					State(rapid.IntRange(1, 2).Draw(t, "state"))), 0)
 			}
 		}
 		live := make(map[string]units.Upstream)
-		for _, e := range table.Entries() {
+		for _, e := range table.Upstreams() {
 			if e.State == Gone {
 				continue
 			}
@@ -180,13 +180,13 @@
 		}
 		for _, cursor := range append(cursors, 0) {
 			want := make(map[string]int)
-			for _, e := range table.Entries() {
+			for _, e := range table.Upstreams() {
 				if e.changed > cursor {
 					want[string(e.ID)] = 1
 				}
 			}
 			got := make(map[string]int)
-			for _, m := range table.Since(now, table.ID, cursor) {
+			for _, m := range table.ChangesSince(now, table.ID, cursor) {
 				got[m.GetId()]++
 			}
 			if !maps.Equal(got, want) {
@@ -206,23 +206,23 @@
 		maxChanges := rapid.IntRange(1, 9).Draw(t, "most")
 		cursor := uint64(0)
 		read := func() {
-			changes, reached := table.Part(now, table.ID, cursor, table.Cursor(), maxChanges)
+			changes, reached := table.Page(now, table.ID, cursor, table.Cursor(), maxChanges)
 			if len(changes) > maxChanges {
 				t.Fatalf("changes in a page: got %d, want at most %d", len(changes), maxChanges)
 			}
 			for _, m := range changes {
-				reader.Follow(now, m)
+				reader.Merge(now, m)
 			}
 			cursor = reached
 		}
 		for n := range rapid.IntRange(1, 60).Draw(t, "heartbeats") {
 			id := rapid.IntRange(0, 20).Draw(t, "upstream")
-			table.Hear(now, Registration{
-				ID:       units.Upstream(fmt.Sprint(id)),
-				Address:  fmt.Sprint(id),
-				State:    State(rapid.IntRange(int(Ready), int(Gone)).Draw(t, "state")),
-				Born:     1,
-				Sequence: uint64(n + 1),
+			table.Record(now, Registration{
+				ID:          units.Upstream(fmt.Sprint(id)),
+				Address:     fmt.Sprint(id),
+				State:       State(rapid.IntRange(int(Ready), int(Gone)).Draw(t, "state")),
+				Incarnation: 1,
+				Sequence:    uint64(n + 1),
 			}, 0)
 			if rapid.Bool().Draw(t, "read") {
 				read()
@@ -231,7 +231,7 @@
 		for cursor < table.Cursor() {
 			read()
 		}
-		for _, e := range table.Entries() {
+		for _, e := range table.Upstreams() {
 			if got := reader.upstreams[e.ID]; got == nil || got.State != e.State {
 				t.Errorf("upstream %s: got %v, want state %v", e.ID, got, e.State)
 			}
--- a/src/entry/entry.go
+++ b/src/entry/entry.go
@@ -94,7 +94,7 @@
 	}
 	e.traffic = newTraffic(e)
 	e.coordinator.onDeparture = e.traffic.handleDeparture
-	e.coordinator.onCacheEvents = e.traffic.router.Cached
+	e.coordinator.onCacheEvents = e.traffic.router.OnCacheEvents
 	e.recorder = e.newRecorder()
 	e.callers = e.newCallerServer()
 	e.controlClient = e.newControlClient()
--- a/src/entry/record.go
+++ b/src/entry/record.go
@@ -20,7 +20,7 @@
 		Client:    e.Client,
 		Scope:     e.Meter.Scope,
 		EntryView: e.View,
-		Bounds:    e.recordBounds,
+		Retention: e.recordBounds,
 	}
 }
 
--- a/src/entry/traffic.go
+++ b/src/entry/traffic.go
@@ -16,7 +16,7 @@
 type traffic struct {
 	router    *router.Router
 	forwarder *forwarder.Forwarder
-	reclaimer *forwarder.Reclaimer
+	reclaimer *forwarder.StreamMigrator
 }
 
 func newTraffic(e *Entry) *traffic {
@@ -28,13 +28,13 @@
 		Entry:    e.Settings.Name,
 		Index:    locator.New(indexBits),
 	}
-	reclaimer := forwarder.NewReclaimer(callRouter, pools, e.Log)
+	reclaimer := forwarder.NewStreamMigrator(callRouter, pools, e.Log)
 	return &traffic{
 		router:    callRouter,
 		reclaimer: reclaimer,
 		forwarder: &forwarder.Forwarder{
-			Pools:     pools,
-			Reclaimer: reclaimer,
+			Pools:    pools,
+			Migrator: reclaimer,
 		},
 	}
 }
@@ -45,8 +45,8 @@
 	if upstream.Leaving && !time.Now().Before(upstream.LeavesAt) {
 		return
 	}
-	t.router.Departed(upstream)
+	t.router.OnDeparture(upstream)
 	if upstream.Leaving {
-		t.reclaimer.Notice(upstream)
+		t.reclaimer.OnLeaving(upstream)
 	}
 }
--- a/src/exchanger/events.go
+++ b/src/exchanger/events.go
@@ -22,14 +22,14 @@
 // forwardStream forwards a stream's complete events as they arrive. A caller that loses
 // its connection can then resume exactly after the last event that it received.
 func (e *exchange) forwardStream(ctx context.Context, response *http.Response, verdict Verdict) dispatcher.Result {
-	joins, err := e.stream.Begin(response.Header, e.upstream, verdict.Version)
+	joins, err := e.stream.Begin(response.Header, e.upstream, verdict.ModelVersion)
 	if err != nil {
 		return callerGoneResult(err)
 	}
 	if !joins {
 		return dispatcher.Result{
-			Kind: dispatcher.Broken,
-			Err: &ForeignError{
+			Kind: dispatcher.Unresumable,
+			Err: &InvalidAnswerError{
 				Upstream: e.upstream.Name,
 				Reason:   "its weights have another version than the stream began with",
 			},
@@ -47,7 +47,7 @@
 		if len(event) > 0 {
 			e.markAnswerStarted()
 			if batcher != nil {
-				batcher.Hold(err == nil && reader.Buffered() > 0)
+				batcher.SetBuffering(err == nil && reader.Buffered() > 0)
 			}
 			if forwardErr := e.forwardEvent(event); forwardErr != nil {
 				return callerGoneResult(forwardErr)
@@ -74,8 +74,8 @@
 // streamCutResult returns the result for a stream that was cut.
 func (e *exchange) streamCutResult(ctx context.Context, err error) dispatcher.Result {
 	result := e.lostResult(ctx, err)
-	if result.Kind == dispatcher.Lost && !e.call.Repeatable {
-		result.Kind = dispatcher.Broken
+	if result.Kind == dispatcher.OutcomeUnknown && !e.call.Repeatable {
+		result.Kind = dispatcher.Unresumable
 	}
 	return result
 }
@@ -88,7 +88,7 @@
 		if e.replaying {
 			return nil
 		}
-		return e.stream.Beside(event)
+		return e.stream.EventWithoutOffset(event)
 	}
 	if position > e.stream.Offset() {
 		e.replaying = false
--- a/src/exchanger/exchanger.go
+++ b/src/exchanger/exchanger.go
@@ -28,16 +28,16 @@
 
 // Verdict is what a Dialect reads from the head of an answer.
 type Verdict struct {
-	// Own is set where the answer names this attempt.
-	Own bool
+	// MatchesAttempt is set where the answer names this attempt.
+	MatchesAttempt bool
 	// NotRun is set where the upstream states that it did not run the call.
 	NotRun bool
-	// Whole is set where the answer carries the upstream's proof that the protocol requires.
-	Whole bool
-	// Version is the version of the weights that generate a stream, "" if not stated.
-	Version units.ModelVersion
-	// Events is set where the answer is a stream of events.
-	Events bool
+	// Verified is set where the answer carries the upstream's proof that the protocol requires.
+	Verified bool
+	// ModelVersion is the version of the weights that generate a stream, "" if not stated.
+	ModelVersion units.ModelVersion
+	// IsEventStream is set where the answer is a stream of events.
+	IsEventStream bool
 	// RetryAfter is the wait that a refusing upstream asks for.
 	RetryAfter time.Duration
 	// Limit is the call rate limit that the upstream states, nil if the answer is not
@@ -47,29 +47,29 @@
 
 // Limit is an upstream's own limit on its rate of calls.
 type Limit struct {
-	// Stated is false where the upstream states no limit and takes any number of calls.
-	Stated bool
-	Rate   units.CallRate
+	// HasRate is false where the upstream states no limit and takes any number of calls.
+	HasRate bool
+	Rate    units.CallRate
 }
 
-// Sending is what the head of a request contains besides its call.
-type Sending struct {
+// RequestInfo is what the head of a request contains besides its call.
+type RequestInfo struct {
 	Upstream *tracker.Upstream
 	// Donor is the upstream that may hold the prompt prefixes that this one lacks, nil
 	// for none.
 	Donor *tracker.Upstream
-	// Left is how much longer the caller waits.
-	Left time.Duration
-	// From is the position of the event after which a stream resumes.
-	From units.Tokens
+	// CallerTimeout is how much longer the caller waits.
+	CallerTimeout time.Duration
+	// ResumeAfter is the position of the event after which a stream resumes.
+	ResumeAfter units.Tokens
 }
 
 // Dialect writes and reads heads of requests and answers in the upstreams' protocol.
 type Dialect interface {
-	// Head returns the header of an attempt's request.
-	Head(call *dispatcher.Call, sending Sending) http.Header
-	// Read checks the head of an answer.
-	Read(call *dispatcher.Call, upstream *tracker.Upstream, status int, header http.Header) Verdict
+	// RequestHeader returns the header of an attempt's request.
+	RequestHeader(call *dispatcher.Call, sending RequestInfo) http.Header
+	// CheckAnswer checks the head of an answer.
+	CheckAnswer(call *dispatcher.Call, upstream *tracker.Upstream, status int, header http.Header) Verdict
 }
 
 // Guard decides whether a call may still be sent.
@@ -87,22 +87,22 @@
 	// Donor returns the upstream that may hold the prompt prefixes that the chosen one
 	// lacks, nil for none; it may be nil.
 	Donor func(call *dispatcher.Call, chosen *tracker.Upstream) *tracker.Upstream
-	// Began is called once a call has started to run or may have: it includes calls whose
+	// OnStarted is called once a call has started to run or may have: it includes calls whose
 	// answer is lost, most of which have run. It may be nil.
-	Began func(call *dispatcher.Call, upstream *tracker.Upstream)
-	// Limited is called with the limit that an upstream states in an answer, and the time
+	OnStarted func(call *dispatcher.Call, upstream *tracker.Upstream)
+	// OnLimit is called with the limit that an upstream states in an answer, and the time
 	// at which that answer's call was sent; it may be nil.
-	Limited func(upstream *tracker.Upstream, limit Limit, sentAt time.Time)
+	OnLimit func(upstream *tracker.Upstream, limit Limit, sentAt time.Time)
 }
 
-// ForeignError is the error for received bytes that do not answer the attempt.
-type ForeignError struct {
+// InvalidAnswerError is the error for received bytes that do not answer the attempt.
+type InvalidAnswerError struct {
 	Upstream units.Upstream
 	Reason   string
 }
 
 // Error names the remedy.
-func (e *ForeignError) Error() string {
+func (e *InvalidAnswerError) Error() string {
 	return fmt.Sprintf("%s sent bytes that do not answer the attempt (%s); the connection is closed, look at the upstream's own log", e.Upstream, e.Reason)
 }
 
@@ -114,10 +114,10 @@
 	if err != nil {
 		var limitErr *ConnectionLimitError
 		return dispatcher.Result{
-			Kind:      dispatcher.NotRun,
-			Unreached: !errors.As(err, &limitErr) && ctx.Err() == nil,
-			Unsent:    true,
-			Err:       err,
+			Kind:          dispatcher.NotRun,
+			ConnectFailed: !errors.As(err, &limitErr) && ctx.Err() == nil,
+			Unsent:        true,
+			Err:           err,
 		}
 	}
 	e := &exchange{
@@ -165,18 +165,18 @@
 	if result, ok := e.send(); !ok {
 		return result
 	}
-	prompt := e.call.Unread()
+	prompt := e.call.UncachedTokens()
 	e.upstream.Local.PrefillTokens.Add(int64(prompt))
 	response, result := e.readHead(ctx) //nolint:bodyclose // Closing would read a stream to its end; the connection is closed instead.
 	e.upstream.Local.PrefillTokens.Add(-int64(prompt))
 	if response == nil {
 		return result
 	}
-	verdict := e.Dialect.Read(e.call, e.upstream, response.StatusCode, response.Header)
-	if e.Limited != nil && verdict.Limit != nil {
-		e.Limited(e.upstream, *verdict.Limit, sentAt)
+	verdict := e.Dialect.CheckAnswer(e.call, e.upstream, response.StatusCode, response.Header)
+	if e.OnLimit != nil && verdict.Limit != nil {
+		e.OnLimit(e.upstream, *verdict.Limit, sentAt)
 	}
-	if !verdict.Own {
+	if !verdict.MatchesAttempt {
 		return e.foreignResult("it names another attempt")
 	}
 	if verdict.NotRun {
@@ -189,11 +189,11 @@
 			Err:        fmt.Errorf("%s refused with status %d", e.upstream.Name, response.StatusCode),
 		}
 	}
-	if !verdict.Whole {
+	if !verdict.Verified {
 		return e.foreignResult(fmt.Sprintf("status %d without the upstream's proof, or encoded", response.StatusCode))
 	}
 	e.reportStart()
-	if e.call.Stream && verdict.Events && response.StatusCode == http.StatusOK {
+	if e.call.Stream && verdict.IsEventStream && response.StatusCode == http.StatusOK {
 		return e.forwardStream(ctx, response, verdict)
 	}
 	return e.readAnswer(ctx, response)
@@ -201,9 +201,9 @@
 
 // reportStart calls Began, at most once.
 func (e *exchange) reportStart() {
-	if e.Began != nil && !e.startReported {
+	if e.OnStarted != nil && !e.startReported {
 		e.startReported = true
-		e.Began(e.call, e.upstream)
+		e.OnStarted(e.call, e.upstream)
 	}
 }
 
@@ -218,15 +218,15 @@
 			Err:  err,
 		}, false
 	}
-	sending := Sending{
-		Upstream: e.upstream,
-		Left:     left,
-		From:     e.stream.Offset(),
+	sending := RequestInfo{
+		Upstream:      e.upstream,
+		CallerTimeout: left,
+		ResumeAfter:   e.stream.Offset(),
 	}
 	if e.Donor != nil {
 		sending.Donor = e.Donor(e.call, e.upstream)
 	}
-	header := e.Dialect.Head(e.call, sending)
+	header := e.Dialect.RequestHeader(e.call, sending)
 	buffer := headBuffers.Get().(*[]byte)
 	defer headBuffers.Put(buffer)
 	*buffer = appendHead((*buffer)[:0], e.call, header)
@@ -237,7 +237,7 @@
 	}
 	n, err := e.conn.Write(*buffer)
 	if err != nil {
-		kind := dispatcher.Lost
+		kind := dispatcher.OutcomeUnknown
 		if n == 0 {
 			kind = dispatcher.NotRun
 		}
@@ -338,7 +338,7 @@
 // ran, or that ended because the caller left.
 func (e *exchange) lostResult(ctx context.Context, err error) dispatcher.Result {
 	result := dispatcher.Result{
-		Kind: dispatcher.Lost,
+		Kind: dispatcher.OutcomeUnknown,
 		Err:  err,
 	}
 	if errors.Is(ctx.Err(), context.Canceled) {
@@ -346,10 +346,10 @@
 		result.Err = ctx.Err()
 	} else if ctx.Err() == nil {
 		e.reportStart()
-		result.Cut = isDisconnect(err)
+		result.ConnectionLost = isDisconnect(err)
 	}
 	if !e.answerStartedAt.IsZero() {
-		result.Answering = time.Since(e.answerStartedAt)
+		result.AnswerDuration = time.Since(e.answerStartedAt)
 	}
 	return result
 }
@@ -367,8 +367,8 @@
 
 func (e *exchange) foreignResult(reason string) dispatcher.Result {
 	return dispatcher.Result{
-		Kind: dispatcher.Lost,
-		Err: &ForeignError{
+		Kind: dispatcher.OutcomeUnknown,
+		Err: &InvalidAnswerError{
 			Upstream: e.upstream.Name,
 			Reason:   reason,
 		},
--- a/src/exchanger/exchanger_test.go
+++ b/src/exchanger/exchanger_test.go
@@ -108,21 +108,21 @@
 // fakeDialect is a minimal protocol that uses only headers.
 type fakeDialect struct{}
 
-func (fakeDialect) Head(call *dispatcher.Call, sending Sending) http.Header {
+func (fakeDialect) RequestHeader(call *dispatcher.Call, sending RequestInfo) http.Header {
 	header := http.Header{"Id": {string(call.ID)}}
-	if sending.From > 0 {
-		header["From"] = []string{strconv.FormatInt(int64(sending.From), 10)}
+	if sending.ResumeAfter > 0 {
+		header["From"] = []string{strconv.FormatInt(int64(sending.ResumeAfter), 10)}
 	}
 	return header
 }
 
-func (fakeDialect) Read(call *dispatcher.Call, _ *tracker.Upstream, status int, header http.Header) Verdict {
+func (fakeDialect) CheckAnswer(call *dispatcher.Call, _ *tracker.Upstream, status int, header http.Header) Verdict {
 	return Verdict{
-		Own:     header.Get("Id") == string(call.ID),
-		NotRun:  header.Get("Not-Run") != "",
-		Whole:   status != http.StatusOK || header.Get("Proof") != "",
-		Events:  header.Get("Content-Type") == "text/event-stream",
-		Version: units.ModelVersion(header.Get("Version")),
+		MatchesAttempt: header.Get("Id") == string(call.ID),
+		NotRun:         header.Get("Not-Run") != "",
+		Verified:       status != http.StatusOK || header.Get("Proof") != "",
+		IsEventStream:  header.Get("Content-Type") == "text/event-stream",
+		ModelVersion:   units.ModelVersion(header.Get("Version")),
 	}
 }
 
@@ -151,7 +151,7 @@
 
 func newExchanger(g *fakeGuard) *Exchanger {
 	return &Exchanger{
-		Pool:    &Pool{Most: func(*tracker.Upstream) int { return 2 }},
+		Pool:    &Pool{MaxConnections: func(*tracker.Upstream) int { return 2 }},
 		Dialect: fakeDialect{},
 		Guard:   g,
 	}
@@ -191,15 +191,15 @@
 		"asks to close":              {answer: okHead + "Connection: close\r\nContent-Length: 2\r\n\r\nhi", want: dispatcher.Answered, body: "hi"},
 		"bytes after it":             {answer: wholeAnswer + "HTTP/1.1 200 OK\r\n", want: dispatcher.Answered, body: "hi"},
 		"a failure of its own":       {answer: "HTTP/1.1 500 No\r\nId: c1\r\nContent-Length: 0\r\n\r\n", want: dispatcher.Answered, reusable: true},
-		"of another call":            {answer: "HTTP/1.1 200 OK\r\nId: c2\r\nProof: p\r\nContent-Length: 2\r\n\r\nhi", want: dispatcher.Lost},
-		"without its proof":          {answer: "HTTP/1.1 200 OK\r\nId: c1\r\nContent-Length: 2\r\n\r\nhi", want: dispatcher.Lost},
-		"cut in the body":            {answer: okHead + "Content-Length: 5\r\n\r\nhi" + closeMarker, want: dispatcher.Lost},
-		"cut in the chunks":          {answer: okHead + "Transfer-Encoding: chunked\r\n\r\n5\r\nhi" + closeMarker, want: dispatcher.Lost},
-		"cut in the head":            {answer: "HTTP/1.1 200 OK\r\nId: c1" + closeMarker, want: dispatcher.Lost},
-		"no answer":                  {answer: "", want: dispatcher.Lost},
-		"no HTTP":                    {answer: "garbage\r\n\r\n" + closeMarker, want: dispatcher.Lost},
+		"of another call":            {answer: "HTTP/1.1 200 OK\r\nId: c2\r\nProof: p\r\nContent-Length: 2\r\n\r\nhi", want: dispatcher.OutcomeUnknown},
+		"without its proof":          {answer: "HTTP/1.1 200 OK\r\nId: c1\r\nContent-Length: 2\r\n\r\nhi", want: dispatcher.OutcomeUnknown},
+		"cut in the body":            {answer: okHead + "Content-Length: 5\r\n\r\nhi" + closeMarker, want: dispatcher.OutcomeUnknown},
+		"cut in the chunks":          {answer: okHead + "Transfer-Encoding: chunked\r\n\r\n5\r\nhi" + closeMarker, want: dispatcher.OutcomeUnknown},
+		"cut in the head":            {answer: "HTTP/1.1 200 OK\r\nId: c1" + closeMarker, want: dispatcher.OutcomeUnknown},
+		"no answer":                  {answer: "", want: dispatcher.OutcomeUnknown},
+		"no HTTP":                    {answer: "garbage\r\n\r\n" + closeMarker, want: dispatcher.OutcomeUnknown},
 		"refused before it ran":      {answer: "HTTP/1.1 503 Busy\r\nId: c1\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n", want: dispatcher.NotRun, reusable: true},
-		"refusal of another call":    {answer: "HTTP/1.1 503 Busy\r\nId: c2\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n", want: dispatcher.Lost},
+		"refusal of another call":    {answer: "HTTP/1.1 503 Busy\r\nId: c2\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n", want: dispatcher.OutcomeUnknown},
 		"refused and then cut short": {answer: "HTTP/1.1 503 Busy\r\nId: c1\r\nNot-Run: 1\r\nContent-Length: 9\r\n\r\n" + closeMarker, want: dispatcher.NotRun},
 	}
 	for name, c := range cases {
@@ -213,7 +213,7 @@
 			if result.Answer != nil && string(result.Answer.Body) != c.body {
 				t.Errorf("body: got %q, want %q", result.Answer.Body, c.body)
 			}
-			if got, want := x.Pool.Idle(u.Upstream), c.reusable; got != want {
+			if got, want := x.Pool.HasIdle(u.Upstream), c.reusable; got != want {
 				t.Errorf("connection kept: got %t, want %t", got, want)
 			}
 			if got, want := u.heads[0], "POST /a/b?c=%20d h.example body"; got != want {
@@ -246,7 +246,7 @@
 					t.Fatalf("result: got %v (%v), want it answered", result.Kind, result.Err)
 				}
 				// Waits until what follows the first answer has arrived.
-				for deadline := time.Now().Add(time.Second); x.Pool.Idle(u.Upstream) && time.Now().Before(deadline); {
+				for deadline := time.Now().Add(time.Second); x.Pool.HasIdle(u.Upstream) && time.Now().Before(deadline); {
 					stale := x.Pool.removeStale()
 					for _, c := range stale {
 						x.Pool.drop(c)
@@ -282,8 +282,8 @@
 	u := newUpstream(t, nil)
 	_ = u.listener.Close()
 	result := newExchanger(&fakeGuard{}).Exchange(t.Context(), newCall(), 1, u.Upstream, &dispatcher.Stream{Sink: &recordingSink{}})
-	if result.Kind != dispatcher.NotRun || !result.Unreached {
-		t.Errorf("result: got %v, unreached %t, want it not run and unreached", result.Kind, result.Unreached)
+	if result.Kind != dispatcher.NotRun || !result.ConnectFailed {
+		t.Errorf("result: got %v, unreached %t, want it not run and unreached", result.Kind, result.ConnectFailed)
 	}
 }
 
@@ -308,7 +308,7 @@
 	if result.Kind != dispatcher.CallerGone {
 		t.Errorf("result: got %v, want the caller gone", result.Kind)
 	}
-	if x.Pool.Idle(u.Upstream) {
+	if x.Pool.HasIdle(u.Upstream) {
 		t.Error("connection kept: got it, want it closed")
 	}
 }
@@ -337,7 +337,7 @@
 	close(release)
 	calls.Wait()
 	var limitErr *ConnectionLimitError
-	if result.Kind != dispatcher.NotRun || !errors.As(result.Err, &limitErr) || result.Unreached {
+	if result.Kind != dispatcher.NotRun || !errors.As(result.Err, &limitErr) || result.ConnectFailed {
 		t.Errorf("third call: got %v (%v), want it not run because of the connection limit", result.Kind, result.Err)
 	}
 }
@@ -363,7 +363,7 @@
 	call.Repeatable = true
 	s := &recordingSink{}
 	stream := &dispatcher.Stream{Sink: s}
-	if got, want := x.Exchange(t.Context(), call, 1, u.Upstream, stream).Kind, dispatcher.Lost; got != want {
+	if got, want := x.Exchange(t.Context(), call, 1, u.Upstream, stream).Kind, dispatcher.OutcomeUnknown; got != want {
 		t.Fatalf("first engine: got %v, want %v", got, want)
 	}
 	if got, want := s.text.String(), "id: 0\ndata: a\n\nid: 1\ndata: b\n\n"; got != want || s.ended {
@@ -386,7 +386,7 @@
 	call := newCall()
 	call.Stream = true
 	result := newExchanger(&fakeGuard{}).Exchange(t.Context(), call, 1, u.Upstream, &dispatcher.Stream{Sink: &recordingSink{}})
-	if got, want := result.Kind, dispatcher.Broken; got != want {
+	if got, want := result.Kind, dispatcher.Unresumable; got != want {
 		t.Errorf("result: got %v, want %v", got, want)
 	}
 }
@@ -407,7 +407,7 @@
 	s := &recordingSink{}
 	stream := &dispatcher.Stream{Sink: s}
 	_ = x.Exchange(t.Context(), call, 1, u.Upstream, stream)
-	if got, want := x.Exchange(t.Context(), call, 2, u.Upstream, stream).Kind, dispatcher.Broken; got != want {
+	if got, want := x.Exchange(t.Context(), call, 2, u.Upstream, stream).Kind, dispatcher.Unresumable; got != want {
 		t.Errorf("result: got %v, want %v", got, want)
 	}
 	if strings.Contains(s.text.String(), "data: b") {
@@ -442,7 +442,7 @@
 	if got, want := result.Kind, dispatcher.Answered; got != want {
 		t.Errorf("result: got %v (%v), want %v", got, result.Err, want)
 	}
-	if x.Pool.Idle(u) {
+	if x.Pool.HasIdle(u) {
 		t.Error("connection kept: got it, want it closed")
 	}
 	_ = listener.Close()
--- a/src/exchanger/lost_test.go
+++ b/src/exchanger/lost_test.go
@@ -33,10 +33,10 @@
 			call := newCall()
 			call.Stream = true
 			result := newExchanger(&fakeGuard{}).Exchange(t.Context(), call, 1, u.Upstream, &dispatcher.Stream{Sink: &recordingSink{}})
-			if result.Cut != c.cut {
-				t.Errorf("cut: got %t (%v), want %t", result.Cut, result.Err, c.cut)
+			if result.ConnectionLost != c.cut {
+				t.Errorf("cut: got %t (%v), want %t", result.ConnectionLost, result.Err, c.cut)
 			}
-			if got := result.Cut && result.Answering > 0; got != c.answering {
+			if got := result.ConnectionLost && result.AnswerDuration > 0; got != c.answering {
 				t.Errorf("answering: got %t, want %t", got, c.answering)
 			}
 		})
--- a/src/exchanger/pool.go
+++ b/src/exchanger/pool.go
@@ -41,10 +41,10 @@
 
 // Pool holds connections to upstreams; its exported fields are set before use.
 type Pool struct {
-	// Most returns the maximum number of connections of this entry to an upstream.
-	Most func(upstream *tracker.Upstream) int
-	// Opened counts the connections that were opened; it may be nil.
-	Opened interface{ Inc(delta int64) }
+	// MaxConnections returns the maximum number of connections of this entry to an upstream.
+	MaxConnections func(upstream *tracker.Upstream) int
+	// OpenedCounter counts the connections that were opened; it may be nil.
+	OpenedCounter interface{ Inc(delta int64) }
 
 	mu    sync.Mutex
 	hosts map[hostKey]*hostConns
@@ -117,8 +117,8 @@
 		return nil, err
 	}
 	p.recordDialTime(time.Since(started))
-	if p.Opened != nil {
-		p.Opened.Inc(1)
+	if p.OpenedCounter != nil {
+		p.OpenedCounter.Inc(1)
 	}
 	return &conn{
 		Conn:        c,
@@ -129,10 +129,10 @@
 	}, nil
 }
 
-// Reach opens a connection to an upstream, which is kept for the next call, or returns why
+// Probe opens a connection to an upstream, which is kept for the next call, or returns why
 // it could not. An upstream to which the maximum number of connections is open counts as
 // reachable.
-func (p *Pool) Reach(ctx context.Context, upstream *tracker.Upstream) error {
+func (p *Pool) Probe(ctx context.Context, upstream *tracker.Upstream) error {
 	c, err := p.get(ctx, upstream, true)
 	var limitErr *ConnectionLimitError
 	if errors.As(err, &limitErr) {
@@ -200,7 +200,7 @@
 		h = &hostConns{}
 		p.hosts[key] = h
 	}
-	if h.open >= p.Most(upstream) {
+	if h.open >= p.MaxConnections(upstream) {
 		return &ConnectionLimitError{Upstream: upstream.Name}
 	}
 	h.open++
@@ -270,8 +270,8 @@
 	return stale
 }
 
-// Idle reports whether the pool holds an idle connection to the upstream.
-func (p *Pool) Idle(upstream *tracker.Upstream) bool {
+// HasIdle reports whether the pool holds an idle connection to the upstream.
+func (p *Pool) HasIdle(upstream *tracker.Upstream) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	h := p.hosts[hostKey{
--- a/src/explainer/book.go
+++ b/src/explainer/book.go
@@ -66,8 +66,8 @@
 	return trail
 }
 
-// Note records a decision.
-func (t *Trail) Note(step dispatcher.Step, upstream units.Upstream, detail string) {
+// RecordStep records a decision.
+func (t *Trail) RecordStep(step dispatcher.Step, upstream units.Upstream, detail string) {
 	t.add(decision{
 		step:     step,
 		upstream: upstream,
@@ -75,8 +75,8 @@
 	})
 }
 
-// Candidate records an upstream that could be chosen and its score, the lower the better.
-func (t *Trail) Candidate(upstream units.Upstream, score float64) {
+// RecordCandidate records an upstream that could be chosen and its score, the lower the better.
+func (t *Trail) RecordCandidate(upstream units.Upstream, score float64) {
 	t.add(decision{
 		step:     dispatcher.StepCandidate,
 		upstream: upstream,
--- a/src/explainer/book_test.go
+++ b/src/explainer/book_test.go
@@ -17,9 +17,9 @@
 	}
 	last := book.Open("last")
 	for range 3 * maxDecisions {
-		last.Candidate("u", 1)
+		last.RecordCandidate("u", 1)
 	}
-	last.Note(dispatcher.StepOutcome, "", "answered")
+	last.RecordStep(dispatcher.StepOutcome, "", "answered")
 	if got, want := len(book.byID), maxCalls; got != want || len(book.ring) != want {
 		t.Errorf("calls kept: got %d and %d, want %d", got, len(book.ring), want)
 	}
@@ -42,9 +42,9 @@
 	for b.Loop() {
 		trail := book.Open("call")
 		for range 8 {
-			trail.Candidate("u", 1)
+			trail.RecordCandidate("u", 1)
 		}
-		trail.Note(dispatcher.StepAttempt, "u", "")
-		trail.Note(dispatcher.StepOutcome, "", "answered")
+		trail.RecordStep(dispatcher.StepAttempt, "u", "")
+		trail.RecordStep(dispatcher.StepOutcome, "", "answered")
 	}
 }
--- a/src/forwarder/exchange.go
+++ b/src/forwarder/exchange.go
@@ -34,7 +34,7 @@
 	upstream  *tracker.Upstream
 	stream    *dispatcher.Stream
 	plan      *plan
-	limits    watcher.Limits
+	limits    watcher.Timeouts
 	// watchdog watches the open connection; it is nil where there is none.
 	watchdog *watcher.Watchdog
 	client   *http.Client
@@ -58,7 +58,7 @@
 // stream resumes over a new connection under the same attempt: an engine that still runs
 // the call continues to deliver its output and runs nothing twice.
 func (e *exchange) run(ctx context.Context) dispatcher.Result {
-	e.limits = watcher.For(e.upstream, contextTokens(e.call, e.stream))
+	e.limits = watcher.TimeoutsFor(e.upstream, contextTokens(e.call, e.stream))
 	e.setPrefilling(true)
 	defer e.setPrefilling(false)
 	ran := false
@@ -69,7 +69,7 @@
 			withoutProgress = 0
 		}
 		ran = ran || result.Kind != dispatcher.NotRun
-		if result.Kind == dispatcher.Lost && e.isStreamed() && withoutProgress+1 < maxConnectionsWithoutProgress && ctx.Err() == nil {
+		if result.Kind == dispatcher.OutcomeUnknown && e.isStreamed() && withoutProgress+1 < maxConnectionsWithoutProgress && ctx.Err() == nil {
 			continue
 		}
 		return e.finish(ctx, result, ran)
@@ -85,7 +85,7 @@
 	// A refusal on a later connection does not show that the call did not run on
 	// an earlier one.
 	if result.Kind == dispatcher.NotRun && ran {
-		result.Kind = dispatcher.Lost
+		result.Kind = dispatcher.OutcomeUnknown
 	}
 	if errors.Is(ctx.Err(), context.Canceled) {
 		result = callerGoneResult(ctx.Err())
@@ -93,8 +93,8 @@
 	if ran && e.call.Kind == parser.ModelService {
 		go e.cancelUpstream(context.WithoutCancel(ctx))
 	}
-	if result.Kind == dispatcher.Lost && e.stream.Offset() > 0 && !e.plan.resumable {
-		result.Kind = dispatcher.Broken
+	if result.Kind == dispatcher.OutcomeUnknown && e.stream.Offset() > 0 && !e.plan.resumable {
+		result.Kind = dispatcher.Unresumable
 	}
 	return result
 }
@@ -132,7 +132,7 @@
 		return
 	}
 	e.prefilling = prefilling
-	prompt := int64(e.call.Prompt)
+	prompt := int64(e.call.PromptTokens)
 	if !prefilling {
 		prompt = -prompt
 	}
@@ -156,12 +156,12 @@
 	if e.watchdog != nil {
 		e.watchdog.Stop()
 	}
-	if result.Kind == dispatcher.Lost && errors.Is(context.Cause(ctx), errMoved) {
+	if result.Kind == dispatcher.OutcomeUnknown && errors.Is(context.Cause(ctx), errMoved) {
 		return e.movedResult()
 	}
 	// If one connection was silent or mixed up answers, others in the pool are
 	// likely to do the same.
-	if result.Kind == dispatcher.Lost {
+	if result.Kind == dispatcher.OutcomeUnknown {
 		e.forwarder.Pools.Discard(e.upstream.Address, e.client)
 	}
 	return result
@@ -171,7 +171,7 @@
 // repeated has none: it can only wait until its deadline.
 func (e *exchange) startWatchdog(cancel context.CancelCauseFunc) {
 	e.watchdog = nil
-	limit := e.limits.Accept
+	limit := e.limits.Header
 	if e.call.Kind != parser.ModelService {
 		if !e.call.Repeatable {
 			return
@@ -245,8 +245,8 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return dispatcher.Result{
-		Kind: dispatcher.Moved,
-		Next: e.target,
-		Err:  errMoved,
+		Kind:       dispatcher.Moved,
+		MoveTarget: e.target,
+		Err:        errMoved,
 	}
 }
--- a/src/forwarder/forwarder.go
+++ b/src/forwarder/forwarder.go
@@ -28,8 +28,8 @@
 // Forwarder exchanges calls with upstreams; its fields are set before use.
 type Forwarder struct {
 	Pools *Pools
-	// Reclaimer moves streams away from leaving upstreams; it may be nil.
-	Reclaimer *Reclaimer
+	// Migrator moves streams away from leaving upstreams; it may be nil.
+	Migrator *StreamMigrator
 }
 
 // Exchange runs one attempt and returns its result.
@@ -48,9 +48,9 @@
 		stream:    stream,
 		plan:      planned,
 	}
-	if f.Reclaimer != nil && e.isMovable() {
-		f.Reclaimer.register(e)
-		defer f.Reclaimer.deregister(e)
+	if f.Migrator != nil && e.isMovable() {
+		f.Migrator.register(e)
+		defer f.Migrator.deregister(e)
 	}
 	return e.run(ctx)
 }
@@ -96,7 +96,7 @@
 	var operation *net.OpError
 	if errors.As(err, &operation) && operation.Op == "dial" {
 		result := notRunResult(err)
-		result.Unreached = true
+		result.ConnectFailed = true
 		result.Unsent = true
 		return result
 	}
@@ -112,7 +112,7 @@
 
 func lostResult(err error) dispatcher.Result {
 	return dispatcher.Result{
-		Kind: dispatcher.Lost,
+		Kind: dispatcher.OutcomeUnknown,
 		Err:  err,
 	}
 }
--- a/src/forwarder/forwarder_test.go
+++ b/src/forwarder/forwarder_test.go
@@ -113,7 +113,7 @@
 				t.Fatalf("first exchange: got %v (error %v), want %v", got, first.Err, want)
 			}
 			second := f.exchangeAt(t, call, address, &dispatcher.Stream{})
-			if got, want := second.Kind, dispatcher.Lost; got != want {
+			if got, want := second.Kind, dispatcher.OutcomeUnknown; got != want {
 				t.Errorf("exchange over the closed connection: got %v, want %v", got, want)
 			}
 			if got, want := runs(), 2; got != want {
@@ -210,7 +210,7 @@
 				Pools: &Pools{},
 			}
 			result := f.exchangeAt(t, plainCall(http.MethodPost, "{}"), "http://"+listener.Addr().String(), &dispatcher.Stream{})
-			if got, want := result.Kind, dispatcher.Lost; got != want {
+			if got, want := result.Kind, dispatcher.OutcomeUnknown; got != want {
 				t.Errorf("result: got %v, want %v", got, want)
 			}
 			if result.Answer != nil {
@@ -309,7 +309,7 @@
 		"another version": {
 			scripts:    []script{{"1", events("call-1", 1, 3)}, {"2", events("call-1", 4, 6) + doneEvent}},
 			wantTokens: 3,
-			wantKind:   dispatcher.Lost,
+			wantKind:   dispatcher.OutcomeUnknown,
 		},
 		"no version on the same engine": {
 			scripts:    []script{{"", events("call-1", 1, 3)}, {"", events("call-1", 4, 6) + doneEvent}},
@@ -362,7 +362,7 @@
 	upstream := upstreamAt(address)
 	upstream.ModelVersion = "1"
 	result := f.Exchange(t.Context(), streamCall(), 1, upstream, &dispatcher.Stream{Sink: sink})
-	if got, want := result.Kind, dispatcher.Lost; got != want {
+	if got, want := result.Kind, dispatcher.OutcomeUnknown; got != want {
 		t.Errorf("result: got %v, want %v", got, want)
 	}
 	if got, want := len(sink.events), 0; got != want {
@@ -385,7 +385,7 @@
 	other := upstreamAt(second)
 	other.Name = "ember-2"
 	result := f.Exchange(t.Context(), streamCall(), 2, other, stream)
-	if got, want := result.Kind, dispatcher.Lost; got != want {
+	if got, want := result.Kind, dispatcher.OutcomeUnknown; got != want {
 		t.Errorf("result: got %v, want %v", got, want)
 	}
 	if got, want := len(sink.events), 3; got != want {
--- a/src/forwarder/migrator.go
+++ b/src/forwarder/migrator.go
@@ -29,8 +29,8 @@
 	Pick(call *dispatcher.Call, tried []units.Upstream) *tracker.Upstream
 }
 
-// Reclaimer carries out the mover's actions for the streams at leaving upstreams.
-type Reclaimer struct {
+// StreamMigrator carries out the mover's actions for the streams at leaving upstreams.
+type StreamMigrator struct {
 	Router Router
 	Pools  *Pools
 	Log    zerolog.Logger
@@ -46,8 +46,8 @@
 	wake chan struct{}
 }
 
-// Notice records that an upstream is leaving.
-func (r *Reclaimer) Notice(upstream *tracker.Upstream) {
+// OnLeaving records that an upstream is leaving.
+func (r *StreamMigrator) OnLeaving(upstream *tracker.Upstream) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	event := mover.Noticed{
@@ -77,7 +77,7 @@
 }
 
 // register registers a running exchange.
-func (r *Reclaimer) register(e *exchange) {
+func (r *StreamMigrator) register(e *exchange) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.exchanges == nil {
@@ -87,26 +87,26 @@
 	e.streamID = r.lastID
 	e.progress.Store(int64(e.stream.Offset()))
 	r.exchanges[e.streamID] = e
-	r.step(mover.Joined{
+	r.step(mover.StreamStarted{
 		Upstream: incarnationOf(e.upstream),
 		Stream:   e.moverStream(),
 	})
 }
 
 // deregister removes an exchange that has ended.
-func (r *Reclaimer) deregister(e *exchange) {
+func (r *StreamMigrator) deregister(e *exchange) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.exchanges, e.streamID)
-	r.step(mover.Ended{
+	r.step(mover.StreamEnded{
 		Upstream: incarnationOf(e.upstream),
 		Stream:   e.streamID,
 	})
 }
 
-// NewReclaimer returns a Reclaimer that knows of no leaving upstream.
-func NewReclaimer(router Router, pools *Pools, log zerolog.Logger) *Reclaimer {
-	return &Reclaimer{
+// NewStreamMigrator returns a Reclaimer that knows of no leaving upstream.
+func NewStreamMigrator(router Router, pools *Pools, log zerolog.Logger) *StreamMigrator {
+	return &StreamMigrator{
 		Router: router,
 		Pools:  pools,
 		Log:    log,
@@ -116,7 +116,7 @@
 
 // Run ticks the mover while any upstream is leaving and carries out its exports, until
 // ctx ends.
-func (r *Reclaimer) Run(ctx context.Context) error {
+func (r *StreamMigrator) Run(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
@@ -128,7 +128,7 @@
 }
 
 // tickWhileActive ticks until no upstream is leaving any more.
-func (r *Reclaimer) tickWhileActive(ctx context.Context) {
+func (r *StreamMigrator) tickWhileActive(ctx context.Context) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for r.isActive() {
@@ -143,7 +143,7 @@
 	}
 }
 
-func (r *Reclaimer) isActive() bool {
+func (r *StreamMigrator) isActive() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.planner.Active()
@@ -151,12 +151,12 @@
 
 // tick reports the streams' progress to the mover and returns the exchanges whose KV
 // caches are to be exported.
-func (r *Reclaimer) tick() []*exchange {
+func (r *StreamMigrator) tick() []*exchange {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, e := range r.exchanges {
-		if r.planner.Leaving(incarnationOf(e.upstream)) {
-			r.step(mover.Progressed{
+		if r.planner.IsLeaving(incarnationOf(e.upstream)) {
+			r.step(mover.StreamProgressed{
 				Upstream: incarnationOf(e.upstream),
 				Stream:   e.moverStream(),
 			})
@@ -169,7 +169,7 @@
 }
 
 // step passes an event to the mover and carries out its actions; the lock must be held.
-func (r *Reclaimer) step(event mover.Event) {
+func (r *StreamMigrator) step(event mover.Event) {
 	for _, action := range r.planner.Step(time.Now(), event) {
 		switch a := action.(type) {
 		case mover.Export:
@@ -188,7 +188,7 @@
 // export transfers a stream's KV cache to another upstream and moves the stream there.
 // The stream continues at its old upstream in the meantime; only the tokens generated
 // after the export began are computed again.
-func (r *Reclaimer) export(ctx context.Context, e *exchange) {
+func (r *StreamMigrator) export(ctx context.Context, e *exchange) {
 	began := time.Now()
 	target := r.Router.Pick(e.call, []units.Upstream{e.upstream.Name})
 	var tokens units.Tokens
@@ -204,7 +204,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.step(mover.Exported{
+	r.step(mover.ExportEnded{
 		Upstream: incarnationOf(e.upstream),
 		Stream:   e.streamID,
 		Tokens:   tokens,
@@ -214,7 +214,7 @@
 }
 
 // transfer asks the target to fetch the KV cache from the stream's upstream.
-func (r *Reclaimer) transfer(ctx context.Context, e *exchange, target *tracker.Upstream) (units.Tokens, error) {
+func (r *StreamMigrator) transfer(ctx context.Context, e *exchange, target *tracker.Upstream) (units.Tokens, error) {
 	ctx, cancel := context.WithTimeout(ctx, exportTimeout)
 	defer cancel()
 	body, err := json.Marshal(struct {
@@ -250,7 +250,7 @@
 	return reply.Tokens, json.Unmarshal(content, &reply)
 }
 
-func (r *Reclaimer) log(e *exchange, name string, err error) {
+func (r *StreamMigrator) log(e *exchange, name string, err error) {
 	r.Log.Info().
 		Err(err).
 		Str("call", string(e.call.ID)).
@@ -263,9 +263,9 @@
 func (e *exchange) moverStream() mover.Stream {
 	offset := units.Tokens(e.progress.Load())
 	return mover.Stream{
-		ID:      e.streamID,
-		Context: e.call.Prompt + offset,
-		Left:    max(0, e.call.MaxOutput-offset),
+		ID:        e.streamID,
+		Context:   e.call.PromptTokens + offset,
+		Remaining: max(0, e.call.MaxOutput-offset),
 	}
 }
 
--- a/src/forwarder/pool.go
+++ b/src/forwarder/pool.go
@@ -73,7 +73,7 @@
 
 func (p *Pools) newClient() *http.Client {
 	dialer := &net.Dialer{
-		Timeout: watcher.Connect,
+		Timeout: watcher.ConnectTimeout,
 	}
 	return &http.Client{
 		Transport: &http.Transport{
@@ -82,7 +82,7 @@
 			IdleConnTimeout:     idleTimeout,
 			DisableCompression:  true,
 			TLSClientConfig:     p.TLS,
-			TLSHandshakeTimeout: watcher.Connect,
+			TLSHandshakeTimeout: watcher.ConnectTimeout,
 			ReadBufferSize:      bufferSize,
 			WriteBufferSize:     bufferSize,
 		},
--- a/src/forwarder/request.go
+++ b/src/forwarder/request.go
@@ -169,5 +169,5 @@
 // contextTokens returns how many tokens an upstream must compute before it can generate
 // the next one.
 func contextTokens(call *dispatcher.Call, stream *dispatcher.Stream) units.Tokens {
-	return call.Prompt + stream.Offset()
+	return call.PromptTokens + stream.Offset()
 }
--- a/src/forwarder/stream.go
+++ b/src/forwarder/stream.go
@@ -50,7 +50,7 @@
 		}
 		more := lines.hasEvent()
 		if batch != nil {
-			batch.Hold(more)
+			batch.SetBuffering(more)
 		}
 		if result, ok := e.forwardEvent(reader, offset, data); !ok {
 			return result
@@ -66,7 +66,7 @@
 // the callers' target. All streams of one interval wake up at the same moments, so that
 // one timer wake-up serves many of them.
 func (e *exchange) awaitBatch() {
-	interval := min(maxBatchInterval, e.call.BetweenTokens/batchDivisor)
+	interval := min(maxBatchInterval, e.call.InterTokenLatency/batchDivisor)
 	if interval <= 0 || e.stream.Offset() == 0 {
 		return
 	}
--- a/src/gateway/control_session_test.go
+++ b/src/gateway/control_session_test.go
@@ -26,7 +26,7 @@
 	var changes []*messages.RegisteredUpstream
 	reached := uint64(0)
 	if leads || c.controlSession.tableID == c.ID && c.controlSession.cursor > 0 {
-		changes, reached = c.Part(now, c.controlSession.tableID, c.controlSession.cursor, c.Cursor(), pageSize)
+		changes, reached = c.Page(now, c.controlSession.tableID, c.controlSession.cursor, c.Cursor(), pageSize)
 	}
 	c.sent += len(changes)
 	c.controlSession.handleResponse(&messages.EntryPollResponse{
@@ -38,7 +38,7 @@
 		c.controlSession.requestFullTable()
 	}
 	for _, m := range changes {
-		entry.Follow(now, m)
+		entry.Merge(now, m)
 	}
 }
 
@@ -52,14 +52,14 @@
 	second := &polledTable{Table: &enroller.Table{ID: 2, Interval: interval}}
 	entry := &enroller.Table{ID: 3, Interval: interval}
 	beat := enroller.Registration{
-		ID:       "u",
-		Address:  "x",
-		State:    enroller.Ready,
-		Born:     1,
-		Sequence: 1,
+		ID:          "u",
+		Address:     "x",
+		State:       enroller.Ready,
+		Incarnation: 1,
+		Sequence:    1,
 	}
-	first.Hear(now, beat, 0)
-	second.Hear(now, beat, 0)
+	first.Record(now, beat, 0)
+	second.Record(now, beat, 0)
 	// The entry has the whole table of the second instance from an earlier leadership of that
 	// instance.
 	second.poll(now, entry, true, true)
@@ -67,15 +67,15 @@
 	first.poll(now, entry, true, true)
 	now = now.Add(5 * interval)
 	beat.Sequence++
-	second.Hear(now, beat, 0)
+	second.Record(now, beat, 0)
 	first.Expire(now)
 	first.poll(now, entry, true, false)
-	if got := entry.Entries()[0].Silent; !got {
+	if got := entry.Upstreams()[0].Silent; !got {
 		t.Fatal("silent by the first leader: got false, want true")
 	}
 	second.poll(now, entry, true, true)
 	second.poll(now, entry, true, false)
-	if got := entry.Entries()[0].Silent; got {
+	if got := entry.Upstreams()[0].Silent; got {
 		t.Error("silent by the second leader: got true, want false")
 	}
 }
@@ -86,12 +86,12 @@
 	now := time.Unix(1000, 0)
 	c := &polledTable{Table: &enroller.Table{ID: 1, Interval: time.Second}}
 	for _, id := range []units.Upstream{"a", "b", "c"} {
-		c.Hear(now, enroller.Registration{
-			ID:       id,
-			Address:  string(id),
-			State:    enroller.Ready,
-			Born:     1,
-			Sequence: 1,
+		c.Record(now, enroller.Registration{
+			ID:          id,
+			Address:     string(id),
+			State:       enroller.Ready,
+			Incarnation: 1,
+			Sequence:    1,
 		}, 0)
 	}
 	entry := &enroller.Table{ID: 2, Interval: time.Second}
@@ -107,7 +107,7 @@
 	if got, want := c.sent, 3; got != want {
 		t.Errorf("upstreams sent in 20 answers of the leader: got %d, want %d", got, want)
 	}
-	if got, want := len(entry.Entries()), 3; got != want {
+	if got, want := len(entry.Upstreams()), 3; got != want {
 		t.Errorf("upstreams that the entry knows: got %d, want %d", got, want)
 	}
 }
--- a/src/gateway/gateway.go
+++ b/src/gateway/gateway.go
@@ -42,7 +42,7 @@
 	Log      zerolog.Logger
 	Meter    *meter.Meter
 	// Decode parses a configuration in the operators' format.
-	Decode func(document []byte) (*matcher.Declaration, error)
+	Decode func(document []byte) (*matcher.Configuration, error)
 	// Dialect is the protocol of the upstreams.
 	Dialect exchanger.Dialect
 	// Metrics listens on the address given in the settings; nil serves no metrics.
@@ -96,8 +96,8 @@
 	}
 	g.usageCounter = &tallier.Counter{WindowLength: g.Settings.Usage.Window}
 	g.pool = &exchanger.Pool{
-		Most:   g.connections,
-		Opened: g.trafficStats.connections,
+		MaxConnections: g.connections,
+		OpenedCounter:  g.trafficStats.connections,
 	}
 	g.dispatcher = &dispatcher.Dispatcher{
 		Limiter:  (*accountLimiter)(g),
@@ -106,12 +106,12 @@
 		Exchanger: &lossDetector{
 			Exchanger: &measuredExchanger{
 				Exchanger: &exchanger.Exchanger{
-					Pool:    g.pool,
-					Dialect: g.Dialect,
-					Guard:   (*attemptGuard)(g),
-					Donor:   g.placer.Donor,
-					Began:   g.countCall,
-					Limited: g.recordLimit,
+					Pool:      g.pool,
+					Dialect:   g.Dialect,
+					Guard:     (*attemptGuard)(g),
+					Donor:     g.placer.Donor,
+					OnStarted: g.countCall,
+					OnLimit:   g.recordLimit,
 				},
 				gateway: g,
 			},
@@ -182,7 +182,7 @@
 	if w == nil || w.table == nil {
 		return matcher.Limits{}, false
 	}
-	return w.table.Declaration.Limits, true
+	return w.table.Configuration.Limits, true
 }
 
 func (g *Gateway) fleet() placer.Fleet {
@@ -207,17 +207,17 @@
 		return minConnections
 	}
 	service := w.table.Service(u.Service)
-	if service == nil || service.Connections <= 0 {
+	if service == nil || service.MaxConnections <= 0 {
 		return u.Slots
 	}
-	share := sharedConnectionFraction * float64(service.Connections) / float64(max(1, w.entries))
+	share := sharedConnectionFraction * float64(service.MaxConnections) / float64(max(1, w.entries))
 	return max(minConnections, int(share))
 }
 
 // countCall counts a call that has started to run in its account's usage, once however many
 // upstreams it runs at.
 func (g *Gateway) countCall(call *dispatcher.Call, _ *tracker.Upstream) {
-	t, known := call.Trail.(*trail)
+	t, known := call.Trace.(*trail)
 	if call.Account == nil || !known || t.usageCounted {
 		return
 	}
--- a/src/gateway/limit_sync.go
+++ b/src/gateway/limit_sync.go
@@ -16,7 +16,7 @@
 	now := timekeeper.Now()
 	changed := g.gate.RecordObservation(pacer.Observation{
 		Life:       units.LifeOf(upstream.Name, upstream.Incarnation),
-		HasLimit:   limit.Stated,
+		HasLimit:   limit.HasRate,
 		Rate:       limit.Rate,
 		AnsweredAt: now,
 		SentAt:     sentAt,
@@ -27,7 +27,7 @@
 	g.Log.Info().
 		Str("upstream", string(upstream.Name)).
 		Uint64("born", uint64(upstream.Incarnation)).
-		Bool("limited", limit.Stated).
+		Bool("limited", limit.HasRate).
 		Float64("limit", float64(limit.Rate)).
 		Int64("sent-ms", now.Sub(sentAt).Milliseconds()).
 		Msg("upstream-limit")
--- a/src/gateway/loss_detector.go
+++ b/src/gateway/loss_detector.go
@@ -46,24 +46,24 @@
 	result := l.Exchanger.Exchange(ctx, call, attempt, upstream, stream)
 	now := timekeeper.Now()
 	switch {
-	case result.Kind == dispatcher.Answered, result.Kind == dispatcher.Failed, result.Answering >= minRunTime:
+	case result.Kind == dispatcher.Answered, result.Kind == dispatcher.Failed, result.AnswerDuration >= minRunTime:
 		if l.gateway.evidence.RecordRun(now, call.Fingerprint) {
 			l.gateway.Log.Info().Str("call", string(call.ID)).Stringer("fingerprint", call.Fingerprint).Msg("request-ran")
 		}
-	case result.Cut:
+	case result.ConnectionLost:
 		l.connectionCut(ctx, upstream, lostCall{
 			loss: quarantiner.Loss{
 				Request:   call.Fingerprint,
 				Life:      units.LifeOf(upstream.Name, upstream.Incarnation),
-				Answering: result.Answering > 0,
+				Answering: result.AnswerDuration > 0,
 			},
 			id: call.ID,
 		})
 	}
-	if !result.Cut {
+	if !result.ConnectionLost {
 		return result
 	}
-	if t, known := call.Trail.(*trail); known {
+	if t, known := call.Trace.(*trail); known {
 		t.connectionCut = true
 	}
 	l.gateway.trafficStats.connectionCut(upstream)
@@ -74,7 +74,7 @@
 		Uint64("born", uint64(upstream.Incarnation)).
 		Int("attempt", int(attempt)).
 		Int64("after-ms", now.Sub(startedAt).Milliseconds()).
-		Int64("answering-ms", result.Answering.Milliseconds()).
+		Int64("answering-ms", result.AnswerDuration.Milliseconds()).
 		Err(result.Err).
 		Msg("upstream-cut")
 	return result
@@ -106,7 +106,7 @@
 // no new connection has crashed.
 func (l *lossDetector) checkUpstream(ctx context.Context, upstream *tracker.Upstream, life units.Life) {
 	time.Sleep(checkDelay)
-	err := l.gateway.pool.Reach(ctx, upstream)
+	err := l.gateway.pool.Probe(ctx, upstream)
 	// Calls that were lost during the check have the same cause.
 	for calls := l.takePending(life); len(calls) > 0; calls = l.takePending(life) {
 		if err != nil {
--- a/src/gateway/loss_detector_test.go
+++ b/src/gateway/loss_detector_test.go
@@ -21,7 +21,7 @@
 // terminate: an answer that was lost, an upstream that leaves, a caller who left, a call that
 // had run for long.
 func TestOnlyACrashCountsAgainstRequests(t *testing.T) {
-	cut := dispatcher.Result{Kind: dispatcher.Lost, Cut: true, Err: io.ErrUnexpectedEOF}
+	cut := dispatcher.Result{Kind: dispatcher.OutcomeUnknown, ConnectionLost: true, Err: io.ErrUnexpectedEOF}
 	cases := map[string]struct {
 		result dispatcher.Result
 		// crashed makes the upstream accept no new connection, leaving makes it accept no calls.
@@ -33,9 +33,9 @@
 		"lost answer":                  {result: cut},
 		"leaving upstream":             {result: cut, crashed: true, leaving: true},
 		"caller who left":              {result: dispatcher.Result{Kind: dispatcher.CallerGone}, crashed: true},
-		"call that had run for long":   {result: dispatcher.Result{Kind: dispatcher.Broken, Cut: true, Answering: minRunTime}, crashed: true},
-		"stream that had just started": {result: dispatcher.Result{Kind: dispatcher.Broken, Cut: true, Answering: minRunTime / 2}, crashed: true, want: 1},
-		"deadline":                     {result: dispatcher.Result{Kind: dispatcher.Lost}, crashed: true},
+		"call that had run for long":   {result: dispatcher.Result{Kind: dispatcher.Unresumable, ConnectionLost: true, AnswerDuration: minRunTime}, crashed: true},
+		"stream that had just started": {result: dispatcher.Result{Kind: dispatcher.Unresumable, ConnectionLost: true, AnswerDuration: minRunTime / 2}, crashed: true, want: 1},
+		"deadline":                     {result: dispatcher.Result{Kind: dispatcher.OutcomeUnknown}, crashed: true},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -56,7 +56,7 @@
 			}
 			g := newLimitedGateway(t, time.Minute)
 			g.Log = zerolog.Nop()
-			g.pool = &exchanger.Pool{Most: func(*tracker.Upstream) int { return 2 }}
+			g.pool = &exchanger.Pool{MaxConnections: func(*tracker.Upstream) int { return 2 }}
 			w := *g.snapshot.Load()
 			if !c.leaving {
 				w.fleet = placer.Fleet{"s": {{Upstream: upstream}}}
@@ -100,14 +100,14 @@
 	g.Log = zerolog.Nop()
 	opened := testCounter(0)
 	g.pool = &exchanger.Pool{
-		Most:   func(*tracker.Upstream) int { return 50 },
-		Opened: &opened,
+		MaxConnections: func(*tracker.Upstream) int { return 50 },
+		OpenedCounter:  &opened,
 	}
 	w := *g.snapshot.Load()
 	w.fleet = placer.Fleet{"s": {{Upstream: upstream}}}
 	g.snapshot.Store(&w)
 	l := &lossDetector{
-		Exchanger: &fixedExchanger{result: dispatcher.Result{Kind: dispatcher.Lost, Cut: true, Err: io.EOF}, after: func() {}},
+		Exchanger: &fixedExchanger{result: dispatcher.Result{Kind: dispatcher.OutcomeUnknown, ConnectionLost: true, Err: io.EOF}, after: func() {}},
 		gateway:   g,
 	}
 	for n := range 20 {
--- a/src/gateway/poller.go
+++ b/src/gateway/poller.go
@@ -306,7 +306,7 @@
 	p.updateControls(r.GetControls())
 	changed := p.applyDeclaration(r.GetDeclaration())
 	for _, m := range p.upstreamChanges(r) {
-		if p.table.Follow(now, m) {
+		if p.table.Merge(now, m) {
 			changed = true
 			p.gateway.logUpstream(m)
 		}
--- a/src/gateway/quarantine.go
+++ b/src/gateway/quarantine.go
@@ -107,8 +107,8 @@
 	return nil, nil
 }
 
-// Dispatching allows an attempt unless its request is quarantined.
-func (a *attemptRecorder) Dispatching(_ context.Context, call *dispatcher.Call, _ units.Attempt, _ units.Upstream) error {
+// BeforeDispatch allows an attempt unless its request is quarantined.
+func (a *attemptRecorder) BeforeDispatch(_ context.Context, call *dispatcher.Call, _ units.Attempt, _ units.Upstream) error {
 	return (*Gateway)(a).checkQuarantine(call)
 }
 
--- a/src/gateway/quarantine_test.go
+++ b/src/gateway/quarantine_test.go
@@ -72,7 +72,7 @@
 				quarantine()
 			}
 			x := &fixedExchanger{
-				result: dispatcher.Result{Kind: dispatcher.Lost, Cut: true, Err: io.ErrUnexpectedEOF},
+				result: dispatcher.Result{Kind: dispatcher.OutcomeUnknown, ConnectionLost: true, Err: io.ErrUnexpectedEOF},
 				after:  quarantine,
 			}
 			d := &dispatcher.Dispatcher{
@@ -82,12 +82,12 @@
 				Exchanger: x,
 			}
 			call := &dispatcher.Call{
-				Repeatable:  true,
-				Stream:      name == "known as a stream is broken",
-				MaxAttempts: 3,
-				Deadline:    time.Now().Add(time.Minute),
-				Expires:     timekeeper.Now().Add(time.Minute),
-				Fingerprint: request,
+				Repeatable:       true,
+				Stream:           name == "known as a stream is broken",
+				MaxAttempts:      3,
+				Deadline:         time.Now().Add(time.Minute),
+				BootTimeDeadline: timekeeper.Now().Add(time.Minute),
+				Fingerprint:      request,
 			}
 			err := d.Do(t.Context(), call, nil)
 			var refusal *dispatcher.Refusal
--- a/src/gateway/rollout_stats.go
+++ b/src/gateway/rollout_stats.go
@@ -95,7 +95,7 @@
 	stream *dispatcher.Stream,
 ) dispatcher.Result {
 	r := j.gateway.snapshot.Load().rollouts[call.Service]
-	t, known := call.Trail.(*trail)
+	t, known := call.Trace.(*trail)
 	if r.state != messages.RolloutState_ROLLOUT_STATE_RUNNING || attempt > 1 || !known {
 		return j.Exchanger.Exchange(ctx, call, attempt, upstream, stream)
 	}
@@ -126,7 +126,7 @@
 // classifyAnswer reports whether an upstream answered, and whether the answer is a failure. A
 // lost connection says nothing about a version.
 func classifyAnswer(result dispatcher.Result) (answered, failed bool) {
-	var foreign *exchanger.ForeignError
+	var foreign *exchanger.InvalidAnswerError
 	switch {
 	case result.Kind == dispatcher.Failed, errors.As(result.Err, &foreign):
 		return true, true
--- a/src/gateway/serve.go
+++ b/src/gateway/serve.go
@@ -34,11 +34,11 @@
 	// Arrived is when the request was read, on the clock that counts suspension.
 	Arrived   time.Time
 	Model     units.Model
-	Prefixes  []dispatcher.Part
+	Prefixes  []dispatcher.PromptPrefix
 	Prompt    units.Tokens
 	MaxOutput units.Tokens
-	// From is the stream offset from which the caller resumes, 0 for the beginning.
-	From units.Tokens
+	// ResumeOffset is the stream offset from which the caller resumes, 0 for the beginning.
+	ResumeOffset units.Tokens
 }
 
 const (
@@ -75,7 +75,7 @@
 		route: route.Name,
 		sink:  timedSink,
 	}
-	call.Trail = t
+	call.Trace = t
 	err = g.dispatcher.Do(ctx, call, timedSink)
 	g.finishCall(w, call, route, t, timedSink, err)
 	return err
@@ -83,14 +83,14 @@
 
 // account returns the account that a call is charged to, nil for none.
 func (w *snapshot) account(route *matcher.Route, key string) (*matcher.Account, error) {
-	if len(w.table.Declaration.Accounts) == 0 || route.Anonymous && key == "" {
+	if len(w.table.Configuration.Accounts) == 0 || route.AllowsAnonymous && key == "" {
 		return nil, nil
 	}
-	account := w.table.AccountOf(key)
+	account := w.table.AccountByKey(key)
 	if account != nil {
 		return account, nil
 	}
-	if route.Anonymous {
+	if route.AllowsAnonymous {
 		return nil, nil
 	}
 	return nil, newRefusal(http.StatusUnauthorized, dispatcher.ProblemBadKey, "the API key is missing or unknown; use one of the account's keys", 0)
@@ -101,30 +101,30 @@
 	if r.CallerTimeout > 0 {
 		remaining = min(remaining, r.CallerTimeout)
 	}
-	urgencies := matcher.UrgenciesOf(account, route)
+	urgencies := matcher.NewUrgencies(account, route)
 	call := &dispatcher.Call{
-		ID:           r.ID,
-		Service:      route.Choose(rand.Float64()),
-		Method:       r.Method,
-		Host:         r.Host,
-		Path:         r.Path,
-		Header:       r.Header,
-		Body:         r.Body,
-		Deadline:     time.Now().Add(remaining - timekeeper.Now().Sub(r.Arrived)),
-		Expires:      r.Arrived.Add(remaining),
-		Repeatable:   route.Repeatable(),
-		Stream:       route.Kind == matcher.Streaming,
-		Model:        r.Model,
-		Prompt:       r.Prompt,
-		MaxOutput:    r.MaxOutput,
-		Parts:        r.Prefixes,
-		From:         r.From,
-		MaxAttempts:  max(1, route.Attempts),
-		Target:       route.Target,
-		Pause:        route.Gap,
-		Urgency:      urgencies.Urgency,
-		RouteUrgency: urgencies.Route,
-		Rank:         w.table.Rank(urgencies),
+		ID:               r.ID,
+		Service:          route.ChooseService(rand.Float64()),
+		Method:           r.Method,
+		Host:             r.Host,
+		Path:             r.Path,
+		Header:           r.Header,
+		Body:             r.Body,
+		Deadline:         time.Now().Add(remaining - timekeeper.Now().Sub(r.Arrived)),
+		BootTimeDeadline: r.Arrived.Add(remaining),
+		Repeatable:       route.Repeatable(),
+		Stream:           route.Kind == matcher.Streaming,
+		Model:            r.Model,
+		PromptTokens:     r.Prompt,
+		MaxOutput:        r.MaxOutput,
+		Prefixes:         r.Prefixes,
+		ResumeOffset:     r.ResumeOffset,
+		MaxAttempts:      max(1, route.MaxAttempts),
+		LatencyTarget:    route.Target,
+		MaxEventGap:      route.EventGap,
+		Urgency:          urgencies.Urgency,
+		RouteUrgency:     urgencies.RouteUrgency,
+		Rank:             w.table.Rank(urgencies),
 	}
 	name := units.Account("")
 	if account != nil {
@@ -136,11 +136,11 @@
 	}
 	call.Account = &parser.ClientAccount{Name: account.Name}
 	call.Credential = r.Key
-	call.Size = 1
-	if account.ByTokens {
-		call.Size = float64(r.Prompt + r.MaxOutput)
-		if call.Size == 0 {
-			call.Size = account.Plain
+	call.LimitCost = 1
+	if account.CountsTokens {
+		call.LimitCost = float64(r.Prompt + r.MaxOutput)
+		if call.LimitCost == 0 {
+			call.LimitCost = account.DefaultTokens
 		}
 	}
 	return call
@@ -179,7 +179,7 @@
 		if account == nil {
 			return nil, newRefusal(http.StatusUnauthorized, dispatcher.ProblemBadKey, "the account is no more", 0)
 		}
-		wait, admitted := g.quota.Admit(timekeeper.Now(), account, call.Size)
+		wait, admitted := g.quota.Admit(timekeeper.Now(), account, call.LimitCost)
 		if !admitted {
 			return nil, newRefusal(http.StatusTooManyRequests, dispatcher.ProblemLimit,
 				fmt.Sprintf("the account's limit of %.0f a second is reached; come back later or raise it", account.Rate), wait)
@@ -198,7 +198,7 @@
 // configuration and by a clock that counts suspension.
 func (g *Gateway) checkPermitted(call *dispatcher.Call) error {
 	now := timekeeper.Now()
-	if !now.Before(call.Expires) {
+	if !now.Before(call.BootTimeDeadline) {
 		return &dispatcher.Refusal{
 			Status:     http.StatusServiceUnavailable,
 			Kind:       dispatcher.ProblemDeadline,
@@ -217,7 +217,7 @@
 	if !now.Before(w.lease) {
 		return newUnreadyRefusal("this entry has lost control and cannot tell whether the key still holds; use another entry")
 	}
-	if w.table.AccountOf(call.Credential) == nil {
+	if w.table.AccountByKey(call.Credential) == nil {
 		return newRefusal(http.StatusUnauthorized, dispatcher.ProblemBadKey, "the API key has been taken away", 0)
 	}
 	return nil
@@ -231,7 +231,7 @@
 	if err := (*Gateway)(c).checkPermitted(call); err != nil {
 		return 0, err
 	}
-	return call.Expires.Sub(timekeeper.Now()), nil
+	return call.BootTimeDeadline.Sub(timekeeper.Now()), nil
 }
 
 // observer passes the result of each exchange to the placer and to the traffic statistics.
@@ -255,9 +255,9 @@
 	sink          *timedSink
 }
 
-// Note records an attempt that has ended.
-func (t *trail) Note(step dispatcher.Step, upstream units.Upstream, detail string) {
-	if step != dispatcher.StepEnded {
+// RecordStep records an attempt that has ended.
+func (t *trail) RecordStep(step dispatcher.Step, upstream units.Upstream, detail string) {
+	if step != dispatcher.StepAttemptEnded {
 		return
 	}
 	if t.text.Len() > 0 {
@@ -268,8 +268,8 @@
 	t.text.WriteString(detail)
 }
 
-// Candidate is not recorded.
-func (t *trail) Candidate(units.Upstream, float64) {}
+// RecordCandidate is not recorded.
+func (t *trail) RecordCandidate(units.Upstream, float64) {}
 
 // timedSink measures the time to the first byte for the caller, and the longest pause between
 // two events of a stream.
@@ -313,10 +313,10 @@
 	return s.Sink.Answer(answer)
 }
 
-// Hold batches several events into one write if the sink supports it.
-func (s *timedSink) Hold(hold bool) {
+// SetBuffering batches several events into one write if the sink supports it.
+func (s *timedSink) SetBuffering(hold bool) {
 	if b, ok := s.Sink.(dispatcher.Batcher); ok {
-		b.Hold(hold)
+		b.SetBuffering(hold)
 	}
 }
 
@@ -335,18 +335,18 @@
 		outcome = "caller-gone"
 	}
 	if refusal != nil && refusal.Executed == dispatcher.ExecutedNo && refusal.Status != http.StatusTooManyRequests && call.Account != nil {
-		g.quota.Refund(call.Account.Name, call.Size)
+		g.quota.Refund(call.Account.Name, call.LimitCost)
 	}
 	g.trafficStats.served(call, outcome, s.firstByte)
 	event.Str("call", string(call.ID)).
 		Str("route", route.Name).
 		Str("service", string(call.Service)).
-		Uint64("version", uint64(w.table.Declaration.Version)).
+		Uint64("version", uint64(w.table.Configuration.Version)).
 		Int64("lease-ms", w.lease.Sub(now).Milliseconds()).
 		Int64("first-ms", s.firstByte.Milliseconds()).
 		Int64("pause-ms", s.longestPause.Milliseconds()).
 		Int64("target-ms", route.Target.Milliseconds()).
-		Int64("gap-ms", route.Gap.Milliseconds()).
+		Int64("gap-ms", route.EventGap.Milliseconds()).
 		Int64("took-ms", now.Sub(s.startedAt).Milliseconds())
 	if t.connectionCut || refusal != nil && refusal.Kind == dispatcher.ProblemQuarantined {
 		event.Stringer("fingerprint", call.Fingerprint)
@@ -354,7 +354,7 @@
 	if call.Account != nil {
 		event.Str("account", string(call.Account.Name)).
 			Int("rank", call.Rank).
-			Float64("size", call.Size)
+			Float64("size", call.LimitCost)
 	}
 	if refusal != nil {
 		event.Int("status", refusal.Status).
--- a/src/gateway/snapshot.go
+++ b/src/gateway/snapshot.go
@@ -50,10 +50,10 @@
 	fleet = make(placer.Fleet)
 	leaving = make(placer.Fleet)
 	kept := make(map[liveKey]*tracker.LocalState)
-	for _, e := range table.Entries() {
+	for _, e := range table.Upstreams() {
 		key := liveKey{
 			name: e.ID,
-			born: e.Born,
+			born: e.Incarnation,
 		}
 		live := u.live[key]
 		if live == nil {
@@ -69,18 +69,18 @@
 			Address:     e.Address,
 			DataCentre:  e.DataCentre,
 			Reclaimable: e.Reclaimable,
-			Incarnation: e.Born,
+			Incarnation: e.Incarnation,
 			Sequence:    e.Sequence,
 			Slots:       e.Slots,
 			Release:     e.Release,
-			AnnouncedAt: e.HeardAt,
+			AnnouncedAt: e.HeartbeatAt,
 			Local:       live,
 		}, e.ColdFor > 0, e.Silent)
 		if e.State == enroller.Ready {
 			fleet[e.Service] = append(fleet[e.Service], candidate)
 			continue
 		}
-		candidate.TerminatesAt = e.HeardAt.Add(cmp.Or(e.LeavesIn, defaultLeavingTime))
+		candidate.TerminatesAt = e.HeartbeatAt.Add(cmp.Or(e.LeavesIn, defaultLeavingTime))
 		leaving[e.Service] = append(leaving[e.Service], candidate)
 	}
 	u.live = kept
--- a/src/gateway/traffic_stats.go
+++ b/src/gateway/traffic_stats.go
@@ -71,7 +71,7 @@
 	s.advance(now)
 	s.inFlight++
 	s.calls++
-	s.tokens += float64(call.Unread())
+	s.tokens += float64(call.UncachedTokens())
 }
 
 // finished records that an admitted call is over.
@@ -98,7 +98,7 @@
 	defer f.mu.Unlock()
 	s := f.service(call.Service)
 	s.updateMinWait(firstByte)
-	s.updatePrefill(firstByte, call.Unread())
+	s.updatePrefill(firstByte, call.UncachedTokens())
 	counter := f.calls[outcome]
 	if counter == nil {
 		counter = f.scope.Tagged(map[string]string{"outcome": outcome}).Counter("calls")
@@ -270,7 +270,7 @@
 		return d, nil
 	}
 	if w.table != nil {
-		d.Version = uint64(w.table.Declaration.Version)
+		d.Version = uint64(w.table.Configuration.Version)
 	}
 	d.Entries = w.entries
 	d.Lease = w.lease.Sub(timekeeper.Now()).String()
--- a/src/gateway/traffic_stats_test.go
+++ b/src/gateway/traffic_stats_test.go
@@ -30,12 +30,12 @@
 		t.Run(name, func(t *testing.T) {
 			g := newLimitedGateway(t, c.lease)
 			call := &dispatcher.Call{
-				Service:    "s",
-				Prompt:     1000,
-				Size:       1000,
-				Account:    &parser.ClientAccount{Name: "a"},
-				Credential: "key",
-				Expires:    timekeeper.Now().Add(time.Minute),
+				Service:          "s",
+				PromptTokens:     1000,
+				LimitCost:        1000,
+				Account:          &parser.ClientAccount{Name: "a"},
+				Credential:       "key",
+				BootTimeDeadline: timekeeper.Now().Add(time.Minute),
 			}
 			_, _ = g.quota.Admit(timekeeper.Now(), g.snapshot.Load().table.Account("a"), c.spent)
 			_, _ = (*accountLimiter)(g).Admit(t.Context(), call)
@@ -62,13 +62,13 @@
 	}
 	g.snapshot.Store(&snapshot{
 		lease: timekeeper.Now().Add(lease),
-		table: matcher.NewTable(&matcher.Declaration{
+		table: matcher.NewTable(&matcher.Configuration{
 			Accounts: []matcher.Account{{
-				Name:     "a",
-				Keys:     []string{"key"},
-				ByTokens: true,
-				Rate:     100_000,
-				Burst:    100_000,
+				Name:         "a",
+				Keys:         []string{"key"},
+				CountsTokens: true,
+				Rate:         100_000,
+				Burst:        100_000,
 			}},
 		}),
 	})
@@ -82,7 +82,7 @@
 	defer func() { _ = m.Close() }()
 	f := newTrafficStats(m)
 	now := timekeeper.Now()
-	f.admitted(now, &dispatcher.Call{Service: "s", Prompt: 1000})
+	f.admitted(now, &dispatcher.Call{Service: "s", PromptTokens: 1000})
 	load := f.loads(now.Add(2 * time.Second))[0]
 	if got, want := load.GetTokens(), 1000.0; got != want {
 		t.Errorf("tokens while the call is in flight: got %v, want %v", got, want)
@@ -131,7 +131,7 @@
 	defer func() { _ = m.Close() }()
 	f := newTrafficStats(m)
 	f.served(&dispatcher.Call{Service: "s"}, "answered", 10*time.Millisecond)
-	f.served(&dispatcher.Call{Service: "s", Prompt: 10_000}, "answered", 110*time.Millisecond)
+	f.served(&dispatcher.Call{Service: "s", PromptTokens: 10_000}, "answered", 110*time.Millisecond)
 	if got := f.services["s"].prefillPerToken; got < 0.95e-5 || got > 1.05e-5 {
 		t.Errorf("seconds for a token: got %.3e, want about 1e-5", got)
 	}
--- a/src/gossiper/event.go
+++ b/src/gossiper/event.go
@@ -10,13 +10,13 @@
 // Event is an input to the gossiper.
 type Event interface{ event() }
 
-// Viewed reports a new set of entries.
-type Viewed struct {
+// ViewChanged reports a new set of entries.
+type ViewChanged struct {
 	View *messages.EntryView
 }
 
-// News reports that this entry's table has changed.
-type News struct {
+// TableChanged reports that this entry's table has changed.
+type TableChanged struct {
 	Rumour *messages.Rumour
 	Urgent bool
 	// From is the entry that sent the rumour, "" if the upstream announced itself here.
@@ -25,19 +25,19 @@
 	PassOn bool
 }
 
-// Probed requests what other entries know of a silent upstream.
-type Probed struct {
+// ProbeRequested requests what other entries know of a silent upstream.
+type ProbeRequested struct {
 	Line *messages.DigestLine
 }
 
-// Asked reports that another entry requested the rumour about an upstream.
-type Asked struct {
+// RumourRequested reports that another entry requested the rumour about an upstream.
+type RumourRequested struct {
 	By     units.Instance
 	Rumour *messages.Rumour
 }
 
-// Failed reports that a message got no response.
-type Failed struct {
+// SendFailed reports that a message got no response.
+type SendFailed struct {
 	To     units.Instance
 	Gossip *messages.Gossip
 	// Took is the time from sending the message to the failure.
@@ -46,20 +46,20 @@
 
 // Ticked reports that time has passed.
 type Ticked struct {
-	// Now sends what is queued without waiting for the interval.
-	Now bool
-	// Alive returns rumours that refresh the upstreams that announce themselves to this entry.
-	Alive func() []*messages.Rumour
+	// Flush sends what is queued without waiting for the interval.
+	Flush bool
+	// Refreshes returns rumours that refresh the upstreams that announce themselves to this entry.
+	Refreshes func() []*messages.Rumour
 	// Digest returns the digest lines of what this entry knows.
 	Digest func(all bool) []*messages.DigestLine
 }
 
-func (Viewed) event() {}
-func (News) event()   {}
-func (Probed) event() {}
-func (Asked) event()  {}
-func (Failed) event() {}
-func (Ticked) event() {}
+func (ViewChanged) event()     {}
+func (TableChanged) event()    {}
+func (ProbeRequested) event()  {}
+func (RumourRequested) event() {}
+func (SendFailed) event()      {}
+func (Ticked) event()          {}
 
 // Send is a message to be sent; it may be lost.
 type Send struct {
@@ -72,12 +72,12 @@
 type Options struct {
 	ID         units.Instance
 	DataCentre units.DataCentre
-	// Interval is the time between two rounds.
-	Interval time.Duration
-	// Refresh is the minimum time between two refreshes of one upstream.
-	Refresh time.Duration
-	// Digest is the time between two digests.
-	Digest time.Duration
+	// RoundInterval is the time between two rounds.
+	RoundInterval time.Duration
+	// RefreshInterval is the minimum time between two refreshes of one upstream.
+	RefreshInterval time.Duration
+	// DigestInterval is the time between two digests.
+	DigestInterval time.Duration
 	// BytesPerSecond bounds refreshes and digests. Changes are sent even beyond it.
 	BytesPerSecond int
 	// SmallFleet is the number of entries below which every entry keeps all upstreams.
--- a/src/gossiper/gossiper.go
+++ b/src/gossiper/gossiper.go
@@ -59,15 +59,15 @@
 // Step handles one event and returns the messages to send.
 func (g *Gossiper) Step(now time.Time, event Event) []Send {
 	switch e := event.(type) {
-	case Viewed:
+	case ViewChanged:
 		g.updateView(e.View)
-	case News:
+	case TableChanged:
 		g.spreadChange(now, e)
-	case Probed:
+	case ProbeRequested:
 		return g.probe(e.Line)
-	case Asked:
+	case RumourRequested:
 		g.enqueue(now, e.By, e.Rumour, false)
-	case Failed:
+	case SendFailed:
 		g.requeue(now, e)
 	case Ticked:
 		return g.tick(now, e)
@@ -132,7 +132,7 @@
 }
 
 // spreadChange queues a change for the entries that should receive it.
-func (g *Gossiper) spreadChange(now time.Time, e News) {
+func (g *Gossiper) spreadChange(now time.Time, e TableChanged) {
 	switch {
 	case e.From == "" && !e.Urgent:
 		// A refresh goes with the next round of refreshes.
@@ -216,7 +216,7 @@
 }
 
 // requeue queues changes again that got no response, until they are older than retryWindow.
-func (g *Gossiper) requeue(now time.Time, e Failed) {
+func (g *Gossiper) requeue(now time.Time, e SendFailed) {
 	for _, rumour := range e.Gossip.GetRumours() {
 		isRecent := time.Duration(rumour.GetAgeMs())*time.Millisecond < retryWindow
 		if rumour.GetAnnouncement().GetAddress() == "" && rumour.GetState() == messages.UpstreamState_UPSTREAM_STATE_ANNOUNCED || !isRecent {
--- a/src/gossiper/round.go
+++ b/src/gossiper/round.go
@@ -14,18 +14,18 @@
 
 // tick sends what is queued and, within the byte budget, refreshes and a digest.
 func (g *Gossiper) tick(now time.Time, e Ticked) []Send {
-	if len(g.members) == 0 || !e.Now && now.Sub(g.flushedAt) < g.Options.Interval {
+	if len(g.members) == 0 || !e.Flush && now.Sub(g.flushedAt) < g.Options.RoundInterval {
 		return nil
 	}
 	g.addCredit(now)
 	g.flushedAt = now
 	// The budget delays refreshes and digests, but never changes. With it, a larger fleet reduces
 	// the rate of refreshes instead of increasing the traffic of each entry.
-	if g.byteCredit > 0 && now.Sub(g.refreshedAt) >= g.Options.Refresh {
+	if g.byteCredit > 0 && now.Sub(g.refreshedAt) >= g.Options.RefreshInterval {
 		g.refreshedAt = now
-		g.enqueueRefreshes(now, e.Alive())
+		g.enqueueRefreshes(now, e.Refreshes())
 	}
-	if g.byteCredit > 0 && now.Sub(g.digestedAt) >= g.Options.Digest {
+	if g.byteCredit > 0 && now.Sub(g.digestedAt) >= g.Options.DigestInterval {
 		g.digestedAt = now
 		g.enqueueDigest(e.Digest(g.isSmallFleet()))
 	}
@@ -130,5 +130,5 @@
 	return len(g.keepers), len(g.relays), len(g.neighbours)
 }
 
-// Peer returns the address of an entry, "" if it is not in the view.
-func (g *Gossiper) Peer(name units.Instance) string { return g.members[name].GetPeerAddress() }
+// PeerAddress returns the address of an entry, "" if it is not in the view.
+func (g *Gossiper) PeerAddress(name units.Instance) string { return g.members[name].GetPeerAddress() }
--- a/src/governor/coordinator.go
+++ b/src/governor/coordinator.go
@@ -52,7 +52,7 @@
 type coordinator struct {
 	settings *parser.Deployment
 	log      zerolog.Logger
-	decode   func([]byte) (*matcher.Declaration, error)
+	decode   func([]byte) (*matcher.Configuration, error)
 	keeper   *keeper.Keeper
 	node     *replicator.Node
 	state    *state
@@ -72,7 +72,7 @@
 	pollSummary *pollSummary
 	// configuration is the decoded configuration in force, compressed the form that is sent
 	// to entries.
-	configuration *matcher.Declaration
+	configuration *matcher.Configuration
 	compressed    *messages.Declaration
 	role          replicator.RoleChanged
 	leaderSince   time.Time
--- a/src/governor/coordinator_test.go
+++ b/src/governor/coordinator_test.go
@@ -88,7 +88,7 @@
 // applies them admits all calls of an account that exceeds its rate.
 func TestFirstPollAfterElectionGetsNoLimits(t *testing.T) {
 	_, c := newLeader(t)
-	c.configuration = &matcher.Declaration{
+	c.configuration = &matcher.Configuration{
 		Accounts: []matcher.Account{{Name: "hot", Rate: 1000, Burst: 1000}},
 	}
 	c.divider = &apportioner.Allocator{}
--- a/src/governor/dump.go
+++ b/src/governor/dump.go
@@ -76,17 +76,17 @@
 	}
 	inFlight := c.inFlight.Total()
 	limits := c.rateLimits.limits()
-	for _, e := range c.table.Entries() {
+	for _, e := range c.table.Upstreams() {
 		load := inFlight[placer.HashOf(e.ID)]
 		d.Upstreams = append(d.Upstreams, DumpUpstream{
 			Name:     string(e.ID),
 			Service:  string(e.Service),
 			State:    e.State.String(),
 			Silent:   e.Silent,
-			HeardMs:  now.Sub(e.HeardAt).Milliseconds(),
+			HeardMs:  now.Sub(e.HeartbeatAt).Milliseconds(),
 			InFlight: load.Calls,
 			Unread:   load.Prefill,
-			Limit:    limits[units.LifeOf(e.ID, e.Born)],
+			Limit:    limits[units.LifeOf(e.ID, e.Incarnation)],
 		})
 	}
 	return d
--- a/src/governor/governor.go
+++ b/src/governor/governor.go
@@ -48,7 +48,7 @@
 	Meter    *meter.Meter
 	// Decode decodes a configuration in the operators' format. A configuration that it
 	// rejects is never committed.
-	Decode func(document []byte) (*matcher.Declaration, error)
+	Decode func(document []byte) (*matcher.Configuration, error)
 	// Cloud is nil where the platform offers no API.
 	Cloud  Cloud
 	Client *connector.Client
--- a/src/governor/heartbeat_test.go
+++ b/src/governor/heartbeat_test.go
@@ -25,13 +25,13 @@
 				n++
 				c.handleAnnouncement(announcement{
 					registration: enroller.Registration{
-						ID:       units.Upstream(fmt.Sprintf("i-%08d", n%upstreams)),
-						Service:  "s",
-						Address:  fmt.Sprintf("10.1.0.%d:8080", n%upstreams),
-						Slots:    12,
-						State:    enroller.Ready,
-						Born:     1,
-						Sequence: uint64(2 + n),
+						ID:          units.Upstream(fmt.Sprintf("i-%08d", n%upstreams)),
+						Service:     "s",
+						Address:     fmt.Sprintf("10.1.0.%d:8080", n%upstreams),
+						Slots:       12,
+						State:       enroller.Ready,
+						Incarnation: 1,
+						Sequence:    uint64(2 + n),
 					},
 				})
 			}
@@ -68,13 +68,13 @@
 			}
 			go func() { _ = coordinator.handle((<-g.events).(announcement)) }()
 			err := g.Announce(t.Context(), enroller.Registration{
-				ID:       "u",
-				Service:  "s",
-				Address:  "10.1.0.1:80",
-				Slots:    1,
-				State:    c.state,
-				Born:     1,
-				Sequence: 1,
+				ID:          "u",
+				Service:     "s",
+				Address:     "10.1.0.1:80",
+				Slots:       1,
+				State:       c.state,
+				Incarnation: 1,
+				Sequence:    1,
 			})
 			if got := err == nil; got != c.taken {
 				t.Errorf("accepted: got %t (%v), want %t", got, err, c.taken)
--- a/src/governor/orders.go
+++ b/src/governor/orders.go
@@ -120,7 +120,7 @@
 // release are not counted: they run beside those that carry the service's load.
 func readyUpstreams(table *enroller.Table, service units.Service, excluded units.Release) scaler.PoolSizes {
 	stock := make(scaler.PoolSizes)
-	for _, e := range table.Entries() {
+	for _, e := range table.Upstreams() {
 		if e.Service == service && e.State == enroller.Ready && !e.Silent && (excluded == "" || e.Release != excluded) {
 			stock[scaler.Pool{
 				DataCentre:  e.DataCentre,
--- a/src/governor/pages.go
+++ b/src/governor/pages.go
@@ -49,7 +49,7 @@
 	if now.Sub(p.sealedAt) < interval || table.Cursor() == p.end {
 		return nil
 	}
-	changes, end := table.Part(now, table.ID, p.end, table.Cursor(), len(table.Entries()))
+	changes, end := table.Page(now, table.ID, p.end, table.Cursor(), len(table.Upstreams()))
 	content, err := proto.Marshal(&messages.UpstreamBatch{Upstreams: changes})
 	if err != nil {
 		return fmt.Errorf("encode the changes of the table: %w", err)
--- a/src/governor/pages_test.go
+++ b/src/governor/pages_test.go
@@ -27,7 +27,7 @@
 		TableId:     f.id,
 		TableCursor: f.cursor,
 	}
-	if f.cursor == 0 && len(f.table.Entries()) > 0 {
+	if f.cursor == 0 && len(f.table.Upstreams()) > 0 {
 		poll.TableDigest = f.table.Digest()
 	}
 	response := &messages.EntryPollResponse{}
@@ -41,7 +41,7 @@
 		changes = append(changes, read...)
 	}
 	for _, m := range changes {
-		f.table.Follow(now, m)
+		f.table.Merge(now, m)
 	}
 	f.id, f.cursor, f.more = c.table.ID, response.GetTableCursor(), response.GetMore()
 }
@@ -60,12 +60,12 @@
 		for n := range rapid.IntRange(1, 120).Draw(t, "heartbeats") {
 			for range rapid.SampledFrom([]int{1, 1, 1, 40}).Draw(t, "at once") {
 				id := fmt.Sprint(rapid.IntRange(0, 300).Draw(t, "upstream"))
-				c.table.Hear(timekeeper.Now(), enroller.Registration{
-					ID:       units.Upstream(id),
-					Address:  id,
-					State:    enroller.State(rapid.IntRange(int(enroller.Ready), int(enroller.Gone)).Draw(t, "state")),
-					Born:     1,
-					Sequence: uint64(n + 1),
+				c.table.Record(timekeeper.Now(), enroller.Registration{
+					ID:          units.Upstream(id),
+					Address:     id,
+					State:       enroller.State(rapid.IntRange(int(enroller.Ready), int(enroller.Gone)).Draw(t, "state")),
+					Incarnation: 1,
+					Sequence:    uint64(n + 1),
 				}, 0)
 			}
 			c.pages.sealedAt = time.Time{}
@@ -83,10 +83,10 @@
 				f.poll(t, c)
 			}
 			known := make(map[units.Upstream]enroller.State)
-			for _, e := range f.table.Entries() {
+			for _, e := range f.table.Upstreams() {
 				known[e.ID] = e.State
 			}
-			for _, e := range c.table.Entries() {
+			for _, e := range c.table.Upstreams() {
 				if got := known[e.ID]; got != e.State && (got != 0 || e.State != enroller.Gone) {
 					t.Errorf("entry %d, upstream %s: got %v, want %v", i, e.ID, got, e.State)
 				}
--- a/src/governor/poll_test.go
+++ b/src/governor/poll_test.go
@@ -25,7 +25,7 @@
 // populate sets a configuration on the leader and registers the fleet's accounts and
 // upstreams.
 func (f fleet) populate(c *coordinator) {
-	c.configuration = &matcher.Declaration{}
+	c.configuration = &matcher.Configuration{}
 	for i := range f.accounts {
 		c.configuration.Accounts = append(c.configuration.Accounts, matcher.Account{
 			Name:  units.Account(fmt.Sprintf("account-%d", i)),
@@ -35,14 +35,14 @@
 	}
 	now := timekeeper.Now()
 	for i := range f.upstreams {
-		c.table.Hear(now, enroller.Registration{
-			ID:       units.Upstream(fmt.Sprintf("i-%08d", i)),
-			Service:  "s",
-			Address:  fmt.Sprintf("10.1.0.%d:8080", i),
-			Slots:    12,
-			State:    enroller.Ready,
-			Born:     1,
-			Sequence: 1,
+		c.table.Record(now, enroller.Registration{
+			ID:          units.Upstream(fmt.Sprintf("i-%08d", i)),
+			Service:     "s",
+			Address:     fmt.Sprintf("10.1.0.%d:8080", i),
+			Slots:       12,
+			State:       enroller.Ready,
+			Incarnation: 1,
+			Sequence:    1,
 		}, 0)
 	}
 }
--- a/src/governor/ratelimits.go
+++ b/src/governor/ratelimits.go
@@ -88,9 +88,9 @@
 	}
 	l.prunedAt = now
 	present := make(map[units.Life]bool)
-	for _, e := range l.coordinator.table.Entries() {
+	for _, e := range l.coordinator.table.Upstreams() {
 		if e.State != enroller.Gone {
-			present[units.LifeOf(e.ID, e.Born)] = true
+			present[units.LifeOf(e.ID, e.Incarnation)] = true
 		}
 	}
 	l.divider.RetainLimits(now, func(life units.Life) bool { return present[life] })
@@ -98,8 +98,8 @@
 
 // upstreamName returns the name of the upstream with a life, "" where it is unknown.
 func (l *rateLimits) upstreamName(life units.Life) units.Upstream {
-	for _, e := range l.coordinator.table.Entries() {
-		if units.LifeOf(e.ID, e.Born) == life {
+	for _, e := range l.coordinator.table.Upstreams() {
+		if units.LifeOf(e.ID, e.Incarnation) == life {
 			return e.ID
 		}
 	}
@@ -128,8 +128,8 @@
 		return 0
 	}
 	count := 0
-	for _, e := range l.coordinator.table.Entries() {
-		if e.Service == service && e.State == enroller.Ready && l.divider.HasShortage(now, units.LifeOf(e.ID, e.Born)) {
+	for _, e := range l.coordinator.table.Upstreams() {
+		if e.Service == service && e.State == enroller.Ready && l.divider.HasShortage(now, units.LifeOf(e.ID, e.Incarnation)) {
 			count++
 		}
 	}
--- a/src/governor/ratelimits_test.go
+++ b/src/governor/ratelimits_test.go
@@ -18,14 +18,14 @@
 	_, c := newLeader(t)
 	now := timekeeper.Now()
 	c.isLeader(now)
-	c.configuration = &matcher.Declaration{}
-	c.table.Hear(now, enroller.Registration{
-		ID:       "u",
-		Service:  "s",
-		Address:  "x",
-		State:    enroller.Ready,
-		Born:     1,
-		Sequence: 1,
+	c.configuration = &matcher.Configuration{}
+	c.table.Record(now, enroller.Registration{
+		ID:          "u",
+		Service:     "s",
+		Address:     "x",
+		State:       enroller.Ready,
+		Incarnation: 1,
+		Sequence:    1,
 	}, 0)
 	return c, units.LifeOf("u", 1)
 }
@@ -99,13 +99,13 @@
 		t.Fatalf("limits: got %v, want one", limits)
 	}
 	now := timekeeper.Now()
-	c.table.Hear(now, enroller.Registration{
-		ID:       "u",
-		Service:  "s",
-		Address:  "x",
-		State:    enroller.Ready,
-		Born:     2,
-		Sequence: 1,
+	c.table.Record(now, enroller.Registration{
+		ID:          "u",
+		Service:     "s",
+		Address:     "x",
+		State:       enroller.Ready,
+		Incarnation: 2,
+		Sequence:    1,
 	}, 0)
 	c.rateLimits.tick(now)
 	if limits, _ := c.rateLimits.divider.Limits(); len(limits) > 0 {
--- a/src/governor/registry.go
+++ b/src/governor/registry.go
@@ -29,9 +29,9 @@
 	changed := false
 	if a.deregistered != "" {
 		id = a.deregistered
-		changed = c.table.Leave(now, id)
+		changed = c.table.MarkGone(now, id)
 	} else {
-		changed = c.table.Hear(now, a.registration, 0)
+		changed = c.table.Record(now, a.registration, 0)
 	}
 	c.unsent[id] = true
 	message := c.table.Message(now, id)
@@ -83,7 +83,7 @@
 	now := timekeeper.Now()
 	c.estimator.Take(now, units.Instance(batch.GetFrom()), time.Unix(0, batch.GetWallNs()))
 	for _, message := range batch.GetUpstreams() {
-		c.table.Follow(now, message)
+		c.table.Merge(now, message)
 	}
 	return &messages.UpstreamBatchResponse{Leads: c.node.IsConfirmedLeader(now)}
 }
@@ -165,13 +165,13 @@
 		c.log.Error().Err(err).Msg("table-not-told")
 		return
 	}
-	if changes, complete := c.table.Differing(now, poll.GetTableDigest(), maxChanges); cursor == 0 && complete {
+	if changes, complete := c.table.Differences(now, poll.GetTableDigest(), maxChanges); cursor == 0 && complete {
 		response.Upstreams, response.TableCursor = changes, c.pages.end
 		return
 	}
 	known := false
 	if response.Pages, response.TableCursor, known = c.pages.since(cursor, maxChanges); !known {
-		response.Upstreams, response.TableCursor = c.table.Part(now, c.table.ID, cursor, c.pages.end, maxChanges)
+		response.Upstreams, response.TableCursor = c.table.Page(now, c.table.ID, cursor, c.pages.end, maxChanges)
 	}
 	response.More = response.TableCursor < c.pages.end
 }
--- a/src/governor/rollout.go
+++ b/src/governor/rollout.go
@@ -263,7 +263,7 @@
 	c := r.coordinator
 	inFlight := c.inFlight.Total()
 	stock := releaser.FleetStatus{}
-	for _, e := range c.table.Entries() {
+	for _, e := range c.table.Upstreams() {
 		if e.Service != service {
 			continue
 		}
--- a/src/governor/rollout_test.go
+++ b/src/governor/rollout_test.go
@@ -46,7 +46,7 @@
 func TestRolloutOrdersAtTheLeader(t *testing.T) {
 	_, c := newLeader(t)
 	c.settings.Rollouts.Resend = 5 * time.Second
-	c.configuration = &matcher.Declaration{Services: []matcher.Service{{Name: "s"}}}
+	c.configuration = &matcher.Configuration{Services: []matcher.Service{{Name: "s"}}}
 	v2 := RolloutOrder{Service: "s", Target: "v2", Duration: 10 * time.Second}
 	v3 := RolloutOrder{Service: "s", Target: "v3", Duration: 10 * time.Second}
 	steps := []struct {
@@ -93,14 +93,14 @@
 	now := timekeeper.Now()
 	c.isLeader(now)
 	for _, release := range []units.Release{"v1", "v2"} {
-		c.table.Hear(now, enroller.Registration{
-			ID:       units.Upstream(release),
-			Service:  "s",
-			Address:  string(release),
-			State:    enroller.Ready,
-			Born:     1,
-			Sequence: 1,
-			Release:  release,
+		c.table.Record(now, enroller.Registration{
+			ID:          units.Upstream(release),
+			Service:     "s",
+			Address:     string(release),
+			State:       enroller.Ready,
+			Incarnation: 1,
+			Sequence:    1,
+			Release:     release,
 		}, 0)
 	}
 	for range 2 {
--- a/src/governor/state_test.go
+++ b/src/governor/state_test.go
@@ -106,7 +106,7 @@
 	folder := t.TempDir()
 	now := time.Unix(1000, 0)
 	table := &enroller.Table{ID: 1, Interval: interval}
-	table.Hear(now, enroller.Registration{ID: "u1", Service: "s", Address: "x", State: enroller.Ready, Sequence: 3}, 0)
+	table.Record(now, enroller.Registration{ID: "u1", Service: "s", Address: "x", State: enroller.Ready, Sequence: 3}, 0)
 	file := newTableFile(folder)
 	if err := file.save(now, table); err != nil {
 		t.Fatal(err)
@@ -118,11 +118,11 @@
 	if count, err := newTableFile(folder).load(now, restored); err != nil || count != 1 {
 		t.Fatalf("loaded upstreams: got %d (%v), want 1", count, err)
 	}
-	if got := restored.Entries()[0]; got.State != enroller.Ready || got.Silent {
+	if got := restored.Upstreams()[0]; got.State != enroller.Ready || got.Silent {
 		t.Errorf("upstream: got %v, silent %t, want it ready", got.State, got.Silent)
 	}
 	restored.Expire(now.Add(2 * interval))
-	if !restored.Entries()[0].Silent {
+	if !restored.Upstreams()[0].Silent {
 		t.Error("upstream without heartbeats: got silent false, want true")
 	}
 	if count, err := newTableFile(t.TempDir()).load(now, restored); err != nil || count != 0 {
--- a/src/governor/tablefile.go
+++ b/src/governor/tablefile.go
@@ -52,7 +52,7 @@
 	for _, message := range batch.GetUpstreams() {
 		message.AgeMs = age
 		message.Silent = false
-		table.Follow(now, message)
+		table.Merge(now, message)
 	}
 	f.savedCursor = table.Cursor()
 	return len(batch.GetUpstreams()), nil
@@ -72,7 +72,7 @@
 	if f.saving != nil || table.Cursor() == f.savedCursor || now.Sub(f.savedAt) < saveInterval {
 		return nil
 	}
-	content, err := proto.Marshal(&messages.UpstreamBatch{Upstreams: table.Since(now, 0, 0)})
+	content, err := proto.Marshal(&messages.UpstreamBatch{Upstreams: table.ChangesSince(now, 0, 0)})
 	if err != nil {
 		return fmt.Errorf("encode the upstreams: %w", err)
 	}
--- a/src/informer/fleet_test.go
+++ b/src/informer/fleet_test.go
@@ -79,16 +79,16 @@
 
 func gossipOptions(i int) gossiper.Options {
 	return gossiper.Options{
-		ID:             entryName(i),
-		DataCentre:     dataCentre(i),
-		Interval:       100 * time.Millisecond,
-		Refresh:        time.Second,
-		Digest:         time.Second,
-		BytesPerSecond: 4096,
-		SmallFleet:     64,
-		Keepers:        8,
-		Relays:         2,
-		Probes:         3,
+		ID:              entryName(i),
+		DataCentre:      dataCentre(i),
+		RoundInterval:   100 * time.Millisecond,
+		RefreshInterval: time.Second,
+		DigestInterval:  time.Second,
+		BytesPerSecond:  4096,
+		SmallFleet:      64,
+		Keepers:         8,
+		Relays:          2,
+		Probes:          3,
 	}
 }
 
@@ -96,8 +96,8 @@
 // exchange only news.
 func (f *fleet) slowRefresh() {
 	for _, entry := range f.entries {
-		entry.Gossiper.Options.Refresh = time.Minute
-		entry.Gossiper.Options.Digest = time.Minute
+		entry.Gossiper.Options.RefreshInterval = time.Minute
+		entry.Gossiper.Options.DigestInterval = time.Minute
 	}
 	f.run(time.Second)
 }
--- a/src/informer/informer.go
+++ b/src/informer/informer.go
@@ -31,13 +31,13 @@
 		i.stepTracker(now, &out, source{}, tracker.Announced{Announcement: e.Announcement})
 		i.flushLeaving(now, &out, e.Announcement)
 	case ViewChanged:
-		i.Gossiper.Step(now, gossiper.Viewed{View: e.View})
+		i.Gossiper.Step(now, gossiper.ViewChanged{View: e.View})
 	case Received:
 		i.handleReceived(now, &out, e.Gossip)
 	case Answered:
 		i.handleAnswered(now, &out, e)
 	case Failed:
-		i.Gossiper.Step(now, gossiper.Failed{
+		i.Gossiper.Step(now, gossiper.SendFailed{
 			To:     e.To,
 			Gossip: e.Gossip,
 			Took:   e.Took,
@@ -59,9 +59,9 @@
 
 func (i *Informer) gossipRound(now time.Time, out *Outcome, immediate bool) {
 	out.Sends = append(out.Sends, i.Gossiper.Step(now, gossiper.Ticked{
-		Now:    immediate,
-		Alive:  func() []*messages.Rumour { return i.aliveRumours(now) },
-		Digest: i.Tracker.Digest,
+		Flush:     immediate,
+		Refreshes: func() []*messages.Rumour { return i.aliveRumours(now) },
+		Digest:    i.Tracker.Digest,
 	})...)
 }
 
@@ -108,7 +108,7 @@
 	i.mergeRumours(now, out, source{from: e.To}, e.Response.GetRumours())
 	for _, name := range e.Response.GetWanted() {
 		if rumour := i.Tracker.Rumour(now, units.Upstream(name)); rumour != nil {
-			i.Gossiper.Step(now, gossiper.Asked{
+			i.Gossiper.Step(now, gossiper.RumourRequested{
 				By:     e.To,
 				Rumour: rumour,
 			})
@@ -137,7 +137,7 @@
 		case tracker.Probe:
 			out.Sends = append(out.Sends, i.startProbe(now, a.Upstream)...)
 		case tracker.Spread:
-			i.Gossiper.Step(now, gossiper.News{
+			i.Gossiper.Step(now, gossiper.TableChanged{
 				Rumour: a.Rumour,
 				Urgent: a.Urgent,
 				From:   from.from,
@@ -150,7 +150,7 @@
 
 func (i *Informer) startProbe(now time.Time, name units.Upstream) []gossiper.Send {
 	rumour := i.Tracker.Rumour(now, name)
-	return i.Gossiper.Step(now, gossiper.Probed{
+	return i.Gossiper.Step(now, gossiper.ProbeRequested{
 		Line: &messages.DigestLine{
 			Upstream:    string(name),
 			Incarnation: rumour.GetAnnouncement().GetIncarnation(),
--- a/src/limiter/budget.go
+++ b/src/limiter/budget.go
@@ -20,8 +20,8 @@
 	spent map[units.Service]float64
 }
 
-// Earn records a call that was answered.
-func (b *RetryBudget) Earn(service units.Service) {
+// RecordAnswer records a call that was answered.
+func (b *RetryBudget) RecordAnswer(service units.Service) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.spent[service] > 0 {
@@ -29,8 +29,8 @@
 	}
 }
 
-// Spend reports whether one more attempt may be made, and counts it.
-func (b *RetryBudget) Spend(service units.Service) bool {
+// AllowRetry reports whether one more attempt may be made, and counts it.
+func (b *RetryBudget) AllowRetry(service units.Service) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.spent[service]+1 > maxSavedRetries {
@@ -43,9 +43,9 @@
 	return true
 }
 
-// Resume counts a stream that is resumed at another upstream. It is always allowed:
+// AllowResume counts a stream that is resumed at another upstream. It is always allowed:
 // the caller already has half an answer, and the stream is not new work.
-func (b *RetryBudget) Resume(service units.Service) bool {
-	_ = b.Spend(service)
+func (b *RetryBudget) AllowResume(service units.Service) bool {
+	_ = b.AllowRetry(service)
 	return true
 }
--- a/src/limiter/budget_test.go
+++ b/src/limiter/budget_test.go
@@ -15,11 +15,11 @@
 		earned, spent := 0, 0
 		for range stepsPerRun {
 			if rapid.IntRange(0, 3).Draw(t, "answered") == 0 {
-				b.Earn("s")
+				b.RecordAnswer("s")
 				earned++
 				continue
 			}
-			if b.Spend("s") {
+			if b.AllowRetry("s") {
 				spent++
 			}
 			if want := maxSavedRetries + float64(earned)*retryRatio; float64(spent) > want+epsilon {
--- a/src/limiter/limiter.go
+++ b/src/limiter/limiter.go
@@ -98,7 +98,7 @@
 
 // cost returns a call's work in tokens; a plain call counts as one token.
 func cost(call *dispatcher.Call) float64 {
-	return max(1, float64(call.Prompt+call.MaxOutput))
+	return max(1, float64(call.PromptTokens+call.MaxOutput))
 }
 
 // awaitSlot waits until the call has a slot and reports whether it got one.
--- a/src/matcher/declaration.go
+++ b/src/matcher/declaration.go
@@ -13,15 +13,15 @@
 const (
 	// Idempotent routes have calls that may run more than once.
 	Idempotent Kind = iota + 1
-	// Once routes have calls that may run at most once for each attempt of the caller.
-	Once
+	// AtMostOnce routes have calls that may run at most once for each attempt of the caller.
+	AtMostOnce
 	// Streaming routes have calls that are answered with a stream of events.
 	Streaming
 )
 
-// Declaration is one complete configuration. Of several, the one with the highest version
+// Configuration is one complete configuration. Of several, the one with the highest version
 // applies.
-type Declaration struct {
+type Configuration struct {
 	Version  units.Version
 	Routes   []Route
 	Services []Service
@@ -40,17 +40,17 @@
 	Timeout time.Duration
 	// Target is the target time to the answer, or to a stream's first event.
 	Target time.Duration
-	// Gap is the target for the longest pause between a stream's events, 0 for none.
-	Gap time.Duration
+	// EventGap is the target for the longest pause between a stream's events, 0 for none.
+	EventGap time.Duration
 	// Urgency ranks the route; 0 is the most urgent.
-	Urgency  int
-	Splits   []Split
-	Attempts int
-	// Anonymous is set where calls need no API key.
-	Anonymous bool
-	// Prompts is set where the calls have prompt prefixes in common, so that calls with
+	Urgency     int
+	Splits      []Split
+	MaxAttempts int
+	// AllowsAnonymous is set where calls need no API key.
+	AllowsAnonymous bool
+	// PrefixAffinity is set where the calls have prompt prefixes in common, so that calls with
 	// the same prefixes should go to the same upstream.
-	Prompts bool
+	PrefixAffinity bool
 	// Resumable is set where streams may resume at another upstream.
 	Resumable bool
 }
@@ -66,8 +66,8 @@
 type Service struct {
 	Name       units.Service
 	HealthPath string
-	// Connections is the maximum that one upstream accepts from all callers together.
-	Connections int
+	// MaxConnections is the maximum that one upstream accepts from all callers together.
+	MaxConnections int
 	// Engine is nil for a service without model engines.
 	Engine *Engine
 	// Scaling is nil for a service of fixed size.
@@ -77,26 +77,26 @@
 // Engine describes a service's model engines.
 type Engine struct {
 	Slots int
-	// Memory is the size of the KV cache.
-	Memory units.Tokens
-	// TokenBytes is the size of one token in the KV cache.
-	TokenBytes int64
-	Moves      bool
-	Backups    bool
-	// EventTokens is the number of tokens in one event of a stream.
-	EventTokens int
-	// Watchers is the maximum number of callers that may wait for an engine's cache
+	// CacheTokens is the size of the KV cache.
+	CacheTokens units.Tokens
+	// CacheBytesPerToken is the size of one token in the KV cache.
+	CacheBytesPerToken int64
+	Moves              bool
+	Backups            bool
+	// TokensPerEvent is the number of tokens in one event of a stream.
+	TokensPerEvent int
+	// MaxCacheWatchers is the maximum number of callers that may wait for an engine's cache
 	// events.
-	Watchers int
+	MaxCacheWatchers int
 }
 
 // Scaling bounds the number of a service's upstreams in each data centre and holds what
 // is needed to plan orders.
 type Scaling struct {
-	Least int
-	Most  int
-	// Boot is the time from the order of an upstream to its first call.
-	Boot time.Duration
+	Min int
+	Max int
+	// BootTime is the time from the order of an upstream to its first call.
+	BootTime time.Duration
 	// ReclaimablePrice is the price of a reclaimable upstream as a fraction of the full
 	// price.
 	ReclaimablePrice float64
@@ -105,10 +105,10 @@
 
 // Limits bounds what a caller may send and how long its connection may be idle.
 type Limits struct {
-	HeaderBytes   int
-	BodyBytes     int64
-	HeaderTimeout time.Duration
-	IdleTimeout   time.Duration
+	MaxHeaderBytes int
+	MaxBodyBytes   int64
+	HeaderTimeout  time.Duration
+	IdleTimeout    time.Duration
 }
 
 // Account is one client account.
@@ -118,10 +118,10 @@
 	// Urgency overrides the route's urgency where HasUrgency is set.
 	Urgency    int
 	HasUrgency bool
-	// ByTokens is set where Rate, Burst and Plain count tokens instead of calls.
-	ByTokens bool
-	// Plain is what a call that states no tokens counts as.
-	Plain float64
+	// CountsTokens is set where Rate, Burst and Plain count tokens instead of calls.
+	CountsTokens bool
+	// DefaultTokens is what a call that states no tokens counts as.
+	DefaultTokens float64
 	// Rate is the limit per second, 0 for none.
 	Rate  float64
 	Burst float64
--- a/src/matcher/matcher_test.go
+++ b/src/matcher/matcher_test.go
@@ -21,8 +21,8 @@
 	}
 }
 
-func valid() *Declaration {
-	return &Declaration{
+func valid() *Configuration {
+	return &Configuration{
 		Version: 3,
 		Routes: []Route{
 			route("short", "a.example", "/x/", Split{Service: "s", Weight: 1}),
@@ -38,29 +38,29 @@
 
 func TestValidate(t *testing.T) {
 	cases := map[string]struct {
-		change func(d *Declaration)
+		change func(d *Configuration)
 		valid  bool
 	}{
-		"unchanged":          {change: func(*Declaration) {}, valid: true},
-		"no version":         {change: func(d *Declaration) { d.Version = 0 }},
-		"unknown service":    {change: func(d *Declaration) { d.Routes[0].Splits[0].Service = "z" }},
-		"same host, prefix":  {change: func(d *Declaration) { d.Routes[1].Prefix = "/x/" }},
-		"weights of 0":       {change: func(d *Declaration) { d.Routes[0].Splits[0].Weight = 0 }},
-		"negative weight":    {change: func(d *Declaration) { d.Routes[1].Splits[1].Weight = -1 }},
-		"no services":        {change: func(d *Declaration) { d.Routes[0].Splits = nil }},
-		"timeout of 0":       {change: func(d *Declaration) { d.Routes[0].Timeout = 0 }},
-		"no kind":            {change: func(d *Declaration) { d.Routes[0].Kind = 0 }},
-		"shared key":         {change: func(d *Declaration) { d.Accounts[1].Keys = []string{"k1"} }},
-		"key twice, one":     {change: func(d *Declaration) { d.Accounts[0].Keys = []string{"k1", "k1"} }, valid: true},
-		"account twice":      {change: func(d *Declaration) { d.Accounts[1].Name = "one" }},
-		"service twice":      {change: func(d *Declaration) { d.Services[1].Name = "s" }},
-		"a weight of 0 of 2": {change: func(d *Declaration) { d.Routes[1].Splits[0].Weight = 0 }, valid: true},
+		"unchanged":          {change: func(*Configuration) {}, valid: true},
+		"no version":         {change: func(d *Configuration) { d.Version = 0 }},
+		"unknown service":    {change: func(d *Configuration) { d.Routes[0].Splits[0].Service = "z" }},
+		"same host, prefix":  {change: func(d *Configuration) { d.Routes[1].Prefix = "/x/" }},
+		"weights of 0":       {change: func(d *Configuration) { d.Routes[0].Splits[0].Weight = 0 }},
+		"negative weight":    {change: func(d *Configuration) { d.Routes[1].Splits[1].Weight = -1 }},
+		"no services":        {change: func(d *Configuration) { d.Routes[0].Splits = nil }},
+		"timeout of 0":       {change: func(d *Configuration) { d.Routes[0].Timeout = 0 }},
+		"no kind":            {change: func(d *Configuration) { d.Routes[0].Kind = 0 }},
+		"shared key":         {change: func(d *Configuration) { d.Accounts[1].Keys = []string{"k1"} }},
+		"key twice, one":     {change: func(d *Configuration) { d.Accounts[0].Keys = []string{"k1", "k1"} }, valid: true},
+		"account twice":      {change: func(d *Configuration) { d.Accounts[1].Name = "one" }},
+		"service twice":      {change: func(d *Configuration) { d.Services[1].Name = "s" }},
+		"a weight of 0 of 2": {change: func(d *Configuration) { d.Routes[1].Splits[0].Weight = 0 }, valid: true},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			d := valid()
 			c.change(d)
-			err := d.Check()
+			err := d.Validate()
 			var invalid *InvalidError
 			if got, want := err == nil, c.valid; got != want {
 				t.Fatalf("valid: got %t (%v), want %t", got, err, want)
@@ -92,10 +92,10 @@
 			}
 		})
 	}
-	if got := table.AccountOf("k2"); got == nil || got.Name != "one" {
+	if got := table.AccountByKey("k2"); got == nil || got.Name != "one" {
 		t.Errorf("account: got %v, want one", got)
 	}
-	if got := table.AccountOf("k9"); got != nil {
+	if got := table.AccountByKey("k9"); got != nil {
 		t.Errorf("account of an unknown key: got %v, want none", got)
 	}
 }
@@ -113,7 +113,7 @@
 		if total == 0 {
 			return
 		}
-		chosen := r.Choose(rapid.Float64Range(0, 0.999999).Draw(t, "chance"))
+		chosen := r.ChooseService(rapid.Float64Range(0, 0.999999).Draw(t, "chance"))
 		if w := weights[int([]rune(string(chosen))[0]-'a')]; w == 0 {
 			t.Fatalf("chose %q of weight 0 among %v", chosen, weights)
 		}
--- a/src/matcher/rank.go
+++ b/src/matcher/rank.go
@@ -12,16 +12,16 @@
 // Urgencies is what a call is ranked by: first the urgency of its account, or that of its
 // route if the account has none; then the urgency of its route.
 type Urgencies struct {
-	Urgency int
-	Route   int
+	Urgency      int
+	RouteUrgency int
 }
 
-// UrgenciesOf returns the urgencies of an account's calls on a route. The account may be
+// NewUrgencies returns the urgencies of an account's calls on a route. The account may be
 // nil.
-func UrgenciesOf(account *Account, route *Route) Urgencies {
+func NewUrgencies(account *Account, route *Route) Urgencies {
 	u := Urgencies{
-		Urgency: route.Urgency,
-		Route:   route.Urgency,
+		Urgency:      route.Urgency,
+		RouteUrgency: route.Urgency,
 	}
 	if account != nil && account.HasUrgency {
 		u.Urgency = account.Urgency
@@ -34,16 +34,16 @@
 // Most accounts have the same urgency. If calls were ranked by that alone, calls with a
 // target of some tenths of a second would wait at upstreams behind prompts whose prefill
 // takes as long.
-func computeRanks(d *Declaration) map[Urgencies]int {
+func computeRanks(d *Configuration) map[Urgencies]int {
 	urgencies := make(map[Urgencies]bool)
 	for i := range d.Routes {
-		urgencies[UrgenciesOf(nil, &d.Routes[i])] = true
+		urgencies[NewUrgencies(nil, &d.Routes[i])] = true
 		for j := range d.Accounts {
-			urgencies[UrgenciesOf(&d.Accounts[j], &d.Routes[i])] = true
+			urgencies[NewUrgencies(&d.Accounts[j], &d.Routes[i])] = true
 		}
 	}
 	sorted := slices.SortedFunc(maps.Keys(urgencies), func(a, b Urgencies) int {
-		return cmp.Or(cmp.Compare(a.Urgency, b.Urgency), cmp.Compare(a.Route, b.Route))
+		return cmp.Or(cmp.Compare(a.Urgency, b.Urgency), cmp.Compare(a.RouteUrgency, b.RouteUrgency))
 	})
 	ranks := make(map[Urgencies]int, len(sorted))
 	for i, u := range sorted {
--- a/src/matcher/rank_test.go
+++ b/src/matcher/rank_test.go
@@ -10,7 +10,7 @@
 	quick := Route{Name: "quick", Urgency: 0}
 	long := Route{Name: "long", Urgency: 1}
 	late := Route{Name: "late", Urgency: 2}
-	table := NewTable(&Declaration{
+	table := NewTable(&Configuration{
 		Routes:   []Route{late, quick, long},
 		Accounts: []Account{usual, urgent},
 	})
@@ -27,13 +27,13 @@
 		{name: "usual account, late route", account: &usual, route: &late},
 	}
 	for i := range len(order) - 1 {
-		before := table.Rank(UrgenciesOf(order[i].account, order[i].route))
-		after := table.Rank(UrgenciesOf(order[i+1].account, order[i+1].route))
+		before := table.Rank(NewUrgencies(order[i].account, order[i].route))
+		after := table.Rank(NewUrgencies(order[i+1].account, order[i+1].route))
 		if before >= after {
 			t.Errorf("%s before %s: got ranks %d and %d, want the first lower", order[i].name, order[i+1].name, before, after)
 		}
 	}
-	if got, want := table.Rank(UrgenciesOf(nil, &quick)), 0; got != want {
+	if got, want := table.Rank(NewUrgencies(nil, &quick)), 0; got != want {
 		t.Errorf("quick route without an account: got rank %d, want %d", got, want)
 	}
 }
@@ -41,7 +41,7 @@
 // Guards against ranks that upstreams do not support in a configuration with many
 // urgencies.
 func TestRanksAreBounded(t *testing.T) {
-	d := &Declaration{}
+	d := &Configuration{}
 	for i := range 7 {
 		d.Routes = append(d.Routes, Route{Urgency: i})
 		d.Accounts = append(d.Accounts, Account{Urgency: i, HasUrgency: true})
@@ -50,7 +50,7 @@
 	last := 0
 	for i := range d.Accounts {
 		for j := range d.Routes {
-			rank := table.Rank(UrgenciesOf(&d.Accounts[i], &d.Routes[j]))
+			rank := table.Rank(NewUrgencies(&d.Accounts[i], &d.Routes[j]))
 			if rank < last || rank >= maxRanks {
 				t.Fatalf("account %d, route %d: got rank %d after %d, want none lower and at most %d", i, j, rank, last, maxRanks-1)
 			}
--- a/src/matcher/table.go
+++ b/src/matcher/table.go
@@ -9,7 +9,7 @@
 
 // Table looks up a configuration's routes, services and accounts. It is immutable.
 type Table struct {
-	Declaration *Declaration
+	Configuration *Configuration
 
 	hosts    map[string][]*Route
 	keys     map[string]*Account
@@ -19,13 +19,13 @@
 }
 
 // NewTable returns the table of a declaration that has passed Check.
-func NewTable(d *Declaration) *Table {
+func NewTable(d *Configuration) *Table {
 	t := &Table{
-		Declaration: d,
-		hosts:       make(map[string][]*Route),
-		keys:        make(map[string]*Account),
-		services:    make(map[units.Service]*Service),
-		accounts:    make(map[units.Account]*Account),
+		Configuration: d,
+		hosts:         make(map[string][]*Route),
+		keys:          make(map[string]*Account),
+		services:      make(map[units.Service]*Service),
+		accounts:      make(map[units.Account]*Account),
 	}
 	for i := range d.Routes {
 		host := strings.ToLower(d.Routes[i].Host)
@@ -66,8 +66,8 @@
 	return nil
 }
 
-// AccountOf returns the account that holds a key, or nil for none.
-func (t *Table) AccountOf(key string) *Account { return t.keys[key] }
+// AccountByKey returns the account that holds a key, or nil for none.
+func (t *Table) AccountByKey(key string) *Account { return t.keys[key] }
 
 // Account returns an account by its name, or nil for none.
 func (t *Table) Account(name units.Account) *Account { return t.accounts[name] }
@@ -75,9 +75,9 @@
 // Service returns a service by its name, or nil for none.
 func (t *Table) Service(name units.Service) *Service { return t.services[name] }
 
-// Choose returns the service for a call of a route. chance is a random number in [0, 1)
+// ChooseService returns the service for a call of a route. chance is a random number in [0, 1)
 // that distributes the calls in proportion to the weights.
-func (r *Route) Choose(chance float64) units.Service {
+func (r *Route) ChooseService(chance float64) units.Service {
 	total := 0
 	for _, s := range r.Splits {
 		total += s.Weight
--- a/src/matcher/validator.go
+++ b/src/matcher/validator.go
@@ -15,8 +15,8 @@
 // Error names the remedy.
 func (e *InvalidError) Error() string { return e.Reason + "; " + e.Remedy }
 
-// Check returns an *InvalidError for an inconsistent declaration.
-func (d *Declaration) Check() error {
+// Validate returns an *InvalidError for an inconsistent declaration.
+func (d *Configuration) Validate() error {
 	if d.Version == 0 {
 		return &InvalidError{
 			Reason: "the version is 0 or missing",
@@ -39,7 +39,7 @@
 	return d.validateAccounts()
 }
 
-func (d *Declaration) validateRoutes(services map[units.Service]bool) error {
+func (d *Configuration) validateRoutes(services map[units.Service]bool) error {
 	names := make(map[[2]string]string)
 	for i := range d.Routes {
 		r := &d.Routes[i]
@@ -96,7 +96,7 @@
 	return nil
 }
 
-func (d *Declaration) validateAccounts() error {
+func (d *Configuration) validateAccounts() error {
 	accountByKey := make(map[string]units.Account)
 	names := make(map[units.Account]bool)
 	for _, a := range d.Accounts {
--- a/src/mover/event.go
+++ b/src/mover/event.go
@@ -14,8 +14,8 @@
 	ID StreamID
 	// Context is the number of tokens that would have to be recomputed elsewhere.
 	Context units.Tokens
-	// Left is the maximum number of tokens still to be generated.
-	Left units.Tokens
+	// Remaining is the maximum number of tokens still to be generated.
+	Remaining units.Tokens
 }
 
 // Upstream is one incarnation of a leaving upstream.
@@ -44,26 +44,26 @@
 	Streams []Stream
 }
 
-// Joined reports that a stream started at an upstream after its notice.
-type Joined struct {
+// StreamStarted reports that a stream started at an upstream after its notice.
+type StreamStarted struct {
 	Upstream Upstream
 	Stream   Stream
 }
 
-// Progressed reports the new state of a stream.
-type Progressed struct {
+// StreamProgressed reports the new state of a stream.
+type StreamProgressed struct {
 	Upstream Upstream
 	Stream   Stream
 }
 
-// Ended reports that a stream no longer runs at the upstream.
-type Ended struct {
+// StreamEnded reports that a stream no longer runs at the upstream.
+type StreamEnded struct {
 	Upstream Upstream
 	Stream   StreamID
 }
 
-// Exported reports that an export ended. Took is its duration.
-type Exported struct {
+// ExportEnded reports that an export ended. Took is its duration.
+type ExportEnded struct {
 	Upstream Upstream
 	Stream   StreamID
 	Tokens   units.Tokens
@@ -75,12 +75,12 @@
 // Ticked reports that time has passed.
 type Ticked struct{}
 
-func (Noticed) event()    {}
-func (Joined) event()     {}
-func (Progressed) event() {}
-func (Ended) event()      {}
-func (Exported) event()   {}
-func (Ticked) event()     {}
+func (Noticed) event()          {}
+func (StreamStarted) event()    {}
+func (StreamProgressed) event() {}
+func (StreamEnded) event()      {}
+func (ExportEnded) event()      {}
+func (Ticked) event()           {}
 
 // Action is something that the caller of Step must carry out.
 type Action interface{ action() }
--- a/src/mover/mover.go
+++ b/src/mover/mover.go
@@ -59,21 +59,21 @@
 	switch e := event.(type) {
 	case Noticed:
 		return m.handleNotice(now, e)
-	case Joined:
+	case StreamStarted:
 		if d := m.leaving[e.Upstream]; d != nil {
 			d.addStream(e.Stream)
 			return d.plan(now)
 		}
-	case Progressed:
+	case StreamProgressed:
 		if d := m.leaving[e.Upstream]; d != nil {
 			d.updateStream(e.Stream)
 		}
-	case Ended:
+	case StreamEnded:
 		if d := m.leaving[e.Upstream]; d != nil {
 			d.removeStream(e.Stream)
 			return d.plan(now)
 		}
-	case Exported:
+	case ExportEnded:
 		if d := m.leaving[e.Upstream]; d != nil {
 			d.handleExported(e)
 			return d.plan(now)
@@ -87,8 +87,8 @@
 // Active reports whether any upstream is leaving.
 func (m *Mover) Active() bool { return len(m.leaving) > 0 }
 
-// Leaving reports whether the mover has received the upstream's notice.
-func (m *Mover) Leaving(upstream Upstream) bool { return m.leaving[upstream] != nil }
+// IsLeaving reports whether the mover has received the upstream's notice.
+func (m *Mover) IsLeaving(upstream Upstream) bool { return m.leaving[upstream] != nil }
 
 func (m *Mover) handleNotice(now time.Time, e Noticed) []Action {
 	d := m.leaving[e.Notice.Upstream]
@@ -150,7 +150,7 @@
 	}
 }
 
-func (d *departure) handleExported(e Exported) {
+func (d *departure) handleExported(e ExportEnded) {
 	if d.exporting == e.Stream {
 		d.exporting = 0
 	}
@@ -233,7 +233,7 @@
 
 func (d *departure) canFinish(s *stream, now time.Time) bool {
 	remaining := time.Duration(finishFraction * float64(d.notice.LeavesAt.Sub(now)))
-	return time.Duration(s.Left)*d.notice.Step <= remaining
+	return time.Duration(s.Remaining)*d.notice.Step <= remaining
 }
 
 // recompute moves the streams that cannot finish without their KV cache, the longest first, since
--- a/src/mover/mover_test.go
+++ b/src/mover/mover_test.go
@@ -44,15 +44,15 @@
 		want    string
 	}{
 		"finishes in time": {
-			streams: []Stream{{ID: 1, Context: 5000, Left: 100}},
+			streams: []Stream{{ID: 1, Context: 5000, Remaining: 100}},
 			want:    "[]",
 		},
 		"longest context first": {
-			streams: []Stream{{ID: 1, Context: 500, Left: 5000}, {ID: 2, Context: 5000, Left: 5000}},
+			streams: []Stream{{ID: 1, Context: 500, Remaining: 5000}, {ID: 2, Context: 5000, Remaining: 5000}},
 			want:    "[{{ember-1 1} 2}]",
 		},
 		"too large for the link": {
-			streams: []Stream{{ID: 1, Context: 500, Left: 5000}, {ID: 2, Context: 50000, Left: 5000}},
+			streams: []Stream{{ID: 1, Context: 500, Remaining: 5000}, {ID: 2, Context: 50000, Remaining: 5000}},
 			want:    "[{{ember-1 1} 1}]",
 		},
 	}
@@ -118,10 +118,10 @@
 		if s == nil {
 			continue
 		}
-		s.Left -= units.Tokens(testTick / testStep)
+		s.Remaining -= units.Tokens(testTick / testStep)
 		s.Context += units.Tokens(testTick / testStep)
-		if s.Left > 0 {
-			sim.step(t, Progressed{Upstream: sim.notice.Upstream, Stream: *s})
+		if s.Remaining > 0 {
+			sim.step(t, StreamProgressed{Upstream: sim.notice.Upstream, Stream: *s})
 			continue
 		}
 		sim.endStream(t, id)
@@ -132,7 +132,7 @@
 func (sim *simulation) endStream(t *rapid.T, id StreamID) {
 	delete(sim.streams, id)
 	delete(sim.exporting, id)
-	sim.step(t, Ended{Upstream: sim.notice.Upstream, Stream: id})
+	sim.step(t, StreamEnded{Upstream: sim.notice.Upstream, Stream: id})
 }
 
 // Guards against streams that are cut off when an engine is reclaimed while streams start, end
@@ -154,7 +154,7 @@
 		for sim.now.Before(sim.notice.LeavesAt) {
 			switch rapid.IntRange(0, 5).Draw(t, "event") {
 			case 0:
-				sim.step(t, Joined{Upstream: sim.notice.Upstream, Stream: *sim.startStream(t)})
+				sim.step(t, StreamStarted{Upstream: sim.notice.Upstream, Stream: *sim.startStream(t)})
 			case 1:
 				sim.finishExport(t, true)
 			case 2:
@@ -166,7 +166,7 @@
 		}
 		for id, s := range sim.streams {
 			if !sim.recomputed[id] {
-				t.Fatalf("stream %d with %d tokens left: got no action by the stop, want it moved or recomputed", id, s.Left)
+				t.Fatalf("stream %d with %d tokens left: got no action by the stop, want it moved or recomputed", id, s.Remaining)
 			}
 		}
 	})
@@ -186,9 +186,9 @@
 func (sim *simulation) startStream(t *rapid.T) *Stream {
 	sim.lastID++
 	s := &Stream{
-		ID:      sim.lastID,
-		Context: units.Tokens(rapid.IntRange(1, 20000).Draw(t, "context")),
-		Left:    units.Tokens(rapid.IntRange(1, 4000).Draw(t, "left")),
+		ID:        sim.lastID,
+		Context:   units.Tokens(rapid.IntRange(1, 20000).Draw(t, "context")),
+		Remaining: units.Tokens(rapid.IntRange(1, 4000).Draw(t, "left")),
 	}
 	sim.streams[s.ID] = s
 	return s
@@ -199,7 +199,7 @@
 	for id, began := range sim.exporting {
 		tokens := sim.streams[id].Context
 		delete(sim.exporting, id)
-		sim.step(t, Exported{
+		sim.step(t, ExportEnded{
 			Upstream: sim.notice.Upstream,
 			Stream:   id,
 			Tokens:   tokens,
@@ -223,16 +223,16 @@
 	first := m.Step(now, Noticed{
 		Notice: notice,
 		Streams: []Stream{
-			{ID: 1, Context: 6000, Left: 5000},
-			{ID: 2, Context: 5000, Left: 5000},
-			{ID: 3, Context: 1000, Left: 5000},
+			{ID: 1, Context: 6000, Remaining: 5000},
+			{ID: 2, Context: 5000, Remaining: 5000},
+			{ID: 3, Context: 1000, Remaining: 5000},
 		},
 	})
 	if got, want := fmt.Sprint(first), "[{{ember-1 1} 1}]"; got != want {
 		t.Fatalf("first export: got %s, want %s", got, want)
 	}
 	now = now.Add(700 * time.Millisecond)
-	second := m.Step(now, Exported{
+	second := m.Step(now, ExportEnded{
 		Upstream: notice.Upstream,
 		Stream:   1,
 		Tokens:   1000,
--- a/src/placer/donor.go
+++ b/src/placer/donor.go
@@ -20,10 +20,10 @@
 // to know what each upstream holds. A leaving upstream still serves its cache: this is the
 // last chance to preserve it.
 func (p *Placer) Donor(call *dispatcher.Call, chosen *tracker.Upstream) *tracker.Upstream {
-	if len(call.Parts) < 2 || call.Shared() < minFetchedTokens {
+	if len(call.Prefixes) < 2 || call.SharedTokens() < minFetchedTokens {
 		return nil
 	}
-	prefix := call.Parts[len(call.Parts)-2].ID
+	prefix := call.Prefixes[len(call.Prefixes)-2].ID
 	var best *Candidate
 	var bestRank uint64
 	now := p.Now()
--- a/src/placer/donor_test.go
+++ b/src/placer/donor_test.go
@@ -19,7 +19,7 @@
 		upstreams := rapid.IntRange(2, 20).Draw(t, "upstreams")
 		call := callWithPrefix(rapid.Uint64().Draw(t, "part"))
 		a, b := newFixture(upstreams), newFixture(upstreams)
-		owners := ownersOf(call.Parts[1].ID, a.fleet["s"])
+		owners := ownersOf(call.Prefixes[1].ID, a.fleet["s"])
 		for _, c := range a.fleet["s"] {
 			want := owners[0].Name
 			if c.Name == want {
@@ -59,8 +59,8 @@
 		"not an owner that has left":   {call: call, change: func(f *fixture) { leave(f, f.now) }, want: 1},
 		"not a silent owner":           {call: call, change: func(f *fixture) { ownersOf(7, f.fleet["s"])[0].Silent = true }, want: 1},
 		"not an ejected owner":         {call: call, change: func(f *fixture) { f.eject(ownersOf(7, f.fleet["s"])[0].Upstream) }, want: 1},
-		"none without a shared prefix": {call: &dispatcher.Call{Service: "s", Prompt: 5000, Parts: call.Parts[2:]}, want: -1},
-		"none for a short prefix":      {call: &dispatcher.Call{Service: "s", Prompt: 110, Parts: []dispatcher.Part{{ID: 7, Tokens: 100}, {ID: 9, Tokens: 10}}}, want: -1},
+		"none without a shared prefix": {call: &dispatcher.Call{Service: "s", PromptTokens: 5000, Prefixes: call.Prefixes[2:]}, want: -1},
+		"none for a short prefix":      {call: &dispatcher.Call{Service: "s", PromptTokens: 110, Prefixes: []dispatcher.PromptPrefix{{ID: 7, Tokens: 100}, {ID: 9, Tokens: 10}}}, want: -1},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -92,6 +92,6 @@
 // eject makes calls fail at an upstream until it is ejected.
 func (f *fixture) eject(u *tracker.Upstream) {
 	for range 3 {
-		f.Observe(u, dispatcher.Result{Kind: dispatcher.Lost})
+		f.Observe(u, dispatcher.Result{Kind: dispatcher.OutcomeUnknown})
 	}
 }
--- a/src/placer/engine_test.go
+++ b/src/placer/engine_test.go
@@ -329,21 +329,21 @@
 	prefixTokens := 0.5*k.prefixTokens + k.prefixTokens*float64(part*2654435761%1000)/1000
 	base := uint64(len(k.name)) << 40
 	call := &dispatcher.Call{
-		Service: "s",
-		Prompt:  units.Tokens(float64(k.systemTokens) + prefixTokens + ownTokens),
-		Parts: []dispatcher.Part{
+		Service:      "s",
+		PromptTokens: units.Tokens(float64(k.systemTokens) + prefixTokens + ownTokens),
+		Prefixes: []dispatcher.PromptPrefix{
 			{ID: base | 1<<32, Tokens: units.Tokens(k.systemTokens)},
 			{ID: base | part, Tokens: units.Tokens(prefixTokens)},
 			{ID: r.random.Uint64(), Tokens: units.Tokens(ownTokens)},
 		},
-		Target:  k.target,
-		Pause:   r.pauseLimit(),
-		Urgency: k.urgency,
-		Rank:    k.urgency,
-		Stream:  true,
+		LatencyTarget: k.target,
+		MaxEventGap:   r.pauseLimit(),
+		Urgency:       k.urgency,
+		Rank:          k.urgency,
+		Stream:        true,
 	}
 	mean := float64(k.systemTokens) + k.prefixTokens + k.ownTokens
-	weight := min(4, 0.3+0.7*float64(call.Prompt)/mean) * k.value
+	weight := min(4, 0.3+0.7*float64(call.PromptTokens)/mean) * k.value
 	warm := r.now > 4*time.Second && r.now < r.length-4*time.Second
 	if warm {
 		r.offered[k.name] += weight
@@ -368,7 +368,7 @@
 		engine:         target,
 		sent:           r.now,
 		maxTokens:      max(1, int(k.outputTokens*(0.5+r.random.Float64()))),
-		countedPrefill: int64(call.Unread()),
+		countedPrefill: int64(call.UncachedTokens()),
 	}
 	if warm {
 		j.weight = weight
@@ -379,9 +379,9 @@
 		u.Local.IdleConnections.Add(-1)
 	}
 	r.at(r.now+3*time.Millisecond, func() {
-		unread := int(ownTokens) + target.touch(call.Parts[0].ID, k.systemTokens)
-		missing := target.touch(call.Parts[1].ID, int(prefixTokens))
-		if missing > 0 && r.hasCached(e.Donor(call, u), call.Parts[1].ID) {
+		unread := int(ownTokens) + target.touch(call.Prefixes[0].ID, k.systemTokens)
+		missing := target.touch(call.Prefixes[1].ID, int(prefixTokens))
+		if missing > 0 && r.hasCached(e.Donor(call, u), call.Prefixes[1].ID) {
 			if warm {
 				r.fetched += missing
 			}
@@ -389,7 +389,7 @@
 		}
 		unread += missing
 		j.unread = max(1, unread)
-		j.context = int(call.Prompt) - j.unread
+		j.context = int(call.PromptTokens) - j.unread
 		r.prefilled += j.unread
 		target.waiting = append(target.waiting, j)
 		r.startStep(target)
--- a/src/placer/load.go
+++ b/src/placer/load.go
@@ -92,14 +92,14 @@
 		return
 	case dispatcher.NotRun:
 		// An upstream that refuses a call because it is full has not failed.
-		if !result.Unreached {
+		if !result.ConnectFailed {
 			return
 		}
-	case dispatcher.Lost, dispatcher.Broken, dispatcher.Failed:
+	case dispatcher.OutcomeUnknown, dispatcher.Unresumable, dispatcher.Failed:
 	}
 	for _, action := range p.ejector.Step(now, ejector.Failed{
 		Key:       key,
-		Unreached: result.Unreached,
+		Unreached: result.ConnectFailed,
 		Total:     len(p.Fleet()[u.Service]),
 	}) {
 		if eject, ok := action.(ejector.Eject); ok {
--- a/src/placer/placer.go
+++ b/src/placer/placer.go
@@ -231,12 +231,12 @@
 			best, bestScore, bestPrefill = c, score, prefill
 		}
 	}
-	if len(call.Parts) > 1 {
-		for i, c := range ownersOf(call.Parts[len(call.Parts)-2].ID, candidates) {
+	if len(call.Prefixes) > 1 {
+		for i, c := range ownersOf(call.Prefixes[len(call.Prefixes)-2].ID, candidates) {
 			// The second owner is for when the first is busy. Used alike, both would
 			// prefill the prefix.
-			missing := units.Tokens(float64(i) * secondaryMissRatio * float64(call.Shared()))
-			compare(c, call.Prompt-call.Shared()+missing)
+			missing := units.Tokens(float64(i) * secondaryMissRatio * float64(call.SharedTokens()))
+			compare(c, call.PromptTokens-call.SharedTokens()+missing)
 		}
 	}
 	offset := p.random().IntN(len(candidates))
@@ -248,10 +248,10 @@
 	}
 	for i := range samples {
 		// A random stride could visit a candidate twice; a fixed one serves as well.
-		compare(candidates[(offset+i*stride(len(candidates), samples))%len(candidates)], call.Prompt)
+		compare(candidates[(offset+i*stride(len(candidates), samples))%len(candidates)], call.PromptTokens)
 	}
 	for _, c := range withIdleConnection(candidates, offset) {
-		compare(c, call.Prompt)
+		compare(c, call.PromptTokens)
 	}
 	if len(tried) == 0 && isTooLate(call, time.Duration(bestPrefill)*p.prefillTime(call.Service)) {
 		return nil
@@ -277,7 +277,7 @@
 // measured: under a fixed speed, upstreams with half the prefill speed of others accepted
 // twice as many calls as they could answer in time.
 func isTooLate(call *dispatcher.Call, wait time.Duration) bool {
-	return call.Urgency > 0 && call.RouteUrgency > 0 && call.Target > 0 && len(call.Parts) > 0 && wait > time.Duration(maxWaitFactor*float64(call.Target))
+	return call.Urgency > 0 && call.RouteUrgency > 0 && call.LatencyTarget > 0 && len(call.Prefixes) > 0 && wait > time.Duration(maxWaitFactor*float64(call.LatencyTarget))
 }
 
 // stride spreads the sampled candidates over the list, which is sorted by name.
@@ -286,7 +286,7 @@
 // isLongPrompt reports whether the prefill of a call's prompt makes other streams at the
 // upstream pause for too long: an upstream prefills between the decode steps of its streams.
 func isLongPrompt(call *dispatcher.Call, prefillTime time.Duration) bool {
-	return call.Pause > 0 && time.Duration(call.Unread())*prefillTime > time.Duration(longPromptRatio*float64(call.Pause))
+	return call.MaxEventGap > 0 && time.Duration(call.UncachedTokens())*prefillTime > time.Duration(longPromptRatio*float64(call.MaxEventGap))
 }
 
 // separation returns the distance, from 0 to 1, of an upstream from the end of the common
@@ -300,7 +300,7 @@
 // limit on pauses are spread evenly.
 func (c *Candidate) separation(call *dispatcher.Call, long bool) float64 {
 	switch {
-	case call.Pause == 0:
+	case call.MaxEventGap == 0:
 		return 0
 	case long:
 		return 1 - c.position
--- a/src/placer/placer_test.go
+++ b/src/placer/placer_test.go
@@ -42,9 +42,9 @@
 
 func callWithPrefix(shared uint64) *dispatcher.Call {
 	return &dispatcher.Call{
-		Service: "s",
-		Prompt:  5110,
-		Parts:   []dispatcher.Part{{ID: 1, Tokens: 100}, {ID: shared, Tokens: 5000}, {ID: 99, Tokens: 10}},
+		Service:      "s",
+		PromptTokens: 5110,
+		Prefixes:     []dispatcher.PromptPrefix{{ID: 1, Tokens: 100}, {ID: shared, Tokens: 5000}, {ID: 99, Tokens: 10}},
 	}
 }
 
@@ -89,14 +89,14 @@
 		},
 		"unreachable": {
 			change: func(f *fixture) {
-				f.Observe(f.fleet["s"][0].Upstream, dispatcher.Result{Kind: dispatcher.NotRun, Unreached: true})
+				f.Observe(f.fleet["s"][0].Upstream, dispatcher.Result{Kind: dispatcher.NotRun, ConnectFailed: true})
 			},
 			never: "u0",
 		},
 		"failing repeatedly": {
 			change: func(f *fixture) {
 				for range 3 {
-					f.Observe(f.fleet["s"][0].Upstream, dispatcher.Result{Kind: dispatcher.Lost})
+					f.Observe(f.fleet["s"][0].Upstream, dispatcher.Result{Kind: dispatcher.OutcomeUnknown})
 				}
 			},
 			never: "u0",
@@ -210,7 +210,7 @@
 			call := callWithPrefix(7)
 			call.Urgency = c.urgency
 			call.RouteUrgency = c.route
-			call.Target = 500 * time.Millisecond
+			call.LatencyTarget = 500 * time.Millisecond
 			if got := f.Pick(call, c.tried) != nil; got != c.want {
 				t.Errorf("placed: got %t, want %t", got, c.want)
 			}
--- a/src/recorder/recorder.go
+++ b/src/recorder/recorder.go
@@ -41,8 +41,8 @@
 	Scope  tally.Scope
 	// EntryView returns the latest committed view, nil before the first.
 	EntryView func() *messages.EntryView
-	// Bounds returns how long records of ended calls are kept, and in how many bytes.
-	Bounds func() (time.Duration, int64)
+	// Retention returns how long records of ended calls are kept, and in how many bytes.
+	Retention func() (time.Duration, int64)
 
 	once         sync.Once
 	events       chan OwnerEvent
@@ -120,7 +120,7 @@
 	if committed := r.EntryView(); committed.GetNumber() > owner.ViewNumber() {
 		r.step(ctx, owner, ViewCommitted{View: NewView(committed, SlotCount)})
 	}
-	keepFor, keepBytes := r.Bounds()
+	keepFor, keepBytes := r.Retention()
 	if keepFor > 0 {
 		r.step(ctx, owner, RetentionChanged{
 			KeepFor:   keepFor,
--- a/src/recorder/refusal.go
+++ b/src/recorder/refusal.go
@@ -18,12 +18,12 @@
 }
 
 func unknownRefusal() *dispatcher.Refusal {
-	return newRefusal(http.StatusBadGateway, dispatcher.ProblemLost, dispatcher.ExecutedUnknown,
+	return newRefusal(http.StatusBadGateway, dispatcher.ProblemOutcomeUnknown, dispatcher.ExecutedUnknown,
 		"a call with this Idempotency-Key may have run and its answer is lost; ask the service what became of it before you send it under a new key")
 }
 
 func evictedRefusal() *dispatcher.Refusal {
-	return newRefusal(http.StatusBadGateway, dispatcher.ProblemLost, dispatcher.ExecutedUnknown,
+	return newRefusal(http.StatusBadGateway, dispatcher.ProblemOutcomeUnknown, dispatcher.ExecutedUnknown,
 		"the call with this Idempotency-Key has run and its answer is no longer kept; raise record.keep-bytes to keep more")
 }
 
@@ -33,7 +33,7 @@
 }
 
 func supersededRefusal() *dispatcher.Refusal {
-	return withRetryAfter(newRefusal(http.StatusServiceUnavailable, dispatcher.ProblemLost, dispatcher.ExecutedUnknown,
+	return withRetryAfter(newRefusal(http.StatusServiceUnavailable, dispatcher.ProblemOutcomeUnknown, dispatcher.ExecutedUnknown,
 		"another entry took this Idempotency-Key over; send the call again to get its answer"))
 }
 
@@ -46,7 +46,7 @@
 // it, but another entry may have run an earlier call with the same key.
 func unavailableRefusal(call *dispatcher.Call) *dispatcher.Refusal {
 	executed := dispatcher.ExecutedNo
-	if call.KeyGiven {
+	if call.HasCallerKey {
 		executed = dispatcher.ExecutedUnknown
 	}
 	return withRetryAfter(newRefusal(http.StatusServiceUnavailable, dispatcher.ProblemRecord, executed,
--- a/src/recorder/session.go
+++ b/src/recorder/session.go
@@ -37,8 +37,8 @@
 		proposer: r.newProposer(keyHash(call.Account.Name, call.Key), contentHash(call), call.ID),
 		inbox:    make(chan OwnerResponded, inboxSize),
 	}
-	s.proposer.Fresh = !call.KeyGiven
-	s.proposer.GeneratedKey = call.KeyGiven && !call.Adopted && strings.HasPrefix(call.Key, dispatcher.MadeKeyPrefix)
+	s.proposer.Fresh = !call.HasCallerKey
+	s.proposer.GeneratedKey = call.HasCallerKey && !call.Adopted && strings.HasPrefix(call.Key, dispatcher.GeneratedKeyPrefix)
 	return s
 }
 
@@ -90,7 +90,7 @@
 
 // Begin returns the answer to an earlier call with the same key, or nil for a new call.
 func (r *Recorder) Begin(ctx context.Context, call *dispatcher.Call) (*dispatcher.Answer, error) {
-	if !call.KeyGiven && call.Repeatable {
+	if !call.HasCallerKey && call.Repeatable {
 		return nil, nil
 	}
 	s := r.newSession(call)
@@ -98,7 +98,7 @@
 		return nil, refuseUnlessRepeatable(call)
 	}
 	r.sessions.Store(call.ID, s)
-	if !call.KeyGiven {
+	if !call.HasCallerKey {
 		return nil, nil
 	}
 	began := time.Now()
@@ -114,8 +114,8 @@
 	return r.earlierAnswer(call, concluded)
 }
 
-// Look returns the stored answer for a key, and whether an entry is running its call.
-func (r *Recorder) Look(ctx context.Context, account units.Account, key string) (*dispatcher.Answer, bool, error) {
+// Lookup returns the stored answer for a key, and whether an entry is running its call.
+func (r *Recorder) Lookup(ctx context.Context, account units.Account, key string) (*dispatcher.Answer, bool, error) {
 	s := &session{
 		proposer: r.newProposer(keyHash(account, key), nil, units.CallID(uuid.NewString())),
 		inbox:    make(chan OwnerResponded, inboxSize),
@@ -173,9 +173,9 @@
 	return unavailableRefusal(call)
 }
 
-// Dispatching returns once a majority of the owners has stored the intent to run a
+// BeforeDispatch returns once a majority of the owners has stored the intent to run a
 // non-repeatable call.
-func (r *Recorder) Dispatching(ctx context.Context, call *dispatcher.Call, attempt units.Attempt, upstream units.Upstream) error {
+func (r *Recorder) BeforeDispatch(ctx context.Context, call *dispatcher.Call, attempt units.Attempt, upstream units.Upstream) error {
 	if call.Repeatable {
 		return nil
 	}
@@ -223,7 +223,7 @@
 	r.sessions.Delete(call.ID)
 	ended := endEvent(call, s, answer, refusal)
 	notRun := refusal != nil && refusal.Executed == dispatcher.ExecutedNo
-	if !notRun || !call.KeyGiven || call.Repeatable {
+	if !notRun || !call.HasCallerKey || call.Repeatable {
 		stored := r.storeAsync(ctx, s, ended)
 		if answer != nil && !call.Repeatable {
 			awaitStored(stored, storeTimeout)
@@ -287,8 +287,8 @@
 		_, _ = hash.Write([]byte{0})
 	}
 	body := call.Body
-	if call.RecordedBody != nil {
-		body = call.RecordedBody
+	if call.OriginalBody != nil {
+		body = call.OriginalBody
 	}
 	_, _ = hash.Write(body)
 	return hash.Sum(nil)
--- a/src/retrier/budget.go
+++ b/src/retrier/budget.go
@@ -59,20 +59,20 @@
 	c.calls[bucket]++
 }
 
-// Earn does nothing: calls are counted when they start.
-func (b *Budget) Earn(units.Service) {}
+// RecordAnswer does nothing: calls are counted when they start.
+func (b *Budget) RecordAnswer(units.Service) {}
 
-// Spend reports whether a call may be retried, and counts the retry if so.
-func (b *Budget) Spend(service units.Service) bool { return b.spend(service, retryFraction) }
+// AllowRetry reports whether a call may be retried, and counts the retry if so.
+func (b *Budget) AllowRetry(service units.Service) bool { return b.spend(service, retryFraction) }
 
-// Resume reports whether a stream in progress may continue at another upstream, and counts the
+// AllowResume reports whether a stream in progress may continue at another upstream, and counts the
 // attempt if so.
 //
 // When half of the upstreams of a fully used fleet are reclaimed at once, each with some tens
 // of streams, the remaining ones refuse most of these streams. Without a bound, each stream
 // would try all of them several times, and the upstreams would have that much less time for the
 // calls that they have accepted.
-func (b *Budget) Resume(service units.Service) bool { return b.spend(service, resumeFraction) }
+func (b *Budget) AllowResume(service units.Service) bool { return b.spend(service, resumeFraction) }
 
 // spend counts a further attempt if it stays within a fraction of the bound.
 func (b *Budget) spend(service units.Service, fraction float64) bool {
--- a/src/retrier/budget_test.go
+++ b/src/retrier/budget_test.go
@@ -32,9 +32,9 @@
 			b.RecordCall("s")
 			events = append(events, event{at: now})
 			for range rapid.IntRange(0, 3).Draw(t, "refusals") {
-				spend := b.Spend
+				spend := b.AllowRetry
 				if rapid.IntRange(1, 100).Draw(t, "retry") <= streams {
-					spend = b.Resume
+					spend = b.AllowResume
 				}
 				if spend("s") {
 					events = append(events, event{at: now, further: true})
@@ -65,17 +65,17 @@
 func TestStreamsResumeWhenRetriesAreExhausted(t *testing.T) {
 	now := time.Unix(1000, 0)
 	b := &Budget{Window: 10 * time.Second, Ratio: 0.2, Slack: 20, Now: func() time.Time { return now }}
-	for b.Spend("s") {
+	for b.AllowRetry("s") {
 		continue
 	}
-	if !b.Resume("s") {
+	if !b.AllowResume("s") {
 		t.Error("resuming a stream after retries have used their fraction: got refused, want allowed")
 	}
 	resumed := 1
-	for b.Resume("s") {
+	for b.AllowResume("s") {
 		resumed++
 	}
-	if b.Spend("s") {
+	if b.AllowRetry("s") {
 		t.Error("a retry after streams have used the rest: got allowed, want refused")
 	}
 	if got, most := resumed+int(retryFraction*20), 20; got > most {
@@ -89,7 +89,7 @@
 	b := &Budget{Window: 10 * time.Second, Ratio: 0.2, Slack: 8, Now: func() time.Time { return now }}
 	spend := func() int {
 		n := 0
-		for b.Spend("s") {
+		for b.AllowRetry("s") {
 			n++
 		}
 		return n
--- a/src/router/explain.go
+++ b/src/router/explain.go
@@ -8,12 +8,12 @@
 
 // explain records the eligible candidates and their scores in the call's trail.
 func (s *subset) explain(call *dispatcher.Call, scores []float64) {
-	if call.Trail == nil {
+	if call.Trace == nil {
 		return
 	}
 	for i, score := range scores {
 		if !math.IsInf(score, 1) {
-			call.Trail.Candidate(s.candidates[i].upstream.Name, score)
+			call.Trace.RecordCandidate(s.candidates[i].upstream.Name, score)
 		}
 	}
 }
--- a/src/router/observer.go
+++ b/src/router/observer.go
@@ -17,10 +17,10 @@
 	switch result.Kind {
 	case dispatcher.Answered:
 		r.stepEjector(upstream, ejector.Succeeded{Key: key})
-	case dispatcher.Lost, dispatcher.NotRun, dispatcher.Broken:
+	case dispatcher.OutcomeUnknown, dispatcher.NotRun, dispatcher.Unresumable:
 		r.stepEjector(upstream, ejector.Failed{
 			Key:       key,
-			Unreached: result.Unreached,
+			Unreached: result.ConnectFailed,
 			Total:     r.usableCount(upstream),
 		})
 	case dispatcher.CallerGone, dispatcher.Moved:
@@ -50,17 +50,17 @@
 	}
 }
 
-// Departed records that an upstream is leaving or gone. For a reclaimable one it
+// OnDeparture records that an upstream is leaving or gone. For a reclaimable one it
 // counts as a reclaim notice in its data centre.
-func (r *Router) Departed(upstream *tracker.Upstream) {
+func (r *Router) OnDeparture(upstream *tracker.Upstream) {
 	if upstream.Reclaimable {
 		r.recentNotices(upstream.DataCentre).add(r.now(), 1, maxNotices)
 	}
 }
 
-// Cached applies an engine's prefix cache events to the index, and raises the engine's
+// OnCacheEvents applies an engine's prefix cache events to the index, and raises the engine's
 // eviction pressure by the recently used blocks that it removed.
-func (r *Router) Cached(upstream *tracker.Upstream, events *messages.CacheEvents) {
+func (r *Router) OnCacheEvents(upstream *tracker.Upstream, events *messages.CacheEvents) {
 	if r.Index == nil {
 		return
 	}
--- a/src/router/router.go
+++ b/src/router/router.go
@@ -114,7 +114,7 @@
 		minPressure: 1,
 	}
 	if r.Index != nil {
-		d.matchCount = r.Index.Find(now, call.Blocks, &d.matches)
+		d.matchCount = r.Index.Find(now, call.BlockHashes, &d.matches)
 	}
 	var scores [subsetSize]float64
 	best := math.Inf(1)
@@ -135,7 +135,7 @@
 	chosen := r.betterOfTwo(scores[:len(s.candidates)], best+scoreTolerance)
 	upstream := s.candidates[chosen].upstream
 	if r.Index != nil {
-		r.Index.Add(now, upstream.Local.ID, call.Blocks)
+		r.Index.Add(now, upstream.Local.ID, call.BlockHashes)
 	}
 	return upstream
 }
@@ -146,18 +146,18 @@
 // prompt to a different engine, which evicts another prompt there, until no call finds
 // its prompt cached anywhere.
 func (s *subset) discountRendezvous(d *decision, scores *[subsetSize]float64) {
-	if d.matchCount > 0 && d.minPressure < maxTrustedPressure || len(d.call.Blocks) == 0 {
+	if d.matchCount > 0 && d.minPressure < maxTrustedPressure || len(d.call.BlockHashes) == 0 {
 		return
 	}
 	preferred, highest := -1, uint64(0)
 	for i := range s.candidates {
-		hash := mixHashes(d.call.Blocks[0], s.candidates[i].hash)
+		hash := mixHashes(d.call.BlockHashes[0], s.candidates[i].hash)
 		if hash >= highest && !math.IsInf(scores[i], 1) {
 			preferred, highest = i, hash
 		}
 	}
 	if preferred >= 0 {
-		prefill := float64(d.call.Prompt) * s.candidates[preferred].secondsPerToken
+		prefill := float64(d.call.PromptTokens) * s.candidates[preferred].secondsPerToken
 		scores[preferred] -= rendezvousDiscount * prefill * (1 + rendezvousPressureWeight*d.minPressure)
 	}
 }
--- a/src/router/router_test.go
+++ b/src/router/router_test.go
@@ -82,15 +82,15 @@
 
 func modelCall(policy parser.Policy, first uint64) *dispatcher.Call {
 	call := &dispatcher.Call{
-		ID:        "call-1",
-		Service:   "ember-llm",
-		Kind:      parser.ModelService,
-		Policy:    policy,
-		Prompt:    2048,
-		MaxOutput: 256,
+		ID:           "call-1",
+		Service:      "ember-llm",
+		Kind:         parser.ModelService,
+		Policy:       policy,
+		PromptTokens: 2048,
+		MaxOutput:    256,
 	}
 	for i := range 32 {
-		call.Blocks = append(call.Blocks, mixHashes(first, uint64(i)))
+		call.BlockHashes = append(call.BlockHashes, mixHashes(first, uint64(i)))
 	}
 	return call
 }
@@ -157,17 +157,17 @@
 			f.engines[0].Local.InFlight.Store(4)
 			busy := f.engines[0]
 			call := modelCall(parser.PrefixCost, 3)
-			call.Prompt = 8192
+			call.PromptTokens = 8192
 			var removed []uint64
 			for i := range uint64(8) {
 				other := modelCall(parser.PrefixCost, 100+i)
-				f.router.Cached(busy, &messages.CacheEvents{Added: other.Blocks})
-				removed = append(removed, other.Blocks...)
+				f.router.OnCacheEvents(busy, &messages.CacheEvents{Added: other.BlockHashes})
+				removed = append(removed, other.BlockHashes...)
 			}
 			f.now = f.now.Add(c.unused)
 			busy.AnnouncedAt = f.now
 			f.engines[1].AnnouncedAt = f.now
-			f.router.Cached(busy, &messages.CacheEvents{Removed: removed})
+			f.router.OnCacheEvents(busy, &messages.CacheEvents{Removed: removed})
 			chosen := f.router.Pick(call, nil)
 			if got := chosen == busy; got != c.want {
 				t.Errorf("sent to the busy engine: got %t, want %t", got, c.want)
@@ -186,15 +186,15 @@
 		for i, engine := range f.engines {
 			var hot []uint64
 			for n := range uint64(8) {
-				hot = append(hot, modelCall(parser.PrefixCost, 100*uint64(i)+n).Blocks...)
+				hot = append(hot, modelCall(parser.PrefixCost, 100*uint64(i)+n).BlockHashes...)
 			}
-			f.router.Cached(engine, &messages.CacheEvents{Added: hot})
-			f.router.Cached(engine, &messages.CacheEvents{Removed: hot})
+			f.router.OnCacheEvents(engine, &messages.CacheEvents{Added: hot})
+			f.router.OnCacheEvents(engine, &messages.CacheEvents{Removed: hot})
 			engine.Local.InFlight.Store(2)
 		}
 		call := modelCall(parser.PrefixCost, 3)
-		call.Prompt = 8192
-		f.router.Cached(f.engines[believed], &messages.CacheEvents{Added: call.Blocks})
+		call.PromptTokens = 8192
+		f.router.OnCacheEvents(f.engines[believed], &messages.CacheEvents{Added: call.BlockHashes})
 		chosen[f.router.Pick(call, nil).Name] = true
 	}
 	if got, want := len(chosen), 1; got != want {
@@ -210,7 +210,7 @@
 	for _, engine := range f.engines {
 		engine.Reclaimable = true
 	}
-	f.router.Departed(f.engines[0])
+	f.router.OnDeparture(f.engines[0])
 	f.publish(f.engines[1:])
 	for i := range 40 {
 		if got := f.router.Pick(modelCall(parser.PrefixCost, uint64(i)), nil); got.DataCentre == "dc-0" {
@@ -354,9 +354,9 @@
 	engine := f.engines[rapid.IntRange(0, len(f.engines)-1).Draw(t, "engine")]
 	switch rapid.IntRange(0, 5).Draw(t, "disturbance") {
 	case 0:
-		f.router.Observe(engine, dispatcher.Result{Kind: dispatcher.NotRun, Unreached: true})
+		f.router.Observe(engine, dispatcher.Result{Kind: dispatcher.NotRun, ConnectFailed: true})
 	case 1:
-		f.router.Observe(engine, dispatcher.Result{Kind: dispatcher.Lost})
+		f.router.Observe(engine, dispatcher.Result{Kind: dispatcher.OutcomeUnknown})
 	case 2:
 		f.router.Observe(engine, dispatcher.Result{Kind: dispatcher.Answered})
 	case 3:
--- a/src/router/score.go
+++ b/src/router/score.go
@@ -57,7 +57,7 @@
 	number := c.upstream.Local.ID
 	for i := range d.matches[:d.matchCount] {
 		if d.matches[i].IsEngine(number) {
-			return min(float64(d.call.Prompt), d.matches[i].Tokens(blockTokens))
+			return min(float64(d.call.PromptTokens), d.matches[i].Tokens(blockTokens))
 		}
 	}
 	return 0
@@ -67,7 +67,7 @@
 func (d *decision) score(c *candidate) float64 {
 	upstream := c.upstream
 	load := float64(upstream.Local.InFlight.Load()) + float64(upstream.Load.PeerCalls)
-	prefill := (float64(d.call.Prompt) - d.cachedTokens(c)) * c.secondsPerToken
+	prefill := (float64(d.call.PromptTokens) - d.cachedTokens(c)) * c.secondsPerToken
 	firstToken := d.prefillWait(c) + prefill + c.step
 	if excess := load + 1 - c.slots; excess > 0 {
 		firstToken += excess * typicalOutputTokens * c.step / c.slots
@@ -128,7 +128,7 @@
 	}
 	duration := float64(d.call.MaxOutput) * c.step
 	probability := min(1, hazard(c.notices, d.now)*duration)
-	recomputation := (float64(d.call.Prompt) + float64(d.call.MaxOutput)/2) * c.secondsPerToken
+	recomputation := (float64(d.call.PromptTokens) + float64(d.call.MaxOutput)/2) * c.secondsPerToken
 	return probability * (recomputation + reclaimOverhead)
 }
 
--- a/src/scaler/order.go
+++ b/src/scaler/order.go
@@ -49,7 +49,7 @@
 // effectTimeout returns how long an order may take to show in the number of upstreams.
 func effectTimeout(service *matcher.Service, scaleUp bool) time.Duration {
 	if scaleUp {
-		return service.Scaling.Boot + startGrace
+		return service.Scaling.BootTime + startGrace
 	}
 	return stopTimeout
 }
--- a/src/scaler/plan.go
+++ b/src/scaler/plan.go
@@ -39,7 +39,7 @@
 // half of it is reclaimed.
 func (s *Scaler) maxReclaimable(now time.Time, service *matcher.Service, pool Pool, current PoolSizes) int {
 	onDemand := Pool{DataCentre: pool.DataCentre}
-	maxReclaimable := max(0, service.Scaling.Most-max(current[onDemand], s.ordered[onDemand].count))
+	maxReclaimable := max(0, service.Scaling.Max-max(current[onDemand], s.ordered[onDemand].count))
 	if s.isSoldOut(now, pool) {
 		return min(maxReclaimable, current[pool])
 	}
@@ -102,8 +102,8 @@
 			DataCentre:  centre,
 			Reclaimable: true,
 		}]
-		assigned := min(count, half, max(0, scaling.Most-reclaimable))
-		assigned = max(assigned, min(scaling.Least-readyOrStarting[centre], scaling.Most-reclaimable))
+		assigned := min(count, half, max(0, scaling.Max-reclaimable))
+		assigned = max(assigned, min(scaling.Min-readyOrStarting[centre], scaling.Max-reclaimable))
 		plan[Pool{DataCentre: centre}] = assigned
 		count = max(0, count-assigned)
 	}
--- a/src/scaler/scaler_test.go
+++ b/src/scaler/scaler_test.go
@@ -24,9 +24,9 @@
 		Name:   "s",
 		Engine: &matcher.Engine{Slots: 32},
 		Scaling: &matcher.Scaling{
-			Least:            1,
-			Most:             10,
-			Boot:             4 * time.Second,
+			Min:              1,
+			Max:              10,
+			BootTime:         4 * time.Second,
 			ReclaimablePrice: 0.2,
 			Prices:           map[units.DataCentre]float64{"a": 1, "b": 0.8, "c": 1.25, "d": 0.9},
 		},
@@ -72,7 +72,7 @@
 				s.OnOrderRefused(now, order.Pool)
 				continue
 			}
-			at := now.Add(p.service.Scaling.Boot)
+			at := now.Add(p.service.Scaling.BootTime)
 			if order.Count < p.ready[order.Pool] {
 				at = now.Add(stepInterval)
 			}
@@ -164,7 +164,7 @@
 // sixDataCentres is a service in six data centres.
 func sixDataCentres() *matcher.Service {
 	svc := service()
-	svc.Scaling.Most = 40
+	svc.Scaling.Max = 40
 	for _, centre := range []units.DataCentre{"e", "f"} {
 		svc.Scaling.Prices[centre] = 1
 	}
@@ -307,7 +307,7 @@
 	p.pending = nil
 	for _, centre := range []units.DataCentre{"a", "b", "c", "d"} {
 		p.ready[Pool{DataCentre: centre, Reclaimable: true}] = 0
-		now, _ = p.run(s, now, p.service.Scaling.Boot+time.Second, evenLoad)
+		now, _ = p.run(s, now, p.service.Scaling.BootTime+time.Second, evenLoad)
 		if got, want := p.total(), s.requiredByLoad(p.service); got < want {
 			t.Errorf("upstreams one start time after the loss of %s: got %d, want the %d that the load needs", centre, got, want)
 		}
@@ -374,7 +374,7 @@
 	for _, centre := range []units.DataCentre{"a", "b"} {
 		p.ready[Pool{DataCentre: centre, Reclaimable: true}] = 0
 	}
-	now, _ = p.run(s, now, p.service.Scaling.Boot+time.Second, heavy)
+	now, _ = p.run(s, now, p.service.Scaling.BootTime+time.Second, heavy)
 	if got := p.total(); got < needed {
 		t.Errorf("upstreams one start time after the reclaim: got %d, want the %d that the load needs", got, needed)
 	}
@@ -442,7 +442,7 @@
 // is full and the load needs every upstream.
 func TestOnDemandIsReplacedOnceReclaimableIsAvailable(t *testing.T) {
 	svc := service()
-	svc.Scaling.Most = 60
+	svc.Scaling.Max = 60
 	p := newFakePlatform(svc)
 	s := &Scaler{}
 	heavy := func(int) Load { return Load{Demand: 6_000_000, SecondsPerUnit: 1e-5, Concurrency: 200} }
@@ -514,7 +514,7 @@
 func TestOrdersStayWithinBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		svc := service()
-		svc.Scaling.Most = rapid.IntRange(1, 10).Draw(t, "most")
+		svc.Scaling.Max = rapid.IntRange(1, 10).Draw(t, "most")
 		s := &Scaler{}
 		ready := make(PoolSizes)
 		ordered := make(PoolSizes)
@@ -533,16 +533,16 @@
 				}
 				ordered[order.Pool] = order.Count
 				ready[order.Pool] = order.Count
-				if order.Count < 0 || order.Count > svc.Scaling.Most {
-					t.Fatalf("order: got %d of %+v, want 0 to %d", order.Count, order.Pool, svc.Scaling.Most)
+				if order.Count < 0 || order.Count > svc.Scaling.Max {
+					t.Fatalf("order: got %d of %+v, want 0 to %d", order.Count, order.Pool, svc.Scaling.Max)
 				}
 			}
 		}
 		plan := s.plan(now, svc, s.requirement(now, svc), ready)
 		for centre := range svc.Scaling.Prices {
 			both := plan[Pool{DataCentre: centre}] + plan[Pool{DataCentre: centre, Reclaimable: true}]
-			if both < svc.Scaling.Least || both > svc.Scaling.Most {
-				t.Fatalf("plan for %s: got %d, want %d to %d", centre, both, svc.Scaling.Least, svc.Scaling.Most)
+			if both < svc.Scaling.Min || both > svc.Scaling.Max {
+				t.Fatalf("plan for %s: got %d, want %d to %d", centre, both, svc.Scaling.Min, svc.Scaling.Max)
 			}
 		}
 	})
--- a/src/server/adoption.go
+++ b/src/server/adoption.go
@@ -22,9 +22,9 @@
 
 // Looker tells what became of a call.
 type Looker interface {
-	// Look returns a kept answer, or whether the call runs; neither means that
+	// Lookup returns a kept answer, or whether the call runs; neither means that
 	// nobody can say what became of it.
-	Look(ctx context.Context, account units.Account, key string) (answer *dispatcher.Answer, running bool, err error)
+	Lookup(ctx context.Context, account units.Account, key string) (answer *dispatcher.Answer, running bool, err error)
 }
 
 // collect answers a caller that collects the answer to an earlier call. The
@@ -39,7 +39,7 @@
 	ctx, cancel := context.WithTimeout(request.Request.Context(), lookTimeout)
 	defer cancel()
 	key := request.PathParameter("id")
-	answer, running, err := s.Records.Look(ctx, account.Name, key)
+	answer, running, err := s.Records.Lookup(ctx, account.Name, key)
 	switch {
 	case answer != nil:
 		_ = s.newSink(response.ResponseWriter, &dispatcher.Call{}, time.Now()).Answer(answer)
@@ -53,7 +53,7 @@
 func notKnown(err error) *dispatcher.Refusal {
 	refusal := &dispatcher.Refusal{
 		Status:     http.StatusNotFound,
-		Kind:       dispatcher.ProblemLost,
+		Kind:       dispatcher.ProblemOutcomeUnknown,
 		Detail:     "no answer is kept under this key; send the call again under it if its service lets you",
 		Executed:   dispatcher.ExecutedUnknown,
 		RetryAfter: collectRetry,
@@ -90,17 +90,17 @@
 		return nil, fmt.Errorf("client account %s is not in force here", request.GetAccount())
 	}
 	call := &dispatcher.Call{
-		ID:       units.CallID(uuid.NewString()),
-		Key:      request.GetKey(),
-		KeyGiven: true,
-		Adopted:  true,
-		Brand:    units.Brand(request.GetBrand()),
-		Account:  account,
-		Method:   request.GetMethod(),
-		Path:     request.GetPath(),
-		Query:    request.GetQuery(),
-		Header:   make(http.Header),
-		Body:     request.GetBody(),
+		ID:           units.CallID(uuid.NewString()),
+		Key:          request.GetKey(),
+		HasCallerKey: true,
+		Adopted:      true,
+		Brand:        units.Brand(request.GetBrand()),
+		Account:      account,
+		Method:       request.GetMethod(),
+		Path:         request.GetPath(),
+		Query:        request.GetQuery(),
+		Header:       make(http.Header),
+		Body:         request.GetBody(),
 	}
 	for _, field := range request.GetHeader() {
 		call.Header[field.GetName()] = field.GetValues()
@@ -122,7 +122,7 @@
 	if err := json.Unmarshal(call.Body, &fields); err != nil {
 		return fmt.Errorf("read the handed-over request: %w", err)
 	}
-	call.RecordedBody = call.Body
+	call.OriginalBody = call.Body
 	fields["stream"] = json.RawMessage("false")
 	body, err := json.Marshal(fields)
 	if err != nil {
@@ -181,8 +181,8 @@
 // Event drops the event.
 func (discard) Event(units.Tokens, []byte) error { return nil }
 
-// Hold has nothing to hold.
-func (discard) Hold(bool) {}
+// SetBuffering has nothing to hold.
+func (discard) SetBuffering(bool) {}
 
 // End drops the marker.
 func (discard) End() error { return nil }
--- a/src/server/intake.go
+++ b/src/server/intake.go
@@ -91,20 +91,20 @@
 	}
 	given := key != ""
 	if !given {
-		key = dispatcher.MadeKeyPrefix + string(id)
+		key = dispatcher.GeneratedKeyPrefix + string(id)
 	}
 	writer.Header().Set(headerKey, key)
 	return snapshot, &dispatcher.Call{
-		ID:       id,
-		Key:      key,
-		KeyGiven: given,
-		Brand:    brand,
-		Account:  account,
-		Method:   request.Method,
-		Path:     request.URL.Path,
-		Query:    request.URL.RawQuery,
-		Header:   request.Header,
-		Body:     body,
+		ID:           id,
+		Key:          key,
+		HasCallerKey: given,
+		Brand:        brand,
+		Account:      account,
+		Method:       request.Method,
+		Path:         request.URL.Path,
+		Query:        request.URL.RawQuery,
+		Header:       request.Header,
+		Body:         body,
 	}, nil
 }
 
--- a/src/server/problem.go
+++ b/src/server/problem.go
@@ -35,7 +35,7 @@
 	// did not run may have none, and a resend under the key would be taken for
 	// a call whose record is lost.
 	key := writer.Header().Get(headerKey)
-	if refusal.Executed == dispatcher.ExecutedNo && strings.HasPrefix(key, dispatcher.MadeKeyPrefix) {
+	if refusal.Executed == dispatcher.ExecutedNo && strings.HasPrefix(key, dispatcher.GeneratedKeyPrefix) {
 		writer.Header().Del(headerKey)
 	}
 	if refusal.RetryAfter > 0 {
--- a/src/server/server.go
+++ b/src/server/server.go
@@ -239,7 +239,7 @@
 	call.Kind = service.Kind
 	call.Policy = service.Policy
 	call.Deadline = began.Add(service.Deadline)
-	call.BetweenTokens = service.Target.BetweenTokens
+	call.InterTokenLatency = service.Target.BetweenTokens
 	call.Repeatable = service.Repeatable(call.Method, call.Path)
 }
 
@@ -248,9 +248,9 @@
 	prompt := parsed.promptText()
 	call.Model = parsed.Model
 	call.Stream = parsed.Stream
-	call.Prompt = units.Tokens(len(prompt) / bytesPerToken)
+	call.PromptTokens = units.Tokens(len(prompt) / bytesPerToken)
 	call.MaxOutput = parsed.MaxTokens
-	call.Blocks = blockHashes(prompt)
+	call.BlockHashes = blockHashes(prompt)
 }
 
 func (s *Server) count(call *dispatcher.Call, outcome string) {
--- a/src/server/sink.go
+++ b/src/server/sink.go
@@ -117,8 +117,8 @@
 	s.last = now
 }
 
-// Hold keeps events back until the first that is not held.
-func (s *sink) Hold(hold bool) { s.held = hold }
+// SetBuffering keeps events back until the first that is not held.
+func (s *sink) SetBuffering(hold bool) { s.held = hold }
 
 // End writes the final marker of a stream.
 func (s *sink) End() error {
