--- a/src/server/trail.go
+++ b/src/server/trail.go
@@ -11,10 +11,10 @@
 	if s.Explainer == nil {
 		return
 	}
-	call.Trail = s.Explainer.Open(call.ID)
-	call.Note(dispatcher.StepAccepted, "", fmt.Sprintf(
+	call.Trace = s.Explainer.Open(call.ID)
+	call.RecordStep(dispatcher.StepAccepted, "", fmt.Sprintf(
 		"account %s of brand %s, service %s, policy %s, repeatable %t, stream %t, prompt %d and at most %d tokens",
-		call.Account.Name, call.Brand, call.Service, call.Policy, call.Repeatable, call.Stream, call.Prompt, call.MaxOutput))
+		call.Account.Name, call.Brand, call.Service, call.Policy, call.Repeatable, call.Stream, call.PromptTokens, call.MaxOutput))
 }
 
 // conclude ends the call's trail with its outcome.
@@ -22,5 +22,5 @@
 	if err != nil {
 		outcome += ": " + err.Error()
 	}
-	call.Note(dispatcher.StepOutcome, "", outcome)
+	call.RecordStep(dispatcher.StepOutcome, "", outcome)
 }
--- a/src/watcher/limits.go
+++ b/src/watcher/limits.go
@@ -10,8 +10,8 @@
 // The minimums are well above the pauses that a busy machine causes. A watchdog that fires too
 // early costs a reconnection but no token.
 const (
-	// Connect bounds the setup of a connection.
-	Connect              = 500 * time.Millisecond
+	// ConnectTimeout bounds the setup of a connection.
+	ConnectTimeout       = 500 * time.Millisecond
 	minHeaderTimeout     = time.Second
 	minFirstTokenTimeout = time.Second
 	minTokenTimeout      = 300 * time.Millisecond
@@ -26,24 +26,24 @@
 	defaultPrefillPerStep = 64
 )
 
-// Limits are the longest silences during which an upstream is assumed to be working.
-type Limits struct {
-	// Accept is the time from the request to the answer's header.
-	Accept time.Duration
+// Timeouts are the longest silences during which an upstream is assumed to be working.
+type Timeouts struct {
+	// Header is the time from the request to the answer's header.
+	Header time.Duration
 	// FirstToken is the time from the header to the first token.
 	FirstToken time.Duration
 	// BetweenTokens is the time between two tokens.
 	BetweenTokens time.Duration
 }
 
-// For returns the limits of a stream with the given number of prompt tokens at an upstream.
-func For(upstream *tracker.Upstream, prompt units.Tokens) Limits {
+// TimeoutsFor returns the limits of a stream with the given number of prompt tokens at an upstream.
+func TimeoutsFor(upstream *tracker.Upstream, prompt units.Tokens) Timeouts {
 	step := upstream.Step
 	if step <= 0 {
 		step = defaultStep
 	}
-	return Limits{
-		Accept:        minHeaderTimeout + tokenTimeoutSteps*step,
+	return Timeouts{
+		Header:        minHeaderTimeout + tokenTimeoutSteps*step,
 		FirstToken:    minFirstTokenTimeout + predictionFactor*PredictFirstToken(upstream, prompt),
 		BetweenTokens: max(minTokenTimeout, tokenTimeoutSteps*step),
 	}
--- a/src/watcher/watcher_test.go
+++ b/src/watcher/watcher_test.go
@@ -61,7 +61,7 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			got := For(c.upstream, c.prompt)
+			got := TimeoutsFor(c.upstream, c.prompt)
 			if got, want := got.FirstToken, c.wantFirst; got != want {
 				t.Errorf("first token: got %s, want %s", got, want)
 			}
