--- a/src/certifier/authority.go
+++ b/src/certifier/authority.go
@@ -19,19 +19,20 @@
 )
 
 const (
-	authorityFile  = "authority.pem"
-	authorityName  = "rosecroft authority"
-	serialBits     = 120
-	keyMode        = 0o600
-	publicMode     = 0o644
-	folderMode     = 0o700
-	clockTolerance = 5 * time.Minute
+	authorityFile       = "authority.pem"
+	authorityCommonName = "rosecroft authority"
+	serialBits          = 120
+	keyFileMode         = 0o600
+	certificateFileMode = 0o644
+	folderMode          = 0o700
+	clockTolerance      = 5 * time.Minute
 )
 
-// Authority signs the certificates of a first set-up. Its private key is held
-// in memory alone, so nobody can sign more with it later.
+// Authority is a certificate authority that signs the certificates of an initial set-up.
+// Its private key is kept only in memory, so that no further certificates can be signed
+// with it later.
 type Authority struct {
-	// Folder takes the certificates and keys.
+	// Folder is where the certificates and private keys are written.
 	Folder string
 	// Lifetime is how long the certificates are valid.
 	Lifetime time.Duration
@@ -40,16 +41,16 @@
 	key         *ecdsa.PrivateKey
 }
 
-// Make makes the authority and writes its certificate.
+// Make generates the authority's key and certificate and writes the certificate.
 func (a *Authority) Make() error {
 	if err := os.MkdirAll(a.Folder, folderMode); err != nil {
-		return fmt.Errorf("make the folder: %w", err)
+		return fmt.Errorf("create the folder of certificates: %w", err)
 	}
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return fmt.Errorf("make the authority's key: %w", err)
+		return fmt.Errorf("generate the authority's key: %w", err)
 	}
-	template, err := a.template(authorityName)
+	template, err := a.template(authorityCommonName)
 	if err != nil {
 		return err
 	}
@@ -61,14 +62,14 @@
 		return fmt.Errorf("sign the authority's certificate: %w", err)
 	}
 	if a.certificate, err = x509.ParseCertificate(content); err != nil {
-		return fmt.Errorf("read the authority's certificate: %w", err)
+		return fmt.Errorf("parse the authority's certificate: %w", err)
 	}
 	a.key = key
-	return writePEM(a.path(authorityFile), "CERTIFICATE", content, publicMode)
+	return writePEM(a.path(authorityFile), "CERTIFICATE", content, certificateFileMode)
 }
 
-// Issue writes a certificate and its private key for an identity and returns
-// the files; hosts are the names and IP numbers that callers reach it by.
+// Issue writes a certificate and private key for an identity and returns the names of the
+// files; hosts are the DNS names and IP addresses at which clients reach its holder.
 func (a *Authority) Issue(identity Identity, hosts ...string) (parser.Listener, error) {
 	files := parser.Listener{
 		Certificate: a.path(fmt.Sprintf("%s-%s.pem", identity.Role, identity.Name)),
@@ -77,7 +78,7 @@
 	}
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return files, fmt.Errorf("make the key of %s: %w", identity, err)
+		return files, fmt.Errorf("generate the key of %s: %w", identity, err)
 	}
 	template, err := a.template(identity.Name)
 	if err != nil {
@@ -91,13 +92,13 @@
 	if err != nil {
 		return files, fmt.Errorf("sign the certificate of %s: %w", identity, err)
 	}
-	secret, err := x509.MarshalPKCS8PrivateKey(key)
+	encodedKey, err := x509.MarshalPKCS8PrivateKey(key)
 	if err != nil {
-		return files, fmt.Errorf("form the key of %s: %w", identity, err)
+		return files, fmt.Errorf("encode the key of %s: %w", identity, err)
 	}
 	return files, errors.Join(
-		writePEM(files.PrivateKey, "PRIVATE KEY", secret, keyMode),
-		writePEM(files.Certificate, "CERTIFICATE", content, publicMode),
+		writePEM(files.PrivateKey, "PRIVATE KEY", encodedKey, keyFileMode),
+		writePEM(files.Certificate, "CERTIFICATE", content, certificateFileMode),
 	)
 }
 
@@ -106,7 +107,7 @@
 func (a *Authority) template(name string) (*x509.Certificate, error) {
 	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits))
 	if err != nil {
-		return nil, fmt.Errorf("make a serial number: %w", err)
+		return nil, fmt.Errorf("generate a serial number: %w", err)
 	}
 	now := time.Now()
 	return &x509.Certificate{
@@ -127,15 +128,16 @@
 	}
 }
 
-// writePEM replaces a file at once, so that a process that reloads it never reads half of it.
+// writePEM replaces a file atomically, so that a process that reloads it never reads an
+// incomplete one.
 func writePEM(path, kind string, content []byte, mode os.FileMode) error {
 	encoded := pem.EncodeToMemory(&pem.Block{
 		Type:  kind,
 		Bytes: content,
 	})
-	next := path + ".next"
-	if err := os.WriteFile(next, encoded, mode); err != nil {
+	temporary := path + ".next"
+	if err := os.WriteFile(temporary, encoded, mode); err != nil {
 		return fmt.Errorf("write %s: %w; name a folder that you may write to", path, err)
 	}
-	return os.Rename(next, path)
+	return os.Rename(temporary, path)
 }
--- a/src/certifier/certifier.go
+++ b/src/certifier/certifier.go
@@ -12,31 +12,33 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// reloadInterval is how long a replaced certificate may go unnoticed.
+// reloadInterval is the interval at which certificate files are checked for changes.
 const reloadInterval = time.Second
 
 // Certifier holds the certificates of one process.
 type Certifier struct {
 	Log zerolog.Logger
 
-	control map[string]units.Instance
-	// Each is nil where the settings allow plain loopback.
+	// controlNames maps the peer address of each control instance to its name.
+	controlNames map[string]units.Instance
+	// Each of these is nil where the settings allow unencrypted loopback connections.
 	callers   *Source
 	upstreams *Source
 	operators *Source
 	peers     *Source
 }
 
-// New loads what the settings name.
+// New loads the certificates that the settings name and checks that the peer certificate is
+// that of this process.
 func New(settings *parser.Settings, role parser.Role, log zerolog.Logger) (*Certifier, error) {
 	c := &Certifier{
-		Log:     log,
-		control: make(map[string]units.Instance),
+		Log:          log,
+		controlNames: make(map[string]units.Instance),
 	}
 	for _, instance := range settings.Control {
-		c.control[instance.Address] = instance.Name
+		c.controlNames[instance.Address] = instance.Name
 	}
-	for at, target := range map[string]struct {
+	for section, target := range map[string]struct {
 		files  parser.Listener
 		source **Source
 	}{
@@ -52,16 +54,16 @@
 			Files: target.files,
 		}
 		if _, err := source.Load(); err != nil {
-			return nil, fmt.Errorf("%s: %w", at, err)
+			return nil, fmt.Errorf("%s: %w", section, err)
 		}
 		*target.source = source
 	}
-	return c, c.checkOwn(Role(role), settings.Name)
+	return c, c.checkOwnIdentity(Role(role), settings.Name)
 }
 
-// checkOwn finds a certificate of another process at the start, which every
-// peer would refuse later.
-func (c *Certifier) checkOwn(role Role, name units.Instance) error {
+// checkOwnIdentity returns an error if the peer certificate is that of another process.
+// Without this check at startup, every peer would refuse the certificate later.
+func (c *Certifier) checkOwnIdentity(role Role, name units.Instance) error {
 	if c.peers == nil {
 		return nil
 	}
@@ -70,7 +72,7 @@
 		return fmt.Errorf("peers: %w", err)
 	}
 	if err := identity.RequireName(role, string(name)); err != nil {
-		return fmt.Errorf("peers: the certificate is another process's: %w", err)
+		return fmt.Errorf("peers: the certificate belongs to another process: %w", err)
 	}
 	return nil
 }
@@ -111,8 +113,9 @@
 	}
 }
 
-// Callers returns the configuration for callers, or nil for plain loopback;
-// callers show a certificate only where the settings name authorities for them.
+// Callers returns the TLS configuration of the listener for callers, or nil for unencrypted
+// loopback. Callers must present a certificate only where the settings name authorities for
+// them.
 func (c *Certifier) Callers() *tls.Config {
 	if c == nil || c.callers == nil {
 		return nil
@@ -123,7 +126,8 @@
 	return c.callers.Server(tls.RequireAndVerifyClientCert)
 }
 
-// Upstreams returns the configuration for announcements, or nil for plain loopback.
+// Upstreams returns the TLS configuration of the listener for upstreams' announcements, or
+// nil for unencrypted loopback.
 func (c *Certifier) Upstreams() *tls.Config {
 	if c == nil || c.upstreams == nil {
 		return nil
@@ -131,8 +135,9 @@
 	return c.upstreams.Server(tls.RequireAndVerifyClientCert)
 }
 
-// Operators returns the configuration for operators, or nil for plain loopback.
-// A balancer's probe may come without a certificate and sees the health alone.
+// Operators returns the TLS configuration of the listener for operators, or nil for
+// unencrypted loopback. A client certificate is optional, since load balancers probe without
+// one; without it, only the health endpoints are open.
 func (c *Certifier) Operators() *tls.Config {
 	if c == nil || c.operators == nil {
 		return nil
@@ -140,7 +145,8 @@
 	return c.operators.Server(tls.VerifyClientCertIfGiven)
 }
 
-// Peers returns the configuration for the system's other processes, or nil for plain loopback.
+// Peers returns the TLS configuration of the listener for the system's other processes, or
+// nil for unencrypted loopback.
 func (c *Certifier) Peers() *tls.Config {
 	if c == nil || c.peers == nil {
 		return nil
@@ -148,7 +154,8 @@
 	return c.peers.Server(tls.RequireAndVerifyClientCert)
 }
 
-// ToPeers returns the configuration for connections to the system's other processes, or nil for plain loopback.
+// ToPeers returns the TLS configuration for connections to the system's other processes, or
+// nil for unencrypted loopback.
 func (c *Certifier) ToPeers() *tls.Config {
 	if c == nil || c.peers == nil {
 		return nil
@@ -156,7 +163,8 @@
 	return c.peers.Client(Control, Entry)
 }
 
-// ToUpstreams returns the configuration for connections to upstreams that announce an https address.
+// ToUpstreams returns the TLS configuration for connections to upstreams that announce an
+// https address, or nil for unencrypted loopback.
 func (c *Certifier) ToUpstreams() *tls.Config {
 	if c == nil || c.upstreams == nil {
 		return nil
@@ -164,10 +172,10 @@
 	return c.upstreams.Client(Upstream)
 }
 
-// CheckPeer refuses a server at a control instance's address that is not this
-// instance: it could otherwise feed an entry a configuration of its own.
+// CheckPeer returns an error if the server at a control instance's address is not that
+// instance; such a server could otherwise send an entry a forged configuration.
 func (c *Certifier) CheckPeer(address string, state *tls.ConnectionState) error {
-	name, isControl := c.control[address]
+	name, isControl := c.controlNames[address]
 	if !isControl {
 		return nil
 	}
--- a/src/certifier/identity.go
+++ b/src/certifier/identity.go
@@ -9,10 +9,10 @@
 	"strings"
 )
 
-// Role is what a certificate lets its holder be.
+// Role is the kind of process or person that a certificate identifies.
 type Role string
 
-// The roles that certificates name.
+// The roles that certificates state.
 const (
 	Control  Role = "control"
 	Entry    Role = "entry"
@@ -25,16 +25,17 @@
 	identityPrefix = "rosecroft:"
 )
 
-// Identity is who the holder of a certificate is; the zero value is nobody.
+// Identity is the identity of a certificate's holder; the zero value stands for an
+// unidentified peer.
 type Identity struct {
 	Role Role
 	Name string
 }
 
-// String returns the identity as certificates state it.
+// String returns the identity as the URI that certificates contain.
 func (i Identity) String() string { return i.URI().String() }
 
-// URI returns the name that goes into a certificate.
+// URI returns the URI for the identity in a certificate.
 func (i Identity) URI() *url.URL {
 	return &url.URL{
 		Scheme: identityScheme,
@@ -42,40 +43,41 @@
 	}
 }
 
-// IdentityError says why the other end may not do what it asked for.
+// IdentityError reports why a peer is not authorized, and how to correct that.
 type IdentityError struct {
 	Reason string
 	Remedy string
 }
 
-// Error names the remedy.
+// Error returns the reason and the remedy.
 func (e *IdentityError) Error() string { return e.Reason + "; " + e.Remedy }
 
-// IdentityOf returns the one identity that a certificate states.
+// IdentityOf returns the identity that a certificate states, or an error unless there is
+// exactly one.
 func IdentityOf(certificate *x509.Certificate) (Identity, error) {
-	var found []Identity
+	var identities []Identity
 	for _, uri := range certificate.URIs {
-		rest, ours := strings.CutPrefix(uri.Opaque, identityPrefix)
-		role, name, whole := strings.Cut(rest, ":")
-		if uri.Scheme != identityScheme || !ours || !whole || name == "" {
+		rest, hasPrefix := strings.CutPrefix(uri.Opaque, identityPrefix)
+		role, name, hasName := strings.Cut(rest, ":")
+		if uri.Scheme != identityScheme || !hasPrefix || !hasName || name == "" {
 			continue
 		}
-		found = append(found, Identity{
+		identities = append(identities, Identity{
 			Role: Role(role),
 			Name: name,
 		})
 	}
-	if len(found) != 1 {
+	if len(identities) != 1 {
 		return Identity{}, &IdentityError{
-			Reason: fmt.Sprintf("the certificate %q states %d identities", certificate.Subject, len(found)),
+			Reason: fmt.Sprintf("the certificate %q states %d identities", certificate.Subject, len(identities)),
 			Remedy: "make one that states exactly one, such as urn:rosecroft:entry:e1",
 		}
 	}
-	return found[0], nil
+	return identities[0], nil
 }
 
-// PeerOf returns who the other end of a connection is. Only a certificate that
-// was verified counts: one that was merely sent can say anything.
+// PeerOf returns the identity of the peer of a connection. Only a verified certificate is
+// considered, since an unverified one may state any identity.
 func PeerOf(state *tls.ConnectionState) (Identity, error) {
 	if state == nil || len(state.VerifiedChains) == 0 || len(state.VerifiedChains[0]) == 0 {
 		return Identity{}, &IdentityError{
@@ -99,7 +101,8 @@
 	}
 }
 
-// RequireName returns an error unless the identity is the one that a message claims.
+// RequireName returns an error unless the identity has the role and the name that a message
+// claims.
 func (i Identity) RequireName(role Role, claimed string) error {
 	want := Identity{
 		Role: role,
@@ -114,8 +117,8 @@
 	}
 }
 
-// RequireRequest returns who sent a request, or an error unless it has one of
-// the roles; a plain connection passes as nobody.
+// RequireRequest returns the identity of a request's sender, or an error unless it has one
+// of the roles. Without TLS, it returns the zero Identity and no error.
 func RequireRequest(request *http.Request, secured bool, roles ...Role) (Identity, error) {
 	if !secured {
 		return Identity{}, nil
--- a/src/certifier/source.go
+++ b/src/certifier/source.go
@@ -12,22 +12,24 @@
 	"github.com/rosecroft/rosecroft/src/parser"
 )
 
-// Source is one set of certificate files; Load must succeed before its use.
+// Source is a certificate, its private key and the authorities for verifying peers, loaded
+// from files. Load must succeed before any other method is called.
 type Source struct {
 	Files parser.Listener
 
-	current atomic.Pointer[material]
+	current atomic.Pointer[credentials]
 }
 
-// material is what the files held when they were last read whole.
-type material struct {
+// credentials is the parsed content of the files as of the last successful load.
+type credentials struct {
+	// content is what all files contained, for detecting changes.
 	content     []byte
 	certificate *tls.Certificate
 	authorities *x509.CertPool
 }
 
-// Load reads the files and reports whether they changed. Where they don't fit
-// together, as halfway through their replacement, the earlier ones stay in use.
+// Load reads the files and reports whether they changed. If they don't match, as in the
+// middle of their replacement, the previous credentials stay in use.
 func (s *Source) Load() (changed bool, err error) {
 	certificate, err := os.ReadFile(s.Files.Certificate)
 	if err != nil {
@@ -44,73 +46,74 @@
 		}
 	}
 	content := bytes.Join([][]byte{certificate, key, authorities}, []byte{0})
-	if known := s.current.Load(); known != nil && bytes.Equal(known.content, content) {
+	if previous := s.current.Load(); previous != nil && bytes.Equal(previous.content, content) {
 		return false, nil
 	}
-	next, err := s.parse(certificate, key, authorities)
+	loaded, err := s.parse(certificate, key, authorities)
 	if err != nil {
 		return false, err
 	}
-	next.content = content
-	s.current.Store(next)
+	loaded.content = content
+	s.current.Store(loaded)
 	return true, nil
 }
 
-func (s *Source) parse(certificate, key, authorities []byte) (*material, error) {
-	pair, err := tls.X509KeyPair(certificate, key)
+func (s *Source) parse(certificate, key, authorities []byte) (*credentials, error) {
+	keyPair, err := tls.X509KeyPair(certificate, key)
 	if err != nil {
 		return nil, fmt.Errorf("%s and %s: %w; name a certificate and its own private key, in PEM",
 			s.Files.Certificate, s.Files.PrivateKey, err)
 	}
-	parsed := &material{
-		certificate: &pair,
+	parsed := &credentials{
+		certificate: &keyPair,
 	}
 	if s.Files.Authorities == "" {
 		return parsed, nil
 	}
 	parsed.authorities = x509.NewCertPool()
 	if !parsed.authorities.AppendCertsFromPEM(authorities) {
-		return nil, fmt.Errorf("%s holds no certificate; name the authorities' certificates, in PEM", s.Files.Authorities)
+		return nil, fmt.Errorf("%s contains no certificate; name the authorities' certificates, in PEM", s.Files.Authorities)
 	}
 	return parsed, nil
 }
 
-// Identity returns who the source's own certificate says that this process is.
+// Identity returns the identity that the source's own certificate states.
 func (s *Source) Identity() (Identity, error) {
 	return IdentityOf(s.current.Load().certificate.Leaf)
 }
 
-// Server returns the configuration of a listener; each handshake uses the files as last loaded.
+// Server returns the TLS configuration of a listener; each handshake uses the credentials
+// loaded last.
 func (s *Source) Server(auth tls.ClientAuthType) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
-			held := s.current.Load()
+			inUse := s.current.Load()
 			return &tls.Config{
 				MinVersion:   tls.VersionTLS13,
-				Certificates: []tls.Certificate{*held.certificate},
+				Certificates: []tls.Certificate{*inUse.certificate},
 				ClientAuth:   auth,
-				ClientCAs:    held.authorities,
-				// A resumed session would skip the check against the
-				// authorities, so that a removed one went on being trusted.
+				ClientCAs:    inUse.authorities,
+				// A resumed session skips the verification against the
+				// authorities, so that a removed authority would still be trusted.
 				SessionTicketsDisabled: auth != tls.NoClientCert,
 			}, nil
 		},
 	}
 }
 
-// Client returns the configuration for connections to processes with one of the roles.
+// Client returns the TLS configuration for connections to processes with one of the roles.
 //
-// Processes are reached by IP number, so the name that counts is the identity
-// in the certificate and not the address.
+// Processes are reached by IP address, so the identity in the certificate is verified
+// instead of a host name.
 func (s *Source) Client(roles ...Role) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
 			return s.current.Load().certificate, nil
 		},
-		// The check below takes the place of the usual one, which knows no
-		// reloaded authorities and wants a host name.
+		// VerifyConnection replaces the standard verification, which does not use
+		// reloaded authorities and requires a host name.
 		InsecureSkipVerify: true,
 		VerifyConnection: func(state tls.ConnectionState) error {
 			identity, err := s.verify(state.PeerCertificates, x509.ExtKeyUsageServerAuth)
@@ -122,14 +125,15 @@
 	}
 }
 
-// ServerIdentity returns who the server at the other end of a client's connection is.
+// ServerIdentity verifies the server's certificate on a client's connection and returns the
+// identity that it states.
 func (s *Source) ServerIdentity(state *tls.ConnectionState) (Identity, error) {
 	return s.verify(state.PeerCertificates, x509.ExtKeyUsageServerAuth)
 }
 
 func (s *Source) verify(chain []*x509.Certificate, usage x509.ExtKeyUsage) (Identity, error) {
 	if len(chain) == 0 {
-		return Identity{}, errors.New("the other end showed no certificate; give it one")
+		return Identity{}, errors.New("the peer presented no certificate; give it one")
 	}
 	options := x509.VerifyOptions{
 		Roots:         s.current.Load().authorities,
@@ -137,13 +141,13 @@
 		KeyUsages:     []x509.ExtKeyUsage{usage},
 	}
 	if options.Roots == nil {
-		return Identity{}, errors.New("no authorities are named; name the file that verifies the other end")
+		return Identity{}, errors.New("no authorities are configured; name the file of the authorities that sign the peer's certificate")
 	}
-	for _, between := range chain[1:] {
-		options.Intermediates.AddCert(between)
+	for _, intermediate := range chain[1:] {
+		options.Intermediates.AddCert(intermediate)
 	}
 	if _, err := chain[0].Verify(options); err != nil {
-		return Identity{}, fmt.Errorf("verify the other end: %w; use certificates of one authority on both sides", err)
+		return Identity{}, fmt.Errorf("verify the peer's certificate: %w; use certificates of one authority on both sides", err)
 	}
 	return IdentityOf(chain[0])
 }
--- a/src/certifier/source_test.go
+++ b/src/certifier/source_test.go
@@ -27,10 +27,10 @@
 	}
 }
 
-// Certificates are replaced file by file; for a moment the new certificate
-// stands beside the old key. A process that took them then would fail each
-// handshake, so it must go on with the earlier pair until both fit.
-func TestHalfReplacedFilesKeepTheEarlierOnes(t *testing.T) {
+// Certificates are replaced file by file, so that a new certificate is briefly combined with
+// the old key. A process that loaded these would fail each handshake; it must keep the
+// previous pair until certificate and key match.
+func TestMismatchedFilesKeepPreviousCredentials(t *testing.T) {
 	folder := t.TempDir()
 	identity := Identity{Role: Entry, Name: "e1"}
 	source := issue(t, folder, identity)
@@ -38,26 +38,26 @@
 		t.Fatal(err)
 	}
 	before := source.current.Load()
-	key, err := os.ReadFile(source.Files.PrivateKey)
+	oldKey, err := os.ReadFile(source.Files.PrivateKey)
 	if err != nil {
 		t.Fatal(err)
 	}
 	issue(t, folder, identity)
-	next, err := os.ReadFile(source.Files.PrivateKey)
+	newKey, err := os.ReadFile(source.Files.PrivateKey)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(source.Files.PrivateKey, key, keyMode); err != nil {
+	if err := os.WriteFile(source.Files.PrivateKey, oldKey, keyFileMode); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := source.Load(); err == nil || source.current.Load() != before {
-		t.Errorf("half replaced: got error %v, want one and the earlier pair in use", err)
+		t.Errorf("certificate without its key: got error %v, want one and the previous pair in use", err)
 	}
-	if err := os.WriteFile(source.Files.PrivateKey, next, keyMode); err != nil {
+	if err := os.WriteFile(source.Files.PrivateKey, newKey, keyFileMode); err != nil {
 		t.Fatal(err)
 	}
 	if changed, err := source.Load(); err != nil || !changed || source.current.Load() == before {
-		t.Errorf("replaced: got changed %t, error %v, want the new pair in use", changed, err)
+		t.Errorf("certificate and key replaced: got changed %t, error %v, want the new pair in use", changed, err)
 	}
 }
 
@@ -67,12 +67,12 @@
 		want Identity
 		fail bool
 	}{
-		"one":              {uris: []string{"urn:rosecroft:entry:e1"}, want: Identity{Role: Entry, Name: "e1"}},
-		"others beside it": {uris: []string{"https://a.example/", "urn:rosecroft:upstream:u"}, want: Identity{Role: Upstream, Name: "u"}},
-		"two":              {uris: []string{"urn:rosecroft:entry:e1", "urn:rosecroft:control:c1"}, fail: true},
-		"none":             {fail: true},
-		"no name":          {uris: []string{"urn:rosecroft:entry:"}, fail: true},
-		"other scheme":     {uris: []string{"url:rosecroft:entry:e1"}, fail: true},
+		"one":                {uris: []string{"urn:rosecroft:entry:e1"}, want: Identity{Role: Entry, Name: "e1"}},
+		"other URIs as well": {uris: []string{"https://a.example/", "urn:rosecroft:upstream:u"}, want: Identity{Role: Upstream, Name: "u"}},
+		"two":                {uris: []string{"urn:rosecroft:entry:e1", "urn:rosecroft:control:c1"}, fail: true},
+		"none":               {fail: true},
+		"no name":            {uris: []string{"urn:rosecroft:entry:"}, fail: true},
+		"other scheme":       {uris: []string{"url:rosecroft:entry:e1"}, fail: true},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -92,9 +92,10 @@
 	}
 }
 
-// A server that asks for no client certificate still sees whatever one was
-// sent, unverified. Taking its name would let anyone be anyone.
-func TestUnverifiedCertificateIsNobody(t *testing.T) {
+// A server that does not request verified client certificates may still receive one.
+// Accepting the identity in an unverified certificate would let any client claim any
+// identity.
+func TestUnverifiedCertificateHasNoIdentity(t *testing.T) {
 	folder := t.TempDir()
 	source := issue(t, folder, Identity{Role: Operator, Name: "alice"})
 	if _, err := source.Load(); err != nil {
--- a/src/connector/client.go
+++ b/src/connector/client.go
@@ -16,35 +16,36 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// dialTimeout bounds the set-up of one connection.
+// dialTimeout bounds the establishment of one connection, TLS handshake included.
 const dialTimeout = time.Second
 
-// quiet keeps the library from logging; callers log the errors they get.
-var quiet = jsonrpc2.SetLogger(log.New(io.Discard, "", 0))
+// discardLogs disables the JSON-RPC library's logging; callers log the errors they get.
+var discardLogs = jsonrpc2.SetLogger(log.New(io.Discard, "", 0))
 
-// Client calls other processes, over one connection for each address.
+// Client calls other processes over one connection per address.
 type Client struct {
-	// TLS is nil only where the settings allow plain loopback.
+	// TLS is nil only where the settings allow unencrypted loopback connections.
 	TLS *tls.Config
-	// Check refuses a server that is not the one expected at an address; it may be nil.
+	// Check returns an error for a server that is not the one expected at an address; it
+	// may be nil.
 	Check func(address string, state *tls.ConnectionState) error
-	// Traffic counts what goes over the client's connections; it may be nil.
+	// Traffic counts bytes and messages on the client's connections; it may be nil.
 	Traffic *Traffic
 
 	mu    sync.Mutex
-	conns map[string]*line
+	conns map[string]*connection
 }
 
-// line is one connection to another process.
-type line struct {
+// connection is a JSON-RPC connection to another process.
+type connection struct {
 	*jsonrpc2.Conn
 	stream *stream
 }
 
 // Call sends a request and fills response with the answer.
 //
-// A call that runs into its deadline closes the connection: one that has gone
-// silent stays so, and each later call would wait in vain on it.
+// A call that exceeds its deadline closes the connection: a connection that has stopped
+// answering does not recover, and each later call on it would time out as well.
 func (c *Client) Call(ctx context.Context, address string, method Method, request, response proto.Message) error {
 	content, err := encode(request)
 	if err != nil {
@@ -55,19 +56,19 @@
 		return err
 	}
 	var result json.RawMessage
-	err = conn.Call(ctx, string(method), conn.stream.attach(content), &result, versioned)
+	err = conn.Call(ctx, string(method), conn.stream.attach(content), &result, withProtocolVersion)
 	if err != nil {
-		c.dropUnlessAnswered(address, conn, err)
+		c.dropOnTransportError(address, conn, err)
 		return fmt.Errorf("call %s at %s: %w", method, address, err)
 	}
-	answer, err := conn.stream.take(&result)
+	answer, err := conn.stream.takeReceived(&result)
 	if err != nil {
 		return fmt.Errorf("call %s at %s: %w", method, address, err)
 	}
 	return decode(answer, response)
 }
 
-// Notify sends a message without waiting for an answer; it may be lost.
+// Notify sends a message without waiting for a response; the message may be lost.
 func (c *Client) Notify(ctx context.Context, address string, method Method, message proto.Message) error {
 	content, err := encode(message)
 	if err != nil {
@@ -77,14 +78,14 @@
 	if err != nil {
 		return err
 	}
-	if err := conn.Notify(ctx, string(method), conn.stream.attach(content), versioned); err != nil {
+	if err := conn.Notify(ctx, string(method), conn.stream.attach(content), withProtocolVersion); err != nil {
 		c.drop(address, conn)
 		return fmt.Errorf("notify %s at %s: %w", method, address, err)
 	}
 	return nil
 }
 
-// Close ends all connections.
+// Close closes all connections.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -94,7 +95,7 @@
 	c.conns = nil
 }
 
-func (c *Client) conn(ctx context.Context, address string) (*line, error) {
+func (c *Client) conn(ctx context.Context, address string) (*connection, error) {
 	c.mu.Lock()
 	conn := c.conns[address]
 	c.mu.Unlock()
@@ -105,10 +106,10 @@
 	if err != nil {
 		return nil, fmt.Errorf("connect to %s: %w", address, err)
 	}
-	carried := newStream(dialed)
-	conn = &line{
-		Conn:   jsonrpc2.NewConn(context.WithoutCancel(ctx), carried, refuser{}, quiet),
-		stream: carried,
+	objects := newStream(dialed)
+	conn = &connection{
+		Conn:   jsonrpc2.NewConn(context.WithoutCancel(ctx), objects, requestIgnorer{}, discardLogs),
+		stream: objects,
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -117,16 +118,16 @@
 		return other, nil
 	}
 	if c.conns == nil {
-		c.conns = make(map[string]*line)
+		c.conns = make(map[string]*connection)
 	}
 	c.conns[address] = conn
-	go c.dropAtEnd(address, conn)
+	go c.dropOnDisconnect(address, conn)
 	return conn, nil
 }
 
-// dropAtEnd forgets a connection that the other end has closed, so that the
-// next message to a restarted process is not lost on it.
-func (c *Client) dropAtEnd(address string, conn *line) {
+// dropOnDisconnect removes a connection that the other end has closed, so that the next
+// message to a restarted process is not sent on it and lost.
+func (c *Client) dropOnDisconnect(address string, conn *connection) {
 	<-conn.DisconnectNotify()
 	c.drop(address, conn)
 }
@@ -135,23 +136,23 @@
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	dialer := &net.Dialer{}
-	plain, err := dialer.DialContext(ctx, "tcp", address)
+	tcpConn, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	plain = c.Traffic.count(plain)
+	tcpConn = c.Traffic.wrap(tcpConn)
 	if c.TLS == nil {
-		return plain, nil
+		return tcpConn, nil
 	}
-	secured, err := c.secure(ctx, address, plain)
+	tlsConn, err := c.handshake(ctx, address, tcpConn)
 	if err != nil {
-		return nil, errors.Join(err, plain.Close())
+		return nil, errors.Join(err, tcpConn.Close())
 	}
-	return secured, nil
+	return tlsConn, nil
 }
 
-// secure proves who is at the other end.
-func (c *Client) secure(ctx context.Context, address string, plain net.Conn) (net.Conn, error) {
+// handshake sets up TLS and verifies the identity of the server.
+func (c *Client) handshake(ctx context.Context, address string, tcpConn net.Conn) (net.Conn, error) {
 	config := c.TLS.Clone()
 	if config.ServerName == "" {
 		host, _, err := net.SplitHostPort(address)
@@ -160,26 +161,26 @@
 		}
 		config.ServerName = host
 	}
-	secured := tls.Client(plain, config)
-	if err := secured.HandshakeContext(ctx); err != nil {
+	tlsConn := tls.Client(tcpConn, config)
+	if err := tlsConn.HandshakeContext(ctx); err != nil {
 		return nil, err
 	}
 	if c.Check == nil {
-		return secured, nil
+		return tlsConn, nil
 	}
-	state := secured.ConnectionState()
-	return secured, c.Check(address, &state)
+	state := tlsConn.ConnectionState()
+	return tlsConn, c.Check(address, &state)
 }
 
-func (c *Client) dropUnlessAnswered(address string, conn *line, err error) {
-	var answered *jsonrpc2.Error
-	if errors.As(err, &answered) {
+func (c *Client) dropOnTransportError(address string, conn *connection, err error) {
+	var rpcError *jsonrpc2.Error
+	if errors.As(err, &rpcError) {
 		return
 	}
 	c.drop(address, conn)
 }
 
-func (c *Client) drop(address string, conn *line) {
+func (c *Client) drop(address string, conn *connection) {
 	c.mu.Lock()
 	if c.conns[address] == conn {
 		delete(c.conns, address)
@@ -188,8 +189,8 @@
 	_ = conn.Close()
 }
 
-// refuser answers requests on a connection that only calls.
-type refuser struct{}
+// requestIgnorer handles requests that arrive on a client's connection.
+type requestIgnorer struct{}
 
-// Handle ignores the request, since no process calls back on this connection.
-func (refuser) Handle(context.Context, *jsonrpc2.Conn, *jsonrpc2.Request) {}
+// Handle ignores the request, since servers never send requests to clients.
+func (requestIgnorer) Handle(context.Context, *jsonrpc2.Conn, *jsonrpc2.Request) {}
--- a/src/connector/codec.go
+++ b/src/connector/codec.go
@@ -7,14 +7,14 @@
 	"google.golang.org/protobuf/reflect/protoreflect"
 )
 
-// Method names one kind of message between processes, such as "log/message".
+// Method is the name of an RPC method, such as "log/message".
 type Method string
 
 // encode returns a message in protobuf's binary form.
 func encode(message proto.Message) ([]byte, error) {
 	content, err := proto.Marshal(message)
 	if err != nil {
-		return nil, fmt.Errorf("encode %s: %w", nameOf(message), err)
+		return nil, fmt.Errorf("encode %s: %w", messageName(message), err)
 	}
 	return content, nil
 }
@@ -22,41 +22,41 @@
 // decode fills message from its encoded form; an unknown field is an error.
 func decode(content []byte, message proto.Message) error {
 	if err := proto.Unmarshal(content, message); err != nil {
-		return fmt.Errorf("decode %s: %w", nameOf(message), err)
+		return fmt.Errorf("decode %s: %w", messageName(message), err)
 	}
-	if field, found := unknownField(message.ProtoReflect()); found {
-		return fmt.Errorf("decode %s: unknown field in %s; run the same version on every instance", nameOf(message), field)
+	if field, found := findUnknownField(message.ProtoReflect()); found {
+		return fmt.Errorf("decode %s: unknown field in %s; run the same version on every instance", messageName(message), field)
 	}
 	return nil
 }
 
-func nameOf(message proto.Message) protoreflect.Name {
+func messageName(message proto.Message) protoreflect.Name {
 	return message.ProtoReflect().Descriptor().Name()
 }
 
-// unknownField returns the name of a part with a field that this version lacks.
-// The library keeps such fields aside; a message that relies on one would be read
-// in its old meaning.
-func unknownField(message protoreflect.Message) (name protoreflect.Name, found bool) {
+// findUnknownField returns the name of a message, the given one or one nested in it, that
+// has a field unknown to this version. The protobuf library accepts and sets aside such
+// fields, so a message that relies on one would be misread with its old meaning.
+func findUnknownField(message protoreflect.Message) (name protoreflect.Name, found bool) {
 	if len(message.GetUnknown()) > 0 {
 		return message.Descriptor().Name(), true
 	}
 	message.Range(func(field protoreflect.FieldDescriptor, value protoreflect.Value) bool {
-		name, found = unknownWithin(field, value)
+		name, found = findUnknownFieldIn(field, value)
 		return !found
 	})
 	return name, found
 }
 
-func unknownWithin(field protoreflect.FieldDescriptor, value protoreflect.Value) (protoreflect.Name, bool) {
+func findUnknownFieldIn(field protoreflect.FieldDescriptor, value protoreflect.Value) (protoreflect.Name, bool) {
 	switch {
 	case field.Message() == nil || field.IsMap():
 		return "", false
 	case !field.IsList():
-		return unknownField(value.Message())
+		return findUnknownField(value.Message())
 	}
 	for i := range value.List().Len() {
-		if name, found := unknownField(value.List().Get(i).Message()); found {
+		if name, found := findUnknownField(value.List().Get(i).Message()); found {
 			return name, true
 		}
 	}
--- a/src/connector/peer_test.go
+++ b/src/connector/peer_test.go
@@ -6,10 +6,10 @@
 	"github.com/rosecroft/rosecroft/src/certifier"
 )
 
-// Someone with an operator's certificate connects to an entry's peer address and
-// asks for call records or hands a call over. The certificate's role must refuse
-// it: records hold other accounts' answers.
-func TestPeerNeedsItsRole(t *testing.T) {
+// A client with an operator's certificate connects to an entry's peer address and requests
+// call records or hands a call over. It must be refused because of the certificate's role:
+// records hold the answers of other accounts.
+func TestPeerRoleIsRequired(t *testing.T) {
 	cases := map[string]struct {
 		peer Peer
 		want bool
@@ -27,7 +27,7 @@
 				Identity: certifier.Identity{Role: certifier.Operator, Name: "o"},
 			},
 		},
-		"nobody": {
+		"no identity": {
 			peer: Peer{Secured: true},
 		},
 		"plain loopback": {
--- a/src/connector/protocol.go
+++ b/src/connector/protocol.go
@@ -8,43 +8,43 @@
 )
 
 const (
-	// protocolVersion rises with each change that an older process would misread.
+	// protocolVersion is incremented with each change that an older process would misread.
 	protocolVersion = 2
-	// The codes are in the range that JSON-RPC leaves to applications.
+	// The error codes are in the range that JSON-RPC reserves for applications.
 	codeForbidden    = -32001
 	codeWrongVersion = -32002
 )
 
-// meta goes with each request.
-type meta struct {
+// requestMeta is the metadata that is sent with each request.
+type requestMeta struct {
 	Protocol int `json:"protocol"`
 }
 
-// versioned adds this process's protocol version to a request. It goes with
-// each one and not with the connection, so that a new connection needs no
-// further exchange.
-var versioned = jsonrpc2.Meta(meta{
+// withProtocolVersion adds this process's protocol version to a request. The version is
+// sent with each request rather than once per connection, so that a new connection needs
+// no additional round trip.
+var withProtocolVersion = jsonrpc2.Meta(requestMeta{
 	Protocol: protocolVersion,
 })
 
-// checkProtocol refuses a request of another version. Without it a field whose
-// meaning has changed would be read in the old one, with no error anywhere.
+// checkProtocol refuses a request of another protocol version. Without this check, a field
+// whose meaning has changed would be silently read with its old meaning.
 func checkProtocol(request *jsonrpc2.Request) error {
-	var sent meta
+	var meta requestMeta
 	if request.Meta != nil {
-		if err := json.Unmarshal(*request.Meta, &sent); err != nil {
-			return refused(codeWrongVersion, fmt.Errorf("the request's protocol version is unreadable: %w", err))
+		if err := json.Unmarshal(*request.Meta, &meta); err != nil {
+			return newError(codeWrongVersion, fmt.Errorf("the request's protocol version is unreadable: %w", err))
 		}
 	}
-	if sent.Protocol == protocolVersion {
+	if meta.Protocol == protocolVersion {
 		return nil
 	}
-	return refused(codeWrongVersion, fmt.Errorf(
+	return newError(codeWrongVersion, fmt.Errorf(
 		"the request has protocol version %d, this process speaks %d; run the same version of rosecroft on every instance",
-		sent.Protocol, protocolVersion))
+		meta.Protocol, protocolVersion))
 }
 
-func refused(code int64, err error) *jsonrpc2.Error {
+func newError(code int64, err error) *jsonrpc2.Error {
 	return &jsonrpc2.Error{
 		Code:    code,
 		Message: err.Error(),
--- a/src/connector/protocol_test.go
+++ b/src/connector/protocol_test.go
@@ -20,7 +20,8 @@
 
 const testMethod = "test/submit"
 
-// startServer runs a server of one method and returns its address.
+// startServer runs a server with one method, which returns its request, and returns the
+// server's address.
 func startServer(t testing.TB) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -31,44 +32,45 @@
 	Handle(server, testMethod, func(_ context.Context, _ Peer, submission *messages.Submission) (*messages.Submission, error) {
 		return submission, nil
 	})
-	ended := make(chan struct{})
+	done := make(chan struct{})
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
-		defer close(ended)
+		defer close(done)
 		_ = server.Run(ctx)
 	}()
 	t.Cleanup(func() {
 		cancel()
-		<-ended
+		<-done
 	})
 	return listener.Addr().String()
 }
 
-// frame returns an object and what is attached to it as it goes over a connection.
-func frame(object string, t ticket, attached []byte) []byte {
+// frame returns the encoded frame of an object and its attachment.
+func frame(object string, id attachmentID, attachment []byte) []byte {
 	b := binary.BigEndian.AppendUint32(nil, uint32(len(object)))
-	b = binary.BigEndian.AppendUint32(b, uint32(len(attached)))
-	b = binary.BigEndian.AppendUint64(b, uint64(t))
-	return append(append(b, object...), attached...)
+	b = binary.BigEndian.AppendUint32(b, uint32(len(attachment)))
+	b = binary.BigEndian.AppendUint64(b, uint64(id))
+	return append(append(b, object...), attachment...)
 }
 
-// While a fleet is upgraded, instances of two versions talk to each other. A
-// message of another version, or with a field that this one does not know, must
-// not be read in its old meaning; the sender learns what to do.
+// During an upgrade, instances of two versions exchange messages. A message of another
+// protocol version, or with a field unknown to this one, must be refused instead of being
+// read with its old meaning, and the error must say what to do.
 func TestOtherVersionsAreRefused(t *testing.T) {
 	address := startServer(t)
-	seven := encoded(t, &messages.Submission{Version: 7})
-	// Field 100 stands in no message; the entry view has it one level down.
-	foreign := []byte{0xa0, 0x06, 0x01}
-	deep := encoded(t, &messages.LogMessage{
+	versionSeven := encoded(t, &messages.Submission{Version: 7})
+	// No message has a field 100. The log message has it one level down, in its vote
+	// request.
+	unknownFieldBytes := []byte{0xa0, 0x06, 0x01}
+	nested := encoded(t, &messages.LogMessage{
 		Body: &messages.LogMessage_VoteRequest{
 			VoteRequest: &messages.VoteRequest{},
 		},
 	})
-	deep = append(deep[:len(deep)-1], byte(len(foreign)))
-	deep = append(deep, foreign...)
-	if err := decode(deep, &messages.LogMessage{}); err == nil || !strings.Contains(err.Error(), "unknown field in VoteRequest") {
-		t.Errorf("unknown field one level down: got %v, want it refused", err)
+	nested = append(nested[:len(nested)-1], byte(len(unknownFieldBytes)))
+	nested = append(nested, unknownFieldBytes...)
+	if err := decode(nested, &messages.LogMessage{}); err == nil || !strings.Contains(err.Error(), "unknown field in VoteRequest") {
+		t.Errorf("unknown field in a nested message: got error %v, want it refused", err)
 	}
 	cases := map[string]struct {
 		request  string
@@ -76,17 +78,17 @@
 		want     string
 		message  []byte
 	}{
-		"this version":   {request: `"params":5,"meta":{"protocol":2}`, attached: seven, want: `"result":1`, message: seven},
-		"last version":   {request: `"params":5,"meta":{"protocol":1}`, attached: seven, want: "run the same version of rosecroft on every instance"},
-		"next version":   {request: `"params":5,"meta":{"protocol":3}`, attached: seven, want: "run the same version of rosecroft on every instance"},
-		"no version":     {request: `"params":5`, attached: seven, want: "the request has protocol version 0"},
-		"odd version":    {request: `"params":5,"meta":{"protocol":"x"}`, attached: seven, want: "unreadable"},
-		"unknown field":  {request: `"params":5,"meta":{"protocol":2}`, attached: foreign, want: "unknown field"},
-		"not a message":  {request: `"params":5,"meta":{"protocol":2}`, attached: []byte{0xff}, want: "decode Submission"},
-		"another form":   {request: `"params":{"version":"7"},"meta":{"protocol":2}`, attached: seven, want: "the message is not attached"},
-		"other number":   {request: `"params":6,"meta":{"protocol":2}`, attached: seven, want: "no message is attached as number 6"},
-		"no message":     {request: `"meta":{"protocol":2}`, want: "the message is empty"},
-		"unknown method": {request: `"params":5,"meta":{"protocol":2},"method":"other"`, attached: seven, want: "is unknown; run the same version"},
+		"this version":       {request: `"params":5,"meta":{"protocol":2}`, attached: versionSeven, want: `"result":1`, message: versionSeven},
+		"previous version":   {request: `"params":5,"meta":{"protocol":1}`, attached: versionSeven, want: "run the same version of rosecroft on every instance"},
+		"next version":       {request: `"params":5,"meta":{"protocol":3}`, attached: versionSeven, want: "run the same version of rosecroft on every instance"},
+		"no version":         {request: `"params":5`, attached: versionSeven, want: "the request has protocol version 0"},
+		"malformed version":  {request: `"params":5,"meta":{"protocol":"x"}`, attached: versionSeven, want: "unreadable"},
+		"unknown field":      {request: `"params":5,"meta":{"protocol":2}`, attached: unknownFieldBytes, want: "unknown field"},
+		"invalid protobuf":   {request: `"params":5,"meta":{"protocol":2}`, attached: []byte{0xff}, want: "decode Submission"},
+		"message in JSON":    {request: `"params":{"version":"7"},"meta":{"protocol":2}`, attached: versionSeven, want: "the message is not attached"},
+		"unknown attachment": {request: `"params":6,"meta":{"protocol":2}`, attached: versionSeven, want: "no message is attached as number 6"},
+		"no message":         {request: `"meta":{"protocol":2}`, want: "the message is empty"},
+		"unknown method":     {request: `"params":5,"meta":{"protocol":2},"method":"other"`, attached: versionSeven, want: "is unknown; run the same version"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -99,32 +101,32 @@
 			if _, err := conn.Write(frame(object, 5, c.attached)); err != nil {
 				t.Fatal(err)
 			}
-			answers := newStream(conn)
+			objects := newStream(conn)
 			var answer json.RawMessage
-			if err := answers.ReadObject(&answer); err != nil {
+			if err := objects.ReadObject(&answer); err != nil {
 				t.Fatal(err)
 			}
 			got := strings.ReplaceAll(string(answer), "\u00a0", " ")
 			if !strings.Contains(got, c.want) {
 				t.Errorf("answer: got %s, want %q in it", got, c.want)
 			}
-			if got, want := answers.arrived[1], c.message; !bytes.Equal(got, want) {
-				t.Errorf("message: got %x, want %x", got, want)
+			if got, want := objects.received[1], c.message; !bytes.Equal(got, want) {
+				t.Errorf("attached message: got %x, want %x", got, want)
 			}
 		})
 	}
 }
 
-// A process of an earlier version, or one that is no process of the system at all,
-// connects and sends what is no frame. The connection must end; read as lengths, the
-// bytes would have this process wait for gigabytes, or take their memory.
-func TestWhatIsNoFrameEndsTheConnection(t *testing.T) {
+// A process of an earlier version, or a program that is not part of the system, connects
+// and sends bytes that are not a frame. The connection must be closed; if the bytes were
+// read as lengths, this process would wait for gigabytes or allocate memory for them.
+func TestInvalidFrameClosesConnection(t *testing.T) {
 	cases := map[string][]byte{
-		"text":             []byte(`{"jsonrpc":"2.0","id":1,"method":"test/submit","params":""}`),
-		"long object":      binary.BigEndian.AppendUint32(nil, mostObject+1),
-		"long attachment":  binary.BigEndian.AppendUint32([]byte{0, 0, 0, 2}, mostAttachment+1),
-		"no JSON":          frame("{]", 0, nil),
-		"neither question": frame("{}", 0, nil),
+		"text":                         []byte(`{"jsonrpc":"2.0","id":1,"method":"test/submit","params":""}`),
+		"long object":                  binary.BigEndian.AppendUint32(nil, maxObjectBytes+1),
+		"long attachment":              binary.BigEndian.AppendUint32([]byte{0, 0, 0, 2}, maxAttachmentBytes+1),
+		"no JSON":                      frame("{]", 0, nil),
+		"neither request nor response": frame("{}", 0, nil),
 	}
 	for name, sent := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -136,7 +138,7 @@
 			if err := conn.SetDeadline(time.Now().Add(5 * time.Second)); err != nil {
 				t.Fatal(err)
 			}
-			if _, err := conn.Write(append(sent, make([]byte, prefixSize)...)); err != nil {
+			if _, err := conn.Write(append(sent, make([]byte, frameHeaderSize)...)); err != nil {
 				t.Fatal(err)
 			}
 			if got, err := conn.Read(make([]byte, 1)); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
@@ -146,13 +148,14 @@
 	}
 }
 
-// Calls of all sizes cross on one connection; each must get its own answer.
-func TestAttachmentsReachTheirCalls(t *testing.T) {
+// Concurrent calls with messages of different sizes share one connection; each must get the
+// answer to its own request.
+func TestAttachmentsMatchTheirCalls(t *testing.T) {
 	client := &Client{}
 	t.Cleanup(client.Close)
 	address := startServer(t)
 	var calls sync.WaitGroup
-	for _, size := range []int{0, 1, smallFrame - 1, smallFrame, smallFrame + 1, 1 << 20} {
+	for _, size := range []int{0, 1, smallFrameBytes - 1, smallFrameBytes, smallFrameBytes + 1, 1 << 20} {
 		for range 4 {
 			calls.Go(func() {
 				want := &messages.Submission{Document: bytes.Repeat([]byte{1}, size), Version: uint64(size)}
@@ -161,7 +164,7 @@
 					t.Error(err)
 				}
 				if !proto.Equal(got, want) {
-					t.Errorf("answer to %d bytes: got %d bytes of version %d", size, len(got.GetDocument()), got.GetVersion())
+					t.Errorf("answer to %d bytes: got %d bytes of version %d, want the request", size, len(got.GetDocument()), got.GetVersion())
 				}
 			})
 		}
@@ -173,8 +176,8 @@
 	}
 	conn.stream.mu.Lock()
 	defer conn.stream.mu.Unlock()
-	if got := len(conn.stream.arrived) + len(conn.stream.leaving); got != 0 {
-		t.Errorf("attachments kept: got %d, want none", got)
+	if got := len(conn.stream.received) + len(conn.stream.unsent); got != 0 {
+		t.Errorf("attachments left: got %d, want none", got)
 	}
 }
 
@@ -187,8 +190,8 @@
 	return content
 }
 
-// FuzzMessage wants no message between processes to end the one that reads it,
-// and each that is read to be written back the same.
+// FuzzMessage checks that decoding never panics, and that a decoded message is the same
+// after it has been encoded and decoded again.
 func FuzzMessage(f *testing.F) {
 	record := &messages.LogMessage{
 		Term: 1,
@@ -210,11 +213,11 @@
 		if err != nil {
 			t.Fatalf("encode: got %v, want none", err)
 		}
-		again := &messages.LogMessage{}
-		if err := decode(encoded, again); err != nil {
+		reread := &messages.LogMessage{}
+		if err := decode(encoded, reread); err != nil {
 			t.Fatalf("decode: got %v, want none", err)
 		}
-		if got, want := again.String(), message.String(); got != want {
+		if got, want := reread.String(), message.String(); got != want {
 			t.Errorf("message: got %s, want %s", got, want)
 		}
 	})
--- a/src/connector/server.go
+++ b/src/connector/server.go
@@ -17,26 +17,26 @@
 	"github.com/rosecroft/rosecroft/src/certifier"
 )
 
-// handshakeTimeout bounds the TLS handshake of one connection, so that ends
-// that connect and say nothing cannot pile up.
+// handshakeTimeout bounds the TLS handshake of one connection, so that clients that
+// connect and send nothing do not accumulate.
 const handshakeTimeout = 2 * time.Second
 
-// acceptPause is how long a process without a free descriptor waits before it accepts
-// the next connection.
-const acceptPause = 50 * time.Millisecond
+// acceptBackoff is how long the server waits after a temporary accept error, such as a lack
+// of file descriptors, before it accepts the next connection.
+const acceptBackoff = 50 * time.Millisecond
 
-// Handler answers one request, which came encoded; a nil response answers a notification.
+// Handler handles one request, given in encoded form; the response to a notification is nil.
 type Handler func(ctx context.Context, peer Peer, content []byte) (proto.Message, error)
 
-// Peer is what a connection proved about its other end.
+// Peer is the verified identity of the other end of a connection.
 type Peer struct {
-	// Identity is what the certificate states, or nobody without TLS.
+	// Identity is the identity in the peer's certificate, or the zero value without TLS.
 	Identity certifier.Identity
-	// Secured says that the connection runs over TLS.
+	// Secured reports whether the connection uses TLS.
 	Secured bool
 }
 
-// Plays returns an error unless the peer has the role; without TLS every peer passes.
+// Plays returns an error unless the peer has the role; without TLS every peer is accepted.
 func (p Peer) Plays(role certifier.Role) error {
 	if !p.Secured {
 		return nil
@@ -44,8 +44,8 @@
 	return p.Identity.Require(role)
 }
 
-// Speaks returns an error unless the peer may send a message in the name of an
-// instance; without TLS there is nothing to tell by, and every name passes.
+// Speaks returns an error unless the peer has the role and the name that a message claims
+// as its sender; without TLS there is no identity to check, and every name is accepted.
 func (p Peer) Speaks(role certifier.Role, name string) error {
 	if !p.Secured {
 		return nil
@@ -53,17 +53,17 @@
 	return p.Identity.RequireName(role, name)
 }
 
-// Server answers other processes of the system.
+// Server answers requests of the system's other processes.
 type Server struct {
 	Listener net.Listener
-	// TLS is nil only where the settings allow plain loopback.
+	// TLS is nil only where the settings allow unencrypted loopback connections.
 	TLS *tls.Config
-	// Traffic counts what goes over the server's connections; it may be nil.
+	// Traffic counts bytes and messages on the server's connections; it may be nil.
 	Traffic *Traffic
-	// Log may be left out.
+	// Log may be the zero value, which logs nothing.
 	Log zerolog.Logger
-	// Allowed narrows the roles that may call a method; any other method is
-	// open to control and entries.
+	// Allowed lists the roles that may call a method; a method without an entry may be
+	// called by control and entries.
 	Allowed map[Method][]certifier.Role
 
 	mu       sync.Mutex
@@ -71,7 +71,7 @@
 	conns    map[*jsonrpc2.Conn]struct{}
 }
 
-// Handle registers a typed handler for one method; it is called before Run.
+// Handle registers a typed handler for one method; it must be called before Run.
 func Handle[Request any, RequestPointer interface {
 	*Request
 	proto.Message
@@ -82,7 +82,7 @@
 	s.handlers[method] = func(ctx context.Context, peer Peer, content []byte) (proto.Message, error) {
 		request := RequestPointer(new(Request))
 		if err := decode(content, request); err != nil {
-			return nil, refused(jsonrpc2.CodeInvalidParams, err)
+			return nil, newError(jsonrpc2.CodeInvalidParams, err)
 		}
 		return handle(ctx, peer, request)
 	}
@@ -100,26 +100,27 @@
 		if errors.Is(err, net.ErrClosed) {
 			return nil
 		}
-		if passing(err) {
-			s.Log.Warn().Err(err).Int64("pause-ms", acceptPause.Milliseconds()).Msg("connection-not-accepted")
-			pause(ctx, acceptPause)
+		if isTemporary(err) {
+			s.Log.Warn().Err(err).Int64("pause-ms", acceptBackoff.Milliseconds()).Msg("connection-not-accepted")
+			sleep(ctx, acceptBackoff)
 			continue
 		}
 		if err != nil {
-			return fmt.Errorf("accept a process's connection: %w", err)
+			return fmt.Errorf("accept a peer's connection: %w", err)
 		}
 		go s.serve(ctx, conn)
 	}
 }
 
-// passing reports whether a later connection may be accepted after an error. A process
-// that ended for want of a descriptor would take its vote and its table with it.
-func passing(err error) bool {
+// isTemporary reports whether later connections may be accepted in spite of an error. A
+// control process that exited for lack of a descriptor would remove its vote and its table
+// of upstreams from the system.
+func isTemporary(err error) bool {
 	return errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) || errors.Is(err, syscall.ENOBUFS) ||
 		errors.Is(err, syscall.ENOMEM) || errors.Is(err, syscall.ECONNABORTED)
 }
 
-func pause(ctx context.Context, wait time.Duration) {
+func sleep(ctx context.Context, wait time.Duration) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	select {
@@ -138,22 +139,22 @@
 }
 
 func (s *Server) serve(ctx context.Context, conn net.Conn) {
-	peer, secured, err := s.secure(ctx, s.Traffic.count(conn))
+	peer, secured, err := s.handshake(ctx, s.Traffic.wrap(conn))
 	if err != nil {
 		_ = conn.Close()
 		return
 	}
-	carried := newStream(secured)
+	objects := newStream(secured)
 	handler := jsonrpc2.HandlerWithError(func(ctx context.Context, _ *jsonrpc2.Conn, request *jsonrpc2.Request) (any, error) {
-		return s.answer(ctx, peer, carried, request)
+		return s.answer(ctx, peer, objects, request)
 	})
-	rpc := jsonrpc2.NewConn(ctx, carried, jsonrpc2.AsyncHandler(handler.SuppressErrClosed()), quiet)
-	s.track(rpc)
+	rpc := jsonrpc2.NewConn(ctx, objects, jsonrpc2.AsyncHandler(handler.SuppressErrClosed()), discardLogs)
+	s.addConn(rpc)
 	<-rpc.DisconnectNotify()
-	s.forget(rpc)
+	s.removeConn(rpc)
 }
 
-func (s *Server) secure(ctx context.Context, conn net.Conn) (Peer, net.Conn, error) {
+func (s *Server) handshake(ctx context.Context, conn net.Conn) (Peer, net.Conn, error) {
 	if s.TLS == nil {
 		return Peer{}, conn, nil
 	}
@@ -175,14 +176,15 @@
 	return peer, secured, nil
 }
 
-// authorize keeps upstreams and operators, whose certificates the same
-// authorities sign, from speaking as processes of the system.
+// authorize returns an error unless the peer's role may call the method. Upstreams and
+// operators have certificates of the same authorities and must not pass for processes of
+// the system.
 func (s *Server) authorize(peer Peer, method Method) error {
 	if !peer.Secured {
 		return nil
 	}
-	roles, narrowed := s.Allowed[method]
-	if !narrowed {
+	roles, isRestricted := s.Allowed[method]
+	if !isRestricted {
 		roles = defaultRoles
 	}
 	return peer.Identity.Require(roles...)
@@ -190,8 +192,8 @@
 
 var defaultRoles = []certifier.Role{certifier.Control, certifier.Entry}
 
-func (s *Server) answer(ctx context.Context, peer Peer, carried *stream, request *jsonrpc2.Request) (any, error) {
-	content, missing := carried.take(request.Params)
+func (s *Server) answer(ctx context.Context, peer Peer, objects *stream, request *jsonrpc2.Request) (any, error) {
+	content, attachmentError := objects.takeReceived(request.Params)
 	handle, known := s.handlers[Method(request.Method)]
 	if !known {
 		return nil, &jsonrpc2.Error{
@@ -203,10 +205,10 @@
 		return nil, err
 	}
 	if err := s.authorize(peer, Method(request.Method)); err != nil {
-		return nil, refused(codeForbidden, err)
+		return nil, newError(codeForbidden, err)
 	}
-	if missing != nil {
-		return nil, refused(jsonrpc2.CodeInvalidParams, missing)
+	if attachmentError != nil {
+		return nil, newError(jsonrpc2.CodeInvalidParams, attachmentError)
 	}
 	response, err := handle(ctx, peer, content)
 	if err != nil || request.Notif {
@@ -216,16 +218,16 @@
 	if err != nil {
 		return nil, err
 	}
-	return carried.attach(answer), nil
+	return objects.attach(answer), nil
 }
 
-func (s *Server) track(conn *jsonrpc2.Conn) {
+func (s *Server) addConn(conn *jsonrpc2.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.conns[conn] = struct{}{}
 }
 
-func (s *Server) forget(conn *jsonrpc2.Conn) {
+func (s *Server) removeConn(conn *jsonrpc2.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.conns, conn)
--- a/src/connector/stream.go
+++ b/src/connector/stream.go
@@ -11,151 +11,154 @@
 )
 
 const (
-	// prefixSize is the size of what goes before each object: the lengths of the object
-	// and of its attachment, and the attachment's ticket.
-	prefixSize = 16
-	// mostObject and mostAttachment bound what one frame may hold, in bytes. An object
-	// has a method and an id or an error; an attachment may be a snapshot of the log.
-	mostObject     = 64 << 10
-	mostAttachment = 256 << 20
-	// smallFrame is the largest buffer that is kept for the next frame, in bytes.
-	smallFrame = 64 << 10
+	// frameHeaderSize is the size of the header before each object, in bytes: the lengths
+	// of the object and of its attachment, and the attachment's id.
+	frameHeaderSize = 16
+	// maxObjectBytes and maxAttachmentBytes bound the contents of one frame. An object holds
+	// a method and an id, or an error; an attachment may be a snapshot of the log.
+	maxObjectBytes     = 64 << 10
+	maxAttachmentBytes = 256 << 20
+	// smallFrameBytes is the capacity up to which the write buffer is reused for the next
+	// frame, and the most that is allocated for an attachment before any of it has arrived.
+	smallFrameBytes = 64 << 10
 )
 
-// ticket stands in an object for its attachment. Each end of a connection counts its own.
-type ticket uint64
+// attachmentID refers to an attachment in an object's params or result. Each end of a
+// connection numbers the attachments that it sends.
+type attachmentID uint64
 
-// stream carries JSON-RPC objects with their messages attached in binary form.
+// stream reads and writes JSON-RPC objects with their messages attached in binary form.
 //
-// Within the object, a message would be quoted and read through some many times on its
-// way. For a leader that answers hundreds of entries, that is most of what they cost.
+// Within the object, a message would have to be quoted, and would be scanned several times
+// on its way. For a leader that answers hundreds of entries, that would be most of the cost
+// of a request.
 type stream struct {
 	conn   net.Conn
 	reader *bufio.Reader
 
-	mu       sync.Mutex
-	last     ticket
-	leaving  map[ticket][]byte
-	arrived  map[ticket][]byte
-	writing  sync.Mutex
-	outgoing []byte
+	mu          sync.Mutex
+	lastID      attachmentID
+	unsent      map[attachmentID][]byte
+	received    map[attachmentID][]byte
+	writeMu     sync.Mutex
+	writeBuffer []byte
 }
 
 func newStream(conn net.Conn) *stream {
 	return &stream{
-		conn:    conn,
-		reader:  bufio.NewReader(conn),
-		leaving: make(map[ticket][]byte),
-		arrived: make(map[ticket][]byte),
+		conn:     conn,
+		reader:   bufio.NewReader(conn),
+		unsent:   make(map[attachmentID][]byte),
+		received: make(map[attachmentID][]byte),
 	}
 }
 
-// attach keeps an encoded message for the object that will hold its ticket.
-func (s *stream) attach(content []byte) ticket {
+// attach stores an encoded message until the object with the returned id is written.
+func (s *stream) attach(content []byte) attachmentID {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.last++
-	s.leaving[s.last] = content
-	return s.last
+	s.lastID++
+	s.unsent[s.lastID] = content
+	return s.lastID
 }
 
-// take returns the attachment that arrived under the ticket in an object.
-func (s *stream) take(raw *json.RawMessage) ([]byte, error) {
+// takeReceived removes and returns the received attachment whose id an object holds.
+func (s *stream) takeReceived(raw *json.RawMessage) ([]byte, error) {
 	if raw == nil {
 		return nil, fmt.Errorf("the message is empty")
 	}
-	var t ticket
-	if err := json.Unmarshal(*raw, &t); err != nil {
+	var id attachmentID
+	if err := json.Unmarshal(*raw, &id); err != nil {
 		return nil, fmt.Errorf("the message is not attached: %w", err)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	content, found := s.arrived[t]
+	content, found := s.received[id]
 	if !found {
-		return nil, fmt.Errorf("no message is attached as number %d", t)
+		return nil, fmt.Errorf("no message is attached as number %d", id)
 	}
-	delete(s.arrived, t)
+	delete(s.received, id)
 	return content, nil
 }
 
-// carrier is the part of an object that names its attachment.
-type carrier struct {
+// attachmentReference is the part of an object that holds the id of its attachment.
+type attachmentReference struct {
 	Params json.RawMessage `json:"params"`
 	Result json.RawMessage `json:"result"`
 }
 
-// attachment returns what goes with an object that is about to leave.
-func (s *stream) attachment(object []byte) (ticket, []byte) {
-	var c carrier
-	var t ticket
-	if json.Unmarshal(object, &c) != nil {
+// takeUnsent removes and returns the attachment of an object that is about to be written.
+func (s *stream) takeUnsent(object []byte) (attachmentID, []byte) {
+	var reference attachmentReference
+	var id attachmentID
+	if json.Unmarshal(object, &reference) != nil {
 		return 0, nil
 	}
-	raw := c.Params
+	raw := reference.Params
 	if raw == nil {
-		raw = c.Result
+		raw = reference.Result
 	}
-	// An object without a message, such as a refusal, has no ticket.
-	if json.Unmarshal(raw, &t) != nil {
+	// An object without a message, such as an error, has no attachment.
+	if json.Unmarshal(raw, &id) != nil {
 		return 0, nil
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	content := s.leaving[t]
-	delete(s.leaving, t)
-	return t, content
+	content := s.unsent[id]
+	delete(s.unsent, id)
+	return id, content
 }
 
 // WriteObject sends an object and its attachment in one write.
 func (s *stream) WriteObject(object any) error {
 	content, err := json.Marshal(object)
 	if err != nil {
-		return fmt.Errorf("encode an object: %w", err)
+		return fmt.Errorf("encode a JSON-RPC object: %w", err)
 	}
-	t, attached := s.attachment(content)
-	s.writing.Lock()
-	defer s.writing.Unlock()
-	b := s.outgoing[:0]
+	id, attachment := s.takeUnsent(content)
+	s.writeMu.Lock()
+	defer s.writeMu.Unlock()
+	b := s.writeBuffer[:0]
 	b = binary.BigEndian.AppendUint32(b, uint32(len(content)))
-	b = binary.BigEndian.AppendUint32(b, uint32(len(attached)))
-	b = binary.BigEndian.AppendUint64(b, uint64(t))
+	b = binary.BigEndian.AppendUint32(b, uint32(len(attachment)))
+	b = binary.BigEndian.AppendUint64(b, uint64(id))
 	b = append(b, content...)
-	b = append(b, attached...)
-	if cap(b) <= smallFrame {
-		s.outgoing = b
+	b = append(b, attachment...)
+	if cap(b) <= smallFrameBytes {
+		s.writeBuffer = b
 	}
 	_, err = s.conn.Write(b)
 	return err
 }
 
-// ReadObject reads the next object and keeps its attachment until it is taken.
+// ReadObject reads the next object and stores its attachment for takeReceived.
 func (s *stream) ReadObject(object any) error {
-	var prefix [prefixSize]byte
-	if _, err := io.ReadFull(s.reader, prefix[:]); err != nil {
+	var header [frameHeaderSize]byte
+	if _, err := io.ReadFull(s.reader, header[:]); err != nil {
 		return err
 	}
-	length := binary.BigEndian.Uint32(prefix[0:])
-	attached := binary.BigEndian.Uint32(prefix[4:])
-	t := ticket(binary.BigEndian.Uint64(prefix[8:]))
-	if length > mostObject || attached > mostAttachment {
-		return fmt.Errorf("a frame announces %d and %d bytes; run the same version of rosecroft on every instance", length, attached)
+	objectLength := binary.BigEndian.Uint32(header[0:])
+	attachmentLength := binary.BigEndian.Uint32(header[4:])
+	id := attachmentID(binary.BigEndian.Uint64(header[8:]))
+	if objectLength > maxObjectBytes || attachmentLength > maxAttachmentBytes {
+		return fmt.Errorf("a frame header announces an object of %d and an attachment of %d bytes; run the same version of rosecroft on every instance", objectLength, attachmentLength)
 	}
-	content := make([]byte, length)
+	content := make([]byte, objectLength)
 	if _, err := io.ReadFull(s.reader, content); err != nil {
 		return err
 	}
-	if t != 0 {
-		if err := s.keep(t, attached); err != nil {
+	if id != 0 {
+		if err := s.readAttachment(id, attachmentLength); err != nil {
 			return err
 		}
 	}
 	return json.Unmarshal(content, object)
 }
 
-// keep reads an attachment. It grows with what arrives: a length alone must not take
-// the memory that it announces.
-func (s *stream) keep(t ticket, length uint32) error {
-	content := make([]byte, min(length, smallFrame))
+// readAttachment reads and stores an attachment. The buffer grows with the data that
+// arrives, so that a length alone does not cause an allocation of that size.
+func (s *stream) readAttachment(id attachmentID, length uint32) error {
+	content := make([]byte, min(length, smallFrameBytes))
 	if _, err := io.ReadFull(s.reader, content); err != nil {
 		return err
 	}
@@ -169,9 +172,9 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.arrived[t] = content
+	s.received[id] = content
 	return nil
 }
 
-// Close ends the connection.
+// Close closes the connection.
 func (s *stream) Close() error { return s.conn.Close() }
--- a/src/connector/traffic.go
+++ b/src/connector/traffic.go
@@ -6,14 +6,15 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// Traffic counts what a process exchanges with the system's other processes; a nil one counts nothing.
+// Traffic counts the traffic between a process and the system's other processes; a nil
+// *Traffic counts nothing.
 type Traffic struct {
-	// Bytes counts both directions, Messages what this process sends.
+	// Bytes counts both directions, Messages only what this process sends.
 	Bytes    tally.Counter
 	Messages tally.Counter
 }
 
-// NewTraffic returns counters in a scope.
+// NewTraffic returns a Traffic whose counters are in scope.
 func NewTraffic(scope tally.Scope) *Traffic {
 	return &Traffic{
 		Bytes:    scope.Counter("peer_bytes"),
@@ -21,8 +22,8 @@
 	}
 }
 
-// count wraps a connection so that its traffic is counted.
-func (t *Traffic) count(conn net.Conn) net.Conn {
+// wrap returns a connection whose traffic is counted.
+func (t *Traffic) wrap(conn net.Conn) net.Conn {
 	if t == nil {
 		return conn
 	}
@@ -32,20 +33,20 @@
 	}
 }
 
-// countedConn counts what goes through a connection.
+// countedConn counts the bytes and messages of a connection.
 type countedConn struct {
 	net.Conn
 	traffic *Traffic
 }
 
-// Read counts what arrives.
+// Read reads and counts the bytes received.
 func (c *countedConn) Read(buffer []byte) (int, error) {
 	n, err := c.Conn.Read(buffer)
 	c.traffic.Bytes.Inc(int64(n))
 	return n, err
 }
 
-// Write counts what leaves.
+// Write writes and counts the bytes sent, and each call as one message.
 func (c *countedConn) Write(buffer []byte) (int, error) {
 	n, err := c.Conn.Write(buffer)
 	c.traffic.Bytes.Inc(int64(n))
--- a/src/doorkeeper/doc.go
+++ b/src/doorkeeper/doc.go
@@ -1,7 +1,7 @@
-// Package doorkeeper bounds how many connections a server holds.
+// Package doorkeeper limits the number of open connections of a server.
 //
-// The load it answers: thousands of upstreams keep a connection to each control instance
-// that they ever called, and call the next instance as soon as one is late. Without a
-// bound they take every descriptor of the process, and voters, entries and operators get
-// none.
+// It is needed because thousands of upstreams keep a connection open to each control
+// instance that they ever called, and call the next instance as soon as one answers late.
+// Without a limit, they use up the file descriptors of the process, and voters, entries
+// and operators can no longer connect.
 package doorkeeper
--- a/src/doorkeeper/listener.go
+++ b/src/doorkeeper/listener.go
@@ -11,67 +11,70 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// logInterval is the least time between two log lines about connections given up.
+// logInterval is the minimum time between two log lines about dropped connections.
 const logInterval = time.Second
 
-// Listener accepts connections of an HTTP server and holds Most of them; beyond that the
-// connection that has been idle longest is closed, or the new one where none is idle. Its
-// fields are set before use, and Track is the server's ConnState.
+// Listener accepts connections for an HTTP server and keeps at most Most of them open. To
+// admit another one, it closes the connection that has been idle longest; if none is idle,
+// it closes the new one. Its fields are set before use, and Track must be set as the
+// server's ConnState.
 type Listener struct {
 	net.Listener
-	// Most is how many connections are held at once, 0 for any number.
+	// Most is the maximum number of open connections, 0 for no limit.
 	Most int
-	// Closed counts the connections given up; it may be nil.
+	// Closed counts the connections closed because of the limit; it may be nil.
 	Closed tally.Counter
 	Log    zerolog.Logger
 
-	mu   sync.Mutex
+	mu sync.Mutex
+	// open maps each connection to its element in idle, nil while it is not idle.
 	open map[net.Conn]*list.Element
-	// idle holds the idle connections, the one idle longest first.
-	idle     list.List
-	given    int
-	loggedAt time.Time
+	// idle holds the idle connections, the one that has been idle longest first.
+	idle            list.List
+	droppedSinceLog int
+	loggedAt        time.Time
 }
 
-// Accept returns the next connection that there is room for.
+// Accept returns the next connection that the limit admits.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
 		if err != nil {
 			return nil, err
 		}
-		surplus := l.admit(conn)
-		if surplus == nil {
+		toClose := l.admit(conn)
+		if toClose == nil {
 			return conn, nil
 		}
-		l.giveUp(surplus)
-		if surplus != conn {
+		l.drop(toClose)
+		if toClose != conn {
 			return conn, nil
 		}
 	}
 }
 
-// admit takes a connection in and returns the one to close for it, nil for none.
+// admit adds a connection and returns the one to close for it, nil for none. If that is the
+// new connection itself, it was not added.
 func (l *Listener) admit(conn net.Conn) net.Conn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.open == nil {
 		l.open = make(map[net.Conn]*list.Element)
 	}
-	var surplus net.Conn
+	var toClose net.Conn
 	if l.Most > 0 && len(l.open) >= l.Most {
-		longest := l.idle.Front()
-		if longest == nil {
+		oldest := l.idle.Front()
+		if oldest == nil {
 			return conn
 		}
-		surplus = longest.Value.(net.Conn)
-		l.forget(surplus)
+		toClose = oldest.Value.(net.Conn)
+		l.remove(toClose)
 	}
 	l.open[conn] = nil
-	return surplus
+	return toClose
 }
 
-// Track follows the state of a connection.
+// Track records a change of a connection's state.
 func (l *Listener) Track(conn net.Conn, state http.ConnState) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -83,7 +86,7 @@
 	case http.StateIdle:
 		l.open[conn] = l.idle.PushBack(conn)
 	case http.StateClosed, http.StateHijacked:
-		l.forget(conn)
+		l.remove(conn)
 	case http.StateNew, http.StateActive:
 		if element != nil {
 			l.idle.Remove(element)
@@ -92,17 +95,18 @@
 	}
 }
 
-// forget takes a connection out; the caller holds the lock.
-func (l *Listener) forget(conn net.Conn) {
+// remove removes a connection; the caller holds mu.
+func (l *Listener) remove(conn net.Conn) {
 	if element := l.open[conn]; element != nil {
 		l.idle.Remove(element)
 	}
 	delete(l.open, conn)
 }
 
-// giveUp closes a connection and says so, at most once in logInterval.
-func (l *Listener) giveUp(conn net.Conn) {
-	// Its end is already over where the other side was faster.
+// drop closes a connection and logs the number of dropped ones at most once per
+// logInterval.
+func (l *Listener) drop(conn net.Conn) {
+	// The error does not matter: the peer may have closed the connection already.
 	_ = conn.Close()
 	if l.Closed != nil {
 		l.Closed.Inc(1)
@@ -110,11 +114,11 @@
 	now := time.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.given++
+	l.droppedSinceLog++
 	if now.Sub(l.loggedAt) < logInterval {
 		return
 	}
-	l.Log.Warn().Int("connections", l.given).Int("most", l.Most).Msg("connections-given-up")
-	l.given = 0
+	l.Log.Warn().Int("connections", l.droppedSinceLog).Int("most", l.Most).Msg("connections-given-up")
+	l.droppedSinceLog = 0
 	l.loggedAt = now
 }
--- a/src/doorkeeper/listener_test.go
+++ b/src/doorkeeper/listener_test.go
@@ -9,37 +9,37 @@
 	"time"
 )
 
-const wait = 5 * time.Second
+const ioTimeout = 5 * time.Second
 
-// serve runs a server that holds a few connections and returns its address.
-func serve(t *testing.T, most int, handler http.HandlerFunc) string {
+// serve runs a server with a limit on its connections and returns its address.
+func serve(t *testing.T, maxConnections int, handler http.HandlerFunc) string {
 	t.Helper()
-	inner, err := net.Listen("tcp", "127.0.0.1:0")
+	tcpListener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	listener := &Listener{
-		Listener: inner,
-		Most:     most,
+		Listener: tcpListener,
+		Most:     maxConnections,
 	}
 	server := &http.Server{
 		Handler:           handler,
 		ConnState:         listener.Track,
-		ReadHeaderTimeout: wait,
+		ReadHeaderTimeout: ioTimeout,
 	}
-	ended := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(done)
 		_ = server.Serve(listener)
 	}()
 	t.Cleanup(func() {
 		_ = server.Close()
-		<-ended
+		<-done
 	})
-	return inner.Addr().String()
+	return tcpListener.Addr().String()
 }
 
-// dial opens a connection that is closed with the test.
+// dial opens a connection that is closed at the end of the test.
 func dial(t *testing.T, address string) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
@@ -50,9 +50,9 @@
 	return conn
 }
 
-// call sends a request and returns the status, or the error of a connection that is closed.
+// call sends a request and returns the status, or an error if the connection is closed.
 func call(conn net.Conn, path string) (int, error) {
-	_ = conn.SetDeadline(time.Now().Add(wait))
+	_ = conn.SetDeadline(time.Now().Add(ioTimeout))
 	if _, err := fmt.Fprintf(conn, "GET %s HTTP/1.1\r\nHost: h\r\n\r\n", path); err != nil {
 		return 0, err
 	}
@@ -63,11 +63,12 @@
 	return response.StatusCode, response.Body.Close()
 }
 
-// Guards against upstreams taking every descriptor: ten times as many as are held call in turn.
+// Guards against upstreams using up all file descriptors: ten times as many clients as the
+// limit allows call one after another, and none closes its connection.
 func TestManyCallersAreServedByFewConnections(t *testing.T) {
-	const most = 8
-	address := serve(t, most, func(http.ResponseWriter, *http.Request) {})
-	for i := range 10 * most {
+	const maxConnections = 8
+	address := serve(t, maxConnections, func(http.ResponseWriter, *http.Request) {})
+	for i := range 10 * maxConnections {
 		status, err := call(dial(t, address), "/")
 		if err != nil || status != http.StatusOK {
 			t.Fatalf("call %d: got %d (%v), want %d", i, status, err, http.StatusOK)
@@ -75,19 +76,20 @@
 	}
 }
 
-// Guards against closing a connection whose call is still running.
+// Guards against closing a connection with a call in progress: while all connections are
+// busy, a new one is closed instead.
 func TestRunningCallsKeepTheirConnections(t *testing.T) {
-	const most = 3
+	const maxConnections = 3
 	release := make(chan struct{})
-	running := make(chan struct{}, most)
-	address := serve(t, most, func(_ http.ResponseWriter, r *http.Request) {
+	running := make(chan struct{}, maxConnections)
+	address := serve(t, maxConnections, func(_ http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/long" {
 			running <- struct{}{}
 			<-release
 		}
 	})
-	results := make(chan error, most)
-	for range most {
+	results := make(chan error, maxConnections)
+	for range maxConnections {
 		conn := dial(t, address)
 		if _, err := call(conn, "/"); err != nil {
 			t.Fatal(err)
@@ -99,12 +101,12 @@
 		<-running
 	}
 	if _, err := call(dial(t, address), "/"); err == nil {
-		t.Error("a call beyond those that are held: got an answer, want its connection closed")
+		t.Error("call on a connection beyond the limit: got an answer, want the connection closed")
 	}
 	close(release)
-	for range most {
+	for range maxConnections {
 		if err := <-results; err != nil {
-			t.Errorf("a call that was running: got %v, want its answer", err)
+			t.Errorf("call in progress: got error %v, want its answer", err)
 		}
 	}
 }
--- a/src/inspector/doc.go
+++ b/src/inspector/doc.go
@@ -1,2 +1,3 @@
-// Package inspector serves one process's state, metrics and health to operators.
+// Package inspector implements a process's HTTP server for operators: state dump, metrics,
+// health and the process's own operator routes.
 package inspector
--- a/src/inspector/inspector.go
+++ b/src/inspector/inspector.go
@@ -17,30 +17,30 @@
 )
 
 const (
-	headerTimeout = 5 * time.Second
-	readTimeout   = 30 * time.Second
-	writeTimeout  = time.Minute
-	idleTimeout   = 2 * time.Minute
-	maxHeader     = 32 << 10
-	yamlType      = "application/yaml"
-	healthPath    = "/healthz"
-	readinessPath = "/readyz"
+	headerTimeout   = 5 * time.Second
+	readTimeout     = 30 * time.Second
+	writeTimeout    = time.Minute
+	idleTimeout     = 2 * time.Minute
+	maxHeaderBytes  = 32 << 10
+	yamlContentType = "application/yaml"
+	healthPath      = "/healthz"
+	readinessPath   = "/readyz"
 )
 
 // Inspector is a process's HTTP server for operators.
 type Inspector struct {
 	Listener net.Listener
-	// TLS is nil only where the settings allow plain loopback.
+	// TLS is nil only where the settings allow unencrypted loopback connections.
 	TLS *tls.Config
-	// Dump returns the process's state without secrets, to be written as YAML.
+	// Dump returns the process's state without secrets, which is served as YAML.
 	Dump func(context.Context) (any, error)
-	// Ready says whether the balancer should send calls here.
+	// Ready reports whether the load balancer should send calls here.
 	Ready   func() bool
 	Metrics http.Handler
-	// Explain returns what was decided about a call, or false where it is not
-	// known; nil for a process without calls.
+	// Explain returns the decisions about a call, or false if the call is not known; it
+	// is nil for a process that handles no calls.
 	Explain func(call units.CallID) (any, bool)
-	// Services are the routes of the process's own duty.
+	// Services are the operator routes that are specific to the process.
 	Services []*restful.WebService
 }
 
@@ -52,7 +52,7 @@
 		ReadTimeout:       readTimeout,
 		WriteTimeout:      writeTimeout,
 		IdleTimeout:       idleTimeout,
-		MaxHeaderBytes:    maxHeader,
+		MaxHeaderBytes:    maxHeaderBytes,
 	}
 	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 	defer stop()
@@ -69,24 +69,25 @@
 func (i *Inspector) handler() http.Handler {
 	container := restful.NewContainer()
 	container.Filter(i.authorize)
-	own := new(restful.WebService)
-	own.Route(own.GET("/dump").To(i.dump))
-	own.Route(own.GET(healthPath).To(i.health))
-	own.Route(own.GET(readinessPath).To(i.readiness))
-	own.Route(own.GET("/metrics").To(func(request *restful.Request, response *restful.Response) {
+	routes := new(restful.WebService)
+	routes.Route(routes.GET("/dump").To(i.handleDump))
+	routes.Route(routes.GET(healthPath).To(i.handleHealth))
+	routes.Route(routes.GET(readinessPath).To(i.handleReadiness))
+	routes.Route(routes.GET("/metrics").To(func(request *restful.Request, response *restful.Response) {
 		i.Metrics.ServeHTTP(response.ResponseWriter, request.Request)
 	}))
 	if i.Explain != nil {
-		own.Route(own.GET("/explain/{call}").To(i.explain))
+		routes.Route(routes.GET("/explain/{call}").To(i.handleExplain))
 	}
-	container.Add(own)
+	container.Add(routes)
 	for _, service := range i.Services {
 		container.Add(service)
 	}
 	return container
 }
 
-// authorize lets operators in, and anyone to the health that a balancer probes.
+// authorize admits operators; the health and readiness paths, which load balancers probe, are
+// open to everyone.
 func (i *Inspector) authorize(request *restful.Request, response *restful.Response, chain *restful.FilterChain) {
 	path := request.Request.URL.Path
 	if path == healthPath || path == readinessPath {
@@ -100,7 +101,7 @@
 	chain.ProcessFilter(request, response)
 }
 
-func (i *Inspector) dump(request *restful.Request, response *restful.Response) {
+func (i *Inspector) handleDump(request *restful.Request, response *restful.Response) {
 	state, err := i.Dump(request.Request.Context())
 	if err != nil {
 		_ = response.WriteError(http.StatusServiceUnavailable, err)
@@ -109,7 +110,7 @@
 	writeYAML(response, state)
 }
 
-func (i *Inspector) explain(request *restful.Request, response *restful.Response) {
+func (i *Inspector) handleExplain(request *restful.Request, response *restful.Response) {
 	explanation, known := i.Explain(units.CallID(request.PathParameter("call")))
 	if !known {
 		_ = response.WriteErrorString(http.StatusNotFound,
@@ -125,15 +126,15 @@
 		_ = response.WriteError(http.StatusInternalServerError, err)
 		return
 	}
-	response.AddHeader("Content-Type", yamlType)
+	response.AddHeader("Content-Type", yamlContentType)
 	_, _ = response.Write(content)
 }
 
-func (i *Inspector) health(_ *restful.Request, response *restful.Response) {
+func (i *Inspector) handleHealth(_ *restful.Request, response *restful.Response) {
 	response.WriteHeader(http.StatusOK)
 }
 
-func (i *Inspector) readiness(_ *restful.Request, response *restful.Response) {
+func (i *Inspector) handleReadiness(_ *restful.Request, response *restful.Response) {
 	if !i.Ready() {
 		response.WriteHeader(http.StatusServiceUnavailable)
 		return
--- a/src/logger/bounded.go
+++ b/src/logger/bounded.go
@@ -15,29 +15,28 @@
 )
 
 const (
-	// flushInterval gathers lines into few writes, since each write costs a
-	// small process more than the line.
+	// flushInterval is the interval between writes. Lines are batched, since a write
+	// costs a small process more than the line itself.
 	flushInterval = 100 * time.Millisecond
-	// mostPending bounds what waits for a reader that is slow, in bytes.
-	mostPending = 256 << 10
+	// maxPendingBytes bounds the lines that wait for a slow reader of the log.
+	maxPendingBytes = 256 << 10
 )
 
-// Bounded is a log writer that never blocks and bounds its volume; what is beyond
-// the bound is dropped and counted. Its fields are set before use.
+// Bounded is a log writer that never blocks and that limits the volume of the log; lines
+// beyond the limits are dropped and counted. Its fields are set before use.
 type Bounded struct {
 	Out io.Writer
-	// LinesPerSecond is how many lines are kept.
+	// LinesPerSecond is the maximum number of lines kept per second.
 	LinesPerSecond int
 
-	mu      sync.Mutex
-	pending bytes.Buffer
-	second  int64
-	lines   int
-	dropped atomic.Int64
+	mu              sync.Mutex
+	pending         bytes.Buffer
+	currentSecond   int64
+	linesThisSecond int
+	dropped         atomic.Int64
 }
 
-// NewStructured returns a logger whose lines are JSON objects that name the
-// instance and its role.
+// NewStructured returns a logger that writes JSON lines with the instance and its role.
 func NewStructured(out io.Writer, role string, instance units.Instance) zerolog.Logger {
 	zerolog.TimeFieldFormat = time.RFC3339Nano
 	return zerolog.New(out).With().
@@ -47,16 +46,17 @@
 		Logger()
 }
 
-// Write takes one line; it never fails, since a log must not stop the work.
+// Write adds one line; it never returns an error, since a failing log must not stop the
+// process's work.
 func (b *Bounded) Write(line []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if second := time.Now().Unix(); second != b.second {
-		b.second = second
-		b.lines = 0
+	if currentSecond := time.Now().Unix(); currentSecond != b.currentSecond {
+		b.currentSecond = currentSecond
+		b.linesThisSecond = 0
 	}
-	b.lines++
-	if b.lines > b.LinesPerSecond || b.pending.Len()+len(line) > mostPending {
+	b.linesThisSecond++
+	if b.linesThisSecond > b.LinesPerSecond || b.pending.Len()+len(line) > maxPendingBytes {
 		b.dropped.Add(1)
 		return len(line), nil
 	}
@@ -64,14 +64,15 @@
 	return len(line), nil
 }
 
-// Dropped returns how many lines were dropped since the start.
+// Dropped returns the number of lines dropped since the start.
 func (b *Bounded) Dropped() int64 { return b.dropped.Load() }
 
-// Run writes what is pending until ctx ends, and once more then.
+// Run writes the pending lines at each flushInterval and once more when ctx ends. It also
+// logs how many lines were dropped.
 func (b *Bounded) Run(ctx context.Context) {
 	ticker := time.NewTicker(flushInterval)
 	defer ticker.Stop()
-	told := int64(0)
+	reported := int64(0)
 	for {
 		select {
 		case <-ctx.Done():
@@ -79,28 +80,29 @@
 			return
 		case <-ticker.C:
 		}
-		if dropped := b.dropped.Load(); dropped > told {
-			b.add(fmt.Sprintf(`{"level":"warn","dropped-lines":%d,"message":"log-lines-dropped"}`+"\n", dropped-told))
-			told = dropped
+		if dropped := b.dropped.Load(); dropped > reported {
+			b.appendLine(fmt.Sprintf(`{"level":"warn","dropped-lines":%d,"message":"log-lines-dropped"}`+"\n", dropped-reported))
+			reported = dropped
 		}
 		b.Flush()
 	}
 }
 
-func (b *Bounded) add(line string) {
+func (b *Bounded) appendLine(line string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.pending.WriteString(line)
 }
 
-// Flush writes what is pending.
+// Flush writes the pending lines.
 func (b *Bounded) Flush() {
 	b.mu.Lock()
 	content := bytes.Clone(b.pending.Bytes())
 	b.pending.Reset()
 	b.mu.Unlock()
 	if len(content) > 0 {
-		// Nobody is left to tell that the log cannot be written.
+		// The error is ignored: there is nowhere to report that the log cannot be
+		// written.
 		_, _ = b.Out.Write(content)
 	}
 }
--- a/src/logger/bounded_test.go
+++ b/src/logger/bounded_test.go
@@ -7,22 +7,22 @@
 	"testing"
 )
 
-// A reader of the log that stands still, or a storm of lines, must neither hold
-// up the process nor fill its memory; the lines that are left out are counted.
+// A log reader that stalls or a burst of lines must neither block the process nor exhaust
+// its memory; the lines that are dropped must be counted.
 func TestBoundedDropsAndCounts(t *testing.T) {
 	var out bytes.Buffer
 	b := &Bounded{Out: &out, LinesPerSecond: 10}
 	const lines = 500
 	for range lines {
 		if n, err := b.Write([]byte("line\n")); n != 5 || err != nil {
-			t.Fatalf("write: got %d %v, want 5 and none", n, err)
+			t.Fatalf("Write: got %d and error %v, want 5 and none", n, err)
 		}
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	b.Run(ctx)
 	kept := strings.Count(out.String(), "line\n")
-	// The seconds may turn once while the lines are written.
+	// A new second may begin once while the lines are written.
 	if kept < 10 || kept > 20 {
 		t.Errorf("lines kept: got %d, want 10 or 20", kept)
 	}
--- a/src/logger/doc.go
+++ b/src/logger/doc.go
@@ -1,2 +1,3 @@
-// Package logger writes one line of key=value pairs for each event.
+// Package logger provides structured loggers, which write one line per event as key=value
+// pairs or JSON, and a bounded, non-blocking log writer.
 package logger
--- a/src/logger/logger.go
+++ b/src/logger/logger.go
@@ -10,7 +10,7 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// New returns a logger whose lines name the instance and its role.
+// New returns a logger that writes key=value lines with the instance and its role.
 func New(out io.Writer, role string, instance units.Instance) zerolog.Logger {
 	writer := zerolog.ConsoleWriter{
 		Out:        out,
@@ -21,9 +21,9 @@
 			zerolog.LevelFieldName,
 			zerolog.MessageFieldName,
 		},
-		FormatTimestamp: pair("time"),
-		FormatLevel:     pair("level"),
-		FormatMessage:   pair("event"),
+		FormatTimestamp: formatPair("time"),
+		FormatLevel:     formatPair("level"),
+		FormatMessage:   formatPair("event"),
 	}
 	return zerolog.New(writer).With().
 		Timestamp().
@@ -32,7 +32,7 @@
 		Logger()
 }
 
-func pair(key string) zerolog.Formatter {
+func formatPair(key string) zerolog.Formatter {
 	return func(value any) string {
 		return fmt.Sprintf("%s=%v", key, value)
 	}
--- a/src/meter/doc.go
+++ b/src/meter/doc.go
@@ -1,2 +1,2 @@
-// Package meter holds a process's metrics and serves them in the Prometheus format.
+// Package meter registers a process's metrics and exports them in the Prometheus format.
 package meter
--- a/src/meter/meter.go
+++ b/src/meter/meter.go
@@ -12,18 +12,19 @@
 
 const reportInterval = time.Second
 
-// LatencyBuckets covers latencies from half a millisecond to half a minute.
+// LatencyBuckets are histogram buckets for latencies from 0.5 ms to about 33 s, each twice
+// the one before.
 var LatencyBuckets = tally.MustMakeExponentialDurationBuckets(500*time.Microsecond, 2, 17)
 
 // Meter is the root of a process's metrics.
 type Meter struct {
 	Scope tally.Scope
-	// Handler serves the scrape.
+	// Handler serves the metrics to Prometheus scrapes.
 	Handler http.Handler
 	closer  io.Closer
 }
 
-// New returns an empty meter; Close ends its reporting.
+// New returns a Meter without metrics; Close stops its reporting.
 func New() *Meter {
 	registry := prometheus.NewRegistry()
 	reporter := tallyprometheus.NewReporter(tallyprometheus.Options{
@@ -44,7 +45,7 @@
 	}
 }
 
-// Close ends the reporting.
+// Close stops the reporting.
 func (m *Meter) Close() error {
 	return m.closer.Close()
 }
--- a/src/server/adoption.go
+++ b/src/server/adoption.go
@@ -18,25 +18,25 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-const lookTimeout = 3 * time.Second
+const lookupTimeout = 3 * time.Second
 
-// Looker tells what became of a call.
+// Looker looks up the outcome of an earlier call.
 type Looker interface {
-	// Lookup returns a kept answer, or whether the call runs; neither means that
-	// nobody can say what became of it.
+	// Lookup returns the stored answer, or reports that the call is still running. With
+	// neither, the outcome of the call is unknown.
 	Lookup(ctx context.Context, account units.Account, key string) (answer *dispatcher.Answer, running bool, err error)
 }
 
-// collect answers a caller that collects the answer to an earlier call. The
-// account is part of the call's identity, so that no other account can have it.
-func (s *Server) collect(request *restful.Request, response *restful.Response) {
+// handleCollect returns the answer to an earlier call. The account is part of the
+// call's identity, so that no other account can read the answer.
+func (s *Server) handleCollect(request *restful.Request, response *restful.Response) {
 	id := newCallID(response)
 	_, _, account, refusal := s.identify(request.Request)
 	if refusal != nil {
 		s.refuse(response, id, refusal)
 		return
 	}
-	ctx, cancel := context.WithTimeout(request.Request.Context(), lookTimeout)
+	ctx, cancel := context.WithTimeout(request.Request.Context(), lookupTimeout)
 	defer cancel()
 	key := request.PathParameter("id")
 	answer, running, err := s.Records.Lookup(ctx, account.Name, key)
@@ -44,19 +44,19 @@
 	case answer != nil:
 		_ = s.newSink(response.ResponseWriter, &dispatcher.Call{}, time.Now()).Answer(answer)
 	case running:
-		writeCollect(response.ResponseWriter, request.Request.URL.EscapedPath())
+		writeAccepted(response.ResponseWriter, request.Request.URL.EscapedPath())
 	default:
-		s.refuse(response, id, notKnown(err))
+		s.refuse(response, id, outcomeUnknown(err))
 	}
 }
 
-func notKnown(err error) *dispatcher.Refusal {
+func outcomeUnknown(err error) *dispatcher.Refusal {
 	refusal := &dispatcher.Refusal{
 		Status:     http.StatusNotFound,
 		Kind:       dispatcher.ProblemOutcomeUnknown,
 		Detail:     "no answer is kept under this key; send the call again under it if its service lets you",
 		Executed:   dispatcher.ExecutedUnknown,
-		RetryAfter: collectRetry,
+		RetryAfter: collectRetryAfter,
 	}
 	if err != nil {
 		refusal.Status = http.StatusServiceUnavailable
@@ -65,13 +65,14 @@
 	return refusal
 }
 
-// Adopt takes a call from an entry that stops; its answer goes into the record.
+// Adopt accepts a call from an entry that is shutting down and runs it; the answer goes
+// into the call's record.
 func (s *Server) Adopt(ctx context.Context, request *messages.AdoptRequest) *messages.AdoptResponse {
 	snapshot := s.Snapshot.Load()
-	if phase(s.drain.phase.Load()) != taking || snapshot == nil || !s.Ready() {
+	if phase(s.drain.phase.Load()) != phaseServing || snapshot == nil || !s.Ready() {
 		return &messages.AdoptResponse{}
 	}
-	call, err := adoptedCall(snapshot, request)
+	call, err := newAdoptedCall(snapshot, request)
 	if err != nil {
 		s.Log.Warn().Err(err).Msg("call-not-adopted")
 		return &messages.AdoptResponse{}
@@ -80,14 +81,14 @@
 	return &messages.AdoptResponse{Taken: true}
 }
 
-func adoptedCall(snapshot *indexer.Snapshot, request *messages.AdoptRequest) (*dispatcher.Call, error) {
+func newAdoptedCall(snapshot *indexer.Snapshot, request *messages.AdoptRequest) (*dispatcher.Call, error) {
 	service, known := snapshot.Service(units.Service(request.GetService()))
 	if !known {
-		return nil, fmt.Errorf("service %s is not in force here", request.GetService())
+		return nil, fmt.Errorf("service %s is not in this entry's configuration", request.GetService())
 	}
 	account := findAccount(snapshot, units.Account(request.GetAccount()))
 	if account == nil {
-		return nil, fmt.Errorf("client account %s is not in force here", request.GetAccount())
+		return nil, fmt.Errorf("client account %s is not in this entry's configuration", request.GetAccount())
 	}
 	call := &dispatcher.Call{
 		ID:           units.CallID(uuid.NewString()),
@@ -105,19 +106,20 @@
 	for _, field := range request.GetHeader() {
 		call.Header[field.GetName()] = field.GetValues()
 	}
-	fillService(call, service, time.Now())
+	setServiceFields(call, service, time.Now())
 	if !call.Repeatable {
-		return nil, fmt.Errorf("calls of service %s like this one may not be repeated here", service.Name)
+		return nil, fmt.Errorf("this call of service %s is not repeatable in this entry's configuration", service.Name)
 	}
 	if call.Kind != parser.ModelService {
 		return call, nil
 	}
-	return call, fillWhole(call)
+	return call, disableStreaming(call)
 }
 
-// fillWhole makes a model call one that is answered whole, since no caller reads
-// its stream. The record compares the request that the caller sent.
-func fillWhole(call *dispatcher.Call) error {
+// disableStreaming turns a model call into one without streaming, since no caller is
+// connected to read the stream. RecordedBody keeps the body that the caller sent, which
+// is what the record compares.
+func disableStreaming(call *dispatcher.Call) error {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(call.Body, &fields); err != nil {
 		return fmt.Errorf("read the handed-over request: %w", err)
@@ -126,14 +128,14 @@
 	fields["stream"] = json.RawMessage("false")
 	body, err := json.Marshal(fields)
 	if err != nil {
-		return fmt.Errorf("form the handed-over request: %w", err)
+		return fmt.Errorf("encode the handed-over request: %w", err)
 	}
 	call.Body = body
 	parsed, err := parseModelRequest(body)
 	if err != nil {
 		return fmt.Errorf("read the handed-over request: %w", err)
 	}
-	fillModel(call, parsed)
+	setModelFields(call, parsed)
 	return nil
 }
 
@@ -146,8 +148,9 @@
 	return nil
 }
 
-// runAdopted runs a handed-over call until it is answered or cannot be. It asks
-// again after a refusal that did not run it: the caller was told to come back.
+// runAdopted runs a handed-over call until it is answered, fails for good or reaches its
+// deadline. A refusal that did not run the call and allows a retry is retried here, since
+// the caller was told to collect the answer later.
 func (s *Server) runAdopted(ctx context.Context, call *dispatcher.Call) {
 	ctx, cancel := context.WithDeadline(ctx, call.Deadline)
 	defer cancel()
@@ -155,34 +158,34 @@
 		call:   call,
 		cancel: cancel,
 	}
-	s.drain.enter(active)
-	defer s.drain.leave(active)
+	s.drain.add(active)
+	defer s.drain.remove(active)
 	for {
 		err := s.Dispatcher.Do(ctx, call, discard{})
 		var refusal *dispatcher.Refusal
-		again := errors.As(err, &refusal) && refusal.Executed == dispatcher.ExecutedNo && refusal.RetryAfter > 0
-		if !again || ctx.Err() != nil {
+		retry := errors.As(err, &refusal) && refusal.Executed == dispatcher.ExecutedNo && refusal.RetryAfter > 0
+		if !retry || ctx.Err() != nil {
 			s.Log.Info().Err(err).Str("key", call.Key).Msg("adopted-call-ended")
 			return
 		}
-		pause(ctx, refusal.RetryAfter)
+		sleep(ctx, refusal.RetryAfter)
 	}
 }
 
-// discard is the sink of a call without a caller; the record keeps its answer.
+// discard is the sink of a call without a connected caller; the record stores its answer.
 type discard struct{}
 
-// Answer drops the answer.
+// Answer discards the answer.
 func (discard) Answer(*dispatcher.Answer) error { return nil }
 
-// Begin drops the header.
+// Begin discards the header.
 func (discard) Begin(http.Header) error { return nil }
 
-// Event drops the event.
+// Event discards the event.
 func (discard) Event(units.Tokens, []byte) error { return nil }
 
-// SetBuffering has nothing to hold.
+// SetBuffering does nothing, since no events are written.
 func (discard) SetBuffering(bool) {}
 
-// End drops the marker.
+// End discards the end marker.
 func (discard) End() error { return nil }
--- a/src/server/doc.go
+++ b/src/server/doc.go
@@ -1,2 +1,2 @@
-// Package server answers callers over HTTP.
+// Package server implements an entry's HTTP API for callers.
 package server
--- a/src/server/drain.go
+++ b/src/server/drain.go
@@ -13,54 +13,56 @@
 )
 
 const (
-	// drainParts is what part of the drain the balancer's notice at most, and the
-	// handing over, get.
-	drainParts = 4
-	// adoptTimeout bounds the search for an entry that takes a call.
+	// drainDivisor divides the drain: the load balancer's notice period takes at most
+	// 1/drainDivisor of it, and 1/drainDivisor is reserved for the handover.
+	drainDivisor = 4
+	// adoptTimeout bounds the search for an entry that accepts a call.
 	adoptTimeout = 3 * time.Second
-	// endGrace is how long after its deadline a call may still be ending.
-	endGrace     = 2 * time.Second
-	collectRetry = time.Second
-	drainPoll    = 20 * time.Millisecond
+	// completionGrace is how long after its deadline a call may take to finish.
+	completionGrace   = 2 * time.Second
+	collectRetryAfter = time.Second
+	drainPollInterval = 20 * time.Millisecond
 
 	callsPath = "/v1/calls/"
 )
 
-// phase is how far a planned stop has come.
+// phase is the stage of a planned shutdown.
 type phase int32
 
 const (
-	taking phase = iota
-	// leaving takes calls although the balancer is told to send none.
-	leaving
-	refusing
+	phaseServing phase = iota
+	// phaseNotifying still accepts calls, while the entry reports itself unready to the
+	// load balancer.
+	phaseNotifying
+	phaseRefusing
 )
 
-// Adopter finds another entry that takes a call.
+// Adopter hands calls over to other entries.
 type Adopter interface {
-	// Adopt returns nil once another entry has taken the call.
+	// Adopt returns nil once another entry has accepted the call.
 	Adopt(ctx context.Context, call *dispatcher.Call) error
 }
 
-// activeCall is a call under way at this entry.
+// activeCall is a call in progress at this entry.
 type activeCall struct {
 	call   *dispatcher.Call
 	cancel context.CancelFunc
-	// out is nil for a call that another entry handed over.
-	out     *sink
-	adopted atomic.Bool
+	// callerSink is nil for a call that another entry handed over.
+	callerSink *sink
+	// handedOver is set once another entry has accepted the call.
+	handedOver atomic.Bool
 }
 
-// drain holds the calls under way and the phase of a stop.
+// drain holds the calls in progress and the phase of a shutdown.
 type drain struct {
 	phase  atomic.Int32
 	mu     sync.Mutex
 	active map[*activeCall]struct{}
-	// background counts the calls without a caller's connection.
+	// background tracks adopted calls, which have no caller connection.
 	background sync.WaitGroup
 }
 
-func (d *drain) enter(a *activeCall) {
+func (d *drain) add(a *activeCall) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.active == nil {
@@ -69,44 +71,45 @@
 	d.active[a] = struct{}{}
 }
 
-func (d *drain) leave(a *activeCall) {
+func (d *drain) remove(a *activeCall) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	delete(d.active, a)
 }
 
-func (d *drain) calls() []*activeCall {
+func (d *drain) activeCalls() []*activeCall {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	calls := make([]*activeCall, 0, len(d.active))
+	activeCalls := make([]*activeCall, 0, len(d.active))
 	for a := range d.active {
-		calls = append(calls, a)
+		activeCalls = append(activeCalls, a)
 	}
-	return calls
+	return activeCalls
 }
 
-// takes reports whether a new call is served. A balancer learns of a stop some
-// time after it began; a call that it sends until then would be refused for nothing.
-func (s *Server) takes() bool {
+// acceptsCalls reports whether new calls are accepted. The load balancer notices a
+// shutdown only some time after it began; calls that it sends until then are served, since
+// refusing them would gain nothing.
+func (s *Server) acceptsCalls() bool {
 	switch phase(s.drain.phase.Load()) {
-	case leaving:
+	case phaseNotifying:
 		return true
-	case refusing:
+	case phaseRefusing:
 		return false
 	default:
 		return s.Ready()
 	}
 }
 
-// stop ends the serving without cutting off a call: it first lets the balancer
-// learn, then refuses new calls, then hands over what does not end in time.
-func (s *Server) stop(ctx context.Context, server *http.Server) error {
+// shutDown stops the server without interrupting calls: it waits for the load balancer to
+// notice, then refuses new calls, then hands over the calls that do not end in time.
+func (s *Server) shutDown(ctx context.Context, server *http.Server) error {
 	end := time.Now().Add(s.Drain)
-	s.drain.phase.Store(int32(leaving))
-	pause(ctx, min(s.UnreadyFor, s.Drain/drainParts))
-	s.drain.phase.Store(int32(refusing))
-	for len(s.drain.calls()) > 0 && time.Until(end) > s.Drain/drainParts {
-		pause(ctx, drainPoll)
+	s.drain.phase.Store(int32(phaseNotifying))
+	sleep(ctx, min(s.UnreadyFor, s.Drain/drainDivisor))
+	s.drain.phase.Store(int32(phaseRefusing))
+	for len(s.drain.activeCalls()) > 0 && time.Until(end) > s.Drain/drainDivisor {
+		sleep(ctx, drainPollInterval)
 	}
 	end = s.handOver(ctx, end)
 	ctx, cancel := context.WithDeadline(ctx, end)
@@ -116,7 +119,7 @@
 	return err
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -125,47 +128,48 @@
 	}
 }
 
-// handOver tells the callers of the calls that still run where to collect their
-// answers, and returns when the last of them will have ended.
+// handOver hands repeatable calls over to other entries and tells the callers of calls
+// that are neither repeatable nor streamed where to collect their answers. It returns the
+// time by which the last of the latter will have ended, or the given end if it is later.
 func (s *Server) handOver(ctx context.Context, end time.Time) time.Time {
 	ctx, cancel := context.WithTimeout(ctx, adoptTimeout)
 	defer cancel()
-	var handing sync.WaitGroup
-	for _, a := range s.drain.calls() {
+	var handovers sync.WaitGroup
+	for _, a := range s.drain.activeCalls() {
 		if !a.call.Repeatable && !a.call.Stream {
-			// What may not run twice cannot move. It ends here, and the record
-			// keeps its answer.
-			a.out.collectLater(a.call)
-			if last := a.call.Deadline.Add(endGrace); last.After(end) {
-				end = last
+			// A call that may not run twice cannot be handed over. It ends here, and
+			// the record stores its answer.
+			a.callerSink.answerCollectLater(a.call)
+			if callEnd := a.call.Deadline.Add(completionGrace); callEnd.After(end) {
+				end = callEnd
 			}
 			continue
 		}
 		if a.call.Repeatable && s.Adopter != nil {
-			handing.Go(func() { s.adoptElsewhere(ctx, a) })
+			handovers.Go(func() { s.handOverCall(ctx, a) })
 		}
 	}
-	handing.Wait()
+	handovers.Wait()
 	return end
 }
 
-func (s *Server) adoptElsewhere(ctx context.Context, a *activeCall) {
+func (s *Server) handOverCall(ctx context.Context, a *activeCall) {
 	if err := s.Adopter.Adopt(ctx, a.call); err != nil {
 		s.Log.Warn().Err(err).Str("call", string(a.call.ID)).Msg("call-not-adopted")
 		return
 	}
 	s.Log.Info().Str("call", string(a.call.ID)).Msg("call-handed-over")
-	a.adopted.Store(true)
+	a.handedOver.Store(true)
 	a.cancel()
 }
 
-// location returns where the answer to a call can be collected.
-func location(call *dispatcher.Call) string { return callsPath + url.PathEscape(call.Key) }
+// collectPath returns the path at which the answer to a call can be collected.
+func collectPath(call *dispatcher.Call) string { return callsPath + url.PathEscape(call.Key) }
 
-// writeCollect tells a caller to collect the answer later.
-func writeCollect(writer http.ResponseWriter, where string) {
-	writer.Header().Set("Location", where)
-	writer.Header().Set("Retry-After", strconv.Itoa(int(collectRetry.Seconds())))
+// writeAccepted answers 202 with the location from which to collect the answer later.
+func writeAccepted(writer http.ResponseWriter, location string) {
+	writer.Header().Set("Location", location)
+	writer.Header().Set("Retry-After", strconv.Itoa(int(collectRetryAfter.Seconds())))
 	writer.Header().Set("Content-Length", "0")
 	writer.WriteHeader(http.StatusAccepted)
 }
--- a/src/server/model.go
+++ b/src/server/model.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	// bytesPerToken is the estimate for prompts; engines count exactly.
+	// bytesPerToken is used to estimate the token count of prompts; engines count exactly.
 	bytesPerToken = 4
-	// blockBytes is the size of a prompt block whose hash routes a call.
-	blockBytes       = 256
-	maxBlocks        = 256
-	defaultMaxOutput = 256
-	// mostTokens is beyond what any model generates for one call.
-	mostTokens = 1 << 24
+	// promptBlockBytes is the size of the prompt blocks whose hashes are used for routing.
+	promptBlockBytes = 256
+	maxPromptBlocks  = 256
+	defaultMaxTokens = 256
+	// maxTokensLimit is larger than what any model generates for one call.
+	maxTokensLimit = 1 << 24
 )
 
 // modelRequest is the part of an OpenAI-compatible request that routing needs.
@@ -35,10 +35,10 @@
 	} `json:"messages"`
 }
 
-// content is a message's text, written as one string or as a list of parts.
+// content is a message's text, sent either as one string or as a list of parts.
 type content string
 
-// UnmarshalJSON reads both forms; parts that are no text count for nothing here.
+// UnmarshalJSON reads both forms; parts without text are ignored.
 func (c *content) UnmarshalJSON(raw []byte) error {
 	if len(raw) == 0 || raw[0] != '[' {
 		return json.Unmarshal(raw, (*string)(c))
@@ -63,16 +63,17 @@
 	if request.Model == "" {
 		return nil, errors.New("model is missing")
 	}
-	if request.MaxTokens < 0 || request.MaxTokens > mostTokens {
-		return nil, fmt.Errorf("max_tokens is not between 0 and %d", mostTokens)
+	if request.MaxTokens < 0 || request.MaxTokens > maxTokensLimit {
+		return nil, fmt.Errorf("max_tokens is not between 0 and %d", maxTokensLimit)
 	}
 	if request.MaxTokens == 0 {
-		request.MaxTokens = defaultMaxOutput
+		request.MaxTokens = defaultMaxTokens
 	}
 	return request, nil
 }
 
-// promptText returns the prompt as the engines see it.
+// promptText returns the text of the prompt, messages included, in the order in which
+// engines read it.
 func (r *modelRequest) promptText() string {
 	if len(r.Messages) == 0 {
 		return r.Prompt
@@ -88,16 +89,16 @@
 	return text.String()
 }
 
-// blockHashes returns the chained hash of each whole block of a prompt, so that
-// two prompts share a hash only where they share all that stands before it.
+// blockHashes returns the chained hash of each full block of a prompt, so that two prompts
+// share a block's hash only if they are equal up to the end of that block.
 func blockHashes(prompt string) []uint64 {
-	count := min(len(prompt)/blockBytes, maxBlocks)
+	count := min(len(prompt)/promptBlockBytes, maxPromptBlocks)
 	hashes := make([]uint64, 0, count)
 	var chain [8]byte
 	for i := range count {
 		digest := xxhash.New()
 		_, _ = digest.Write(chain[:])
-		_, _ = digest.WriteString(prompt[i*blockBytes : (i+1)*blockBytes])
+		_, _ = digest.WriteString(prompt[i*promptBlockBytes : (i+1)*promptBlockBytes])
 		hashes = append(hashes, digest.Sum64())
 		binary.LittleEndian.PutUint64(chain[:], digest.Sum64())
 	}
--- a/src/server/model_test.go
+++ b/src/server/model_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestContentInParts(t *testing.T) {
+func TestMessageContentParts(t *testing.T) {
 	parsed, err := parseModelRequest([]byte(`{"model":"m","messages":[` +
 		`{"role":"user","content":[{"type":"text","text":"a"},{"type":"image_url"},{"type":"text","text":"b"}]}]}`))
 	if err != nil {
@@ -16,13 +16,13 @@
 	}
 }
 
-// FuzzModelRequest wants no body to end the process or to yield a request beyond its limits.
+// FuzzModelRequest checks that no body causes a panic or yields a request outside the limits.
 func FuzzModelRequest(f *testing.F) {
 	for _, seed := range []string{
-		okBody, "", "{", "null", "[]", `{"model":1}`, `{"model":"m","messages":[{"content":[1]}]}`,
+		validBody, "", "{", "null", "[]", `{"model":1}`, `{"model":"m","messages":[{"content":[1]}]}`,
 		`{"model":"m","messages":[null],"max_tokens":16777216}`, `{"model":"m","prompt":["a"]}`,
 		`{"model":"m","messages":[{"content":null}]}`, strings.Repeat("[", 20000),
-		`{"model":"m","prompt":"` + strings.Repeat("p", 3*blockBytes) + `"}`,
+		`{"model":"m","prompt":"` + strings.Repeat("p", 3*promptBlockBytes) + `"}`,
 	} {
 		f.Add([]byte(seed))
 	}
@@ -31,11 +31,11 @@
 		if err != nil {
 			return
 		}
-		if parsed.MaxTokens <= 0 || parsed.MaxTokens > mostTokens || parsed.Model == "" {
-			t.Errorf("request: got %+v, want it within limits", parsed)
+		if parsed.MaxTokens <= 0 || parsed.MaxTokens > maxTokensLimit || parsed.Model == "" {
+			t.Errorf("request: got %+v, want a model and max_tokens within the limits", parsed)
 		}
 		prompt := parsed.promptText()
-		if got, want := len(blockHashes(prompt)), min(len(prompt)/blockBytes, maxBlocks); got != want {
+		if got, want := len(blockHashes(prompt)), min(len(prompt)/promptBlockBytes, maxPromptBlocks); got != want {
 			t.Errorf("blocks: got %d, want %d", got, want)
 		}
 	})
--- a/src/server/problem.go
+++ b/src/server/problem.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	problemType   = "application/problem+json"
-	problemPrefix = "urn:rosecroft:problem:"
+	problemContentType = "application/problem+json"
+	problemTypePrefix  = "urn:rosecroft:problem:"
 )
 
-// problem is an RFC 9457 problem body with this system's extensions.
+// problem is an RFC 9457 problem body with the extensions executed and retry-after.
 type problem struct {
 	Type     string              `json:"type"`
 	Title    string              `json:"title"`
@@ -24,46 +24,46 @@
 	Detail   string              `json:"detail"`
 	Instance string              `json:"instance,omitempty"`
 	Executed dispatcher.Executed `json:"executed"`
-	// RetryAfter is in seconds; it stands in the body too since a stream that
-	// has begun can send no header.
+	// RetryAfter is in seconds. It is in the body as well as in the header, since a
+	// stream that has begun can no longer send a header.
 	RetryAfter int `json:"retry-after,omitempty"`
 }
 
 // writeProblem writes a refusal as the final answer to a call.
 func writeProblem(writer http.ResponseWriter, id units.CallID, refusal *dispatcher.Refusal) {
-	// A key that the system made stands for a call that has a record. One that
-	// did not run may have none, and a resend under the key would be taken for
-	// a call whose record is lost.
+	// A generated key in a response implies that the call has a record. A call that
+	// did not run may have none, and a resend with the key would be treated as a call
+	// whose record is lost.
 	key := writer.Header().Get(headerKey)
 	if refusal.Executed == dispatcher.ExecutedNo && strings.HasPrefix(key, dispatcher.GeneratedKeyPrefix) {
 		writer.Header().Del(headerKey)
 	}
 	if refusal.RetryAfter > 0 {
-		writer.Header().Set("Retry-After", strconv.Itoa(retrySeconds(refusal)))
+		writer.Header().Set("Retry-After", strconv.Itoa(retryAfterSeconds(refusal)))
 	}
-	writer.Header().Set("Content-Type", problemType)
+	writer.Header().Set("Content-Type", problemContentType)
 	writer.WriteHeader(refusal.Status)
-	_ = json.NewEncoder(writer).Encode(problemOf(id, refusal))
+	_ = json.NewEncoder(writer).Encode(newProblem(id, refusal))
 }
 
-func problemOf(id units.CallID, refusal *dispatcher.Refusal) *problem {
+func newProblem(id units.CallID, refusal *dispatcher.Refusal) *problem {
 	return &problem{
-		Type:     problemPrefix + string(refusal.Kind),
+		Type:     problemTypePrefix + string(refusal.Kind),
 		Title:    string(refusal.Kind),
 		Status:   refusal.Status,
 		Detail:   refusal.Detail,
 		Instance: string(id),
 		Executed: refusal.Executed,
 
-		RetryAfter: retrySeconds(refusal),
+		RetryAfter: retryAfterSeconds(refusal),
 	}
 }
 
-func retrySeconds(refusal *dispatcher.Refusal) int {
+func retryAfterSeconds(refusal *dispatcher.Refusal) int {
 	return int(math.Ceil(refusal.RetryAfter.Seconds()))
 }
 
-func refusalOf(status int, kind dispatcher.ProblemKind, detail string) *dispatcher.Refusal {
+func newRefusal(status int, kind dispatcher.ProblemKind, detail string) *dispatcher.Refusal {
 	return &dispatcher.Refusal{
 		Status:   status,
 		Kind:     kind,
@@ -73,23 +73,23 @@
 }
 
 func badRequest(detail string) *dispatcher.Refusal {
-	return refusalOf(http.StatusBadRequest, dispatcher.ProblemBadRequest, detail)
+	return newRefusal(http.StatusBadRequest, dispatcher.ProblemBadRequest, detail)
 }
 
 func notFound(detail string) *dispatcher.Refusal {
-	return refusalOf(http.StatusNotFound, dispatcher.ProblemNotFound, detail)
+	return newRefusal(http.StatusNotFound, dispatcher.ProblemNotFound, detail)
 }
 
-// routeRefusal tells why the router found no handler.
+// routeRefusal returns the refusal for a request for which the router found no handler.
 func routeRefusal(status int, request *http.Request) *dispatcher.Refusal {
-	asked := request.Method + " " + request.URL.Path
+	target := request.Method + " " + request.URL.Path
 	switch status {
 	case http.StatusMethodNotAllowed:
-		return refusalOf(status, dispatcher.ProblemMethod, "the route does not take "+asked)
+		return newRefusal(status, dispatcher.ProblemMethod, "the route does not take "+target)
 	case http.StatusUnsupportedMediaType, http.StatusNotAcceptable:
-		return refusalOf(status, dispatcher.ProblemMediaType, "send and accept JSON at "+asked)
+		return newRefusal(status, dispatcher.ProblemMediaType, "send and accept JSON at "+target)
 	case http.StatusNotFound:
-		return notFound("no route answers " + asked)
+		return notFound("no route answers " + target)
 	}
-	return refusalOf(status, dispatcher.ProblemBadRequest, "the request cannot be routed: "+asked)
+	return newRefusal(status, dispatcher.ProblemBadRequest, "the request cannot be routed: "+target)
 }
--- a/src/server/server.go
+++ b/src/server/server.go
@@ -22,13 +22,15 @@
 )
 
 const (
-	maxHeader     = 32 << 10
-	headerTimeout = 5 * time.Second
-	idleTimeout   = 2 * time.Minute
+	maxHeaderBytes = 32 << 10
+	headerTimeout  = 5 * time.Second
+	idleTimeout    = 2 * time.Minute
 )
 
-// Dispatcher runs a call to its end.
+// Dispatcher runs calls.
 type Dispatcher interface {
+	// Do runs a call to its end and writes the answer to sink. A *dispatcher.Refusal as
+	// its error is the call's final answer; any other error means that the caller is gone.
 	Do(ctx context.Context, call *dispatcher.Call, sink dispatcher.Sink) error
 }
 
@@ -40,50 +42,50 @@
 	Scope      tally.Scope
 	Snapshot   *atomic.Pointer[indexer.Snapshot]
 	Dispatcher Dispatcher
-	// Ready says whether the entry may take new calls.
+	// Ready reports whether the entry may accept new calls.
 	Ready func() bool
-	// Drain is how long a planned stop waits for calls to finish.
+	// Drain is how long a planned shutdown waits for calls to finish.
 	Drain time.Duration
-	// UnreadyFor is how long a planned stop goes on taking calls while it is not
-	// ready, so that the balancer learns of it; a quarter of Drain at most.
+	// UnreadyFor is how long a planned shutdown still accepts calls while the entry
+	// reports itself unready, so that the load balancer can notice; a quarter of Drain at
+	// most.
 	UnreadyFor time.Duration
-	// BodyTimeout and WriteTimeout replace the defaults where they are set: the
-	// time for a whole request body, and for each write to a caller.
+	// BodyTimeout bounds the reading of a whole request body, WriteTimeout each write to
+	// a caller; 0 stands for the default.
 	BodyTimeout  time.Duration
 	WriteTimeout time.Duration
 
-	// Adopter finds another entry for a call that does not end within the
-	// drain; it may be nil.
+	// Adopter hands over calls that do not end within the drain; it may be nil.
 	Adopter Adopter
-	// Records tells what became of earlier calls.
+	// Records looks up the outcome of earlier calls.
 	Records Looker
 	// Explainer may be nil.
 	Explainer *explainer.Book
 
-	meters meters
-	drain  drain
+	metrics metrics
+	drain   drain
 }
 
-// Run serves until ctx ends and the calls under way have finished.
+// Run serves until ctx ends and the calls in progress have finished.
 func (s *Server) Run(ctx context.Context) error {
 	server := &http.Server{
 		Handler:           s.handler(),
 		ReadHeaderTimeout: headerTimeout,
 		IdleTimeout:       idleTimeout,
-		MaxHeaderBytes:    maxHeader,
+		MaxHeaderBytes:    maxHeaderBytes,
 	}
 	listener := s.Listener
 	if s.TLS != nil {
 		listener = tls.NewListener(listener, s.TLS)
 	}
-	served := make(chan error, 1)
-	go func() { served <- server.Serve(listener) }()
+	serveErrors := make(chan error, 1)
+	go func() { serveErrors <- server.Serve(listener) }()
 	select {
-	case err := <-served:
+	case err := <-serveErrors:
 		return err
 	case <-ctx.Done():
 	}
-	return s.stop(context.WithoutCancel(ctx), server)
+	return s.shutDown(context.WithoutCancel(ctx), server)
 }
 
 func (s *Server) handler() http.Handler {
@@ -94,27 +96,27 @@
 	})
 	models := new(restful.WebService)
 	models.Path("/v1")
-	models.Route(models.GET("/models").To(s.listModels))
-	models.Route(models.GET("/calls/{id}").To(s.collect))
-	models.Route(models.POST("/chat/completions").To(s.model))
-	models.Route(models.POST("/completions").To(s.model))
+	models.Route(models.GET("/models").To(s.handleListModels))
+	models.Route(models.GET("/calls/{id}").To(s.handleCollect))
+	models.Route(models.POST("/chat/completions").To(s.handleModelCall))
+	models.Route(models.POST("/completions").To(s.handleModelCall))
 	container.Add(models)
-	plain := new(restful.WebService)
-	plain.Path("/")
-	plain.Route(plain.GET("/healthz").To(s.health))
-	plain.Route(plain.GET("/readyz").To(s.readiness))
+	root := new(restful.WebService)
+	root.Path("/")
+	root.Route(root.GET("/healthz").To(s.handleHealth))
+	root.Route(root.GET("/readyz").To(s.handleReadiness))
 	for _, method := range []string{"GET", "HEAD", "POST", "PUT", "PATCH", "DELETE"} {
-		plain.Route(plain.Method(method).Path("/{path:*}").To(s.plain))
+		root.Route(root.Method(method).Path("/{path:*}").To(s.handlePlainCall))
 	}
-	container.Add(plain)
+	container.Add(root)
 	return container
 }
 
-func (s *Server) health(_ *restful.Request, response *restful.Response) {
+func (s *Server) handleHealth(_ *restful.Request, response *restful.Response) {
 	response.WriteHeader(http.StatusOK)
 }
 
-func (s *Server) readiness(_ *restful.Request, response *restful.Response) {
+func (s *Server) handleReadiness(_ *restful.Request, response *restful.Response) {
 	if !s.Ready() {
 		response.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -122,7 +124,7 @@
 	response.WriteHeader(http.StatusOK)
 }
 
-func (s *Server) listModels(request *restful.Request, response *restful.Response) {
+func (s *Server) handleListModels(request *restful.Request, response *restful.Response) {
 	id := newCallID(response)
 	snapshot, brand, _, refusal := s.identify(request.Request)
 	if refusal != nil {
@@ -151,13 +153,13 @@
 	_ = json.NewEncoder(response).Encode(list)
 }
 
-func (s *Server) model(request *restful.Request, response *restful.Response) {
+func (s *Server) handleModelCall(request *restful.Request, response *restful.Response) {
 	id := newCallID(response)
-	if refusal := checkJSON(request.Request); refusal != nil {
+	if refusal := checkContentType(request.Request); refusal != nil {
 		s.refuse(response, id, refusal)
 		return
 	}
-	snapshot, call, refusal := s.accept(id, request.Request, response.ResponseWriter)
+	snapshot, call, refusal := s.acceptCall(id, request.Request, response.ResponseWriter)
 	if refusal != nil {
 		s.refuse(response, id, refusal)
 		return
@@ -172,13 +174,13 @@
 		s.refuse(response, call.ID, notFound("model "+string(parsed.Model)+" is not served to this brand"))
 		return
 	}
-	fillModel(call, parsed)
+	setModelFields(call, parsed)
 	s.dispatch(request.Request, response.ResponseWriter, service, call)
 }
 
-func (s *Server) plain(request *restful.Request, response *restful.Response) {
+func (s *Server) handlePlainCall(request *restful.Request, response *restful.Response) {
 	id := newCallID(response)
-	snapshot, call, refusal := s.accept(id, request.Request, response.ResponseWriter)
+	snapshot, call, refusal := s.acceptCall(id, request.Request, response.ResponseWriter)
 	if refusal != nil {
 		s.refuse(response, id, refusal)
 		return
@@ -196,55 +198,55 @@
 }
 
 func (s *Server) dispatch(request *http.Request, writer http.ResponseWriter, service *indexer.Service, call *dispatcher.Call) {
-	began := time.Now()
-	fillService(call, service, began)
-	s.open(call)
-	out := s.newSink(writer, call, began)
+	startedAt := time.Now()
+	setServiceFields(call, service, startedAt)
+	s.openTrail(call)
+	callerSink := s.newSink(writer, call, startedAt)
 	ctx, cancel := context.WithCancel(request.Context())
 	defer cancel()
 	active := &activeCall{
-		call:   call,
-		cancel: cancel,
-		out:    out,
+		call:       call,
+		cancel:     cancel,
+		callerSink: callerSink,
 	}
-	s.drain.enter(active)
-	defer s.drain.leave(active)
-	err := s.Dispatcher.Do(ctx, call, out)
+	s.drain.add(active)
+	defer s.drain.remove(active)
+	err := s.Dispatcher.Do(ctx, call, callerSink)
 	var refusal *dispatcher.Refusal
 	outcome := "answered"
 	switch {
-	case err != nil && active.adopted.Load():
+	case err != nil && active.handedOver.Load():
 		outcome = "handed-over"
-		out.moved(call)
+		callerSink.answerMoved(call)
 	case errors.As(err, &refusal):
 		outcome = string(refusal.Kind)
-		out.refuse(call.ID, refusal)
+		callerSink.refuse(call.ID, refusal)
 	case err != nil:
 		outcome = "caller-gone"
 	}
-	s.count(call, outcome)
-	s.conclude(call, outcome, err)
+	s.countCall(call, outcome)
+	s.recordOutcome(call, outcome, err)
 	s.Log.Info().
 		Str("call", string(call.ID)).
 		Str("account", string(call.Account.Name)).
 		Str("service", string(call.Service)).
 		Str("outcome", outcome).
-		Dur("took-ms", time.Since(began)).
+		Dur("took-ms", time.Since(startedAt)).
 		Msg("call-ended")
 }
 
-// fillService sets what the call's service decides.
-func fillService(call *dispatcher.Call, service *indexer.Service, began time.Time) {
+// setServiceFields sets the fields of a call that depend on its service.
+func setServiceFields(call *dispatcher.Call, service *indexer.Service, startedAt time.Time) {
 	call.Service = service.Name
 	call.Kind = service.Kind
 	call.Policy = service.Policy
-	call.Deadline = began.Add(service.Deadline)
+	call.Deadline = startedAt.Add(service.Deadline)
 	call.InterTokenLatency = service.Target.BetweenTokens
 	call.Repeatable = service.Repeatable(call.Method, call.Path)
 }
 
-// fillModel sets what the call's model request decides.
-func fillModel(call *dispatcher.Call, parsed *modelRequest) {
+// setModelFields sets the fields of a call that come from its model request.
+func setModelFields(call *dispatcher.Call, parsed *modelRequest) {
 	prompt := parsed.promptText()
 	call.Model = parsed.Model
 	call.Stream = parsed.Stream
@@ -253,7 +255,7 @@
 	call.BlockHashes = blockHashes(prompt)
 }
 
-func (s *Server) count(call *dispatcher.Call, outcome string) {
+func (s *Server) countCall(call *dispatcher.Call, outcome string) {
 	s.Scope.Tagged(map[string]string{
 		"service": string(call.Service),
 		"outcome": outcome,
--- a/src/server/server_test.go
+++ b/src/server/server_test.go
@@ -25,17 +25,17 @@
 )
 
 const (
-	okKey    = "Bearer k1.secret"
-	otherKey = "Bearer k2.secret"
-	modelURL = "/v1/chat/completions"
-	okBody   = `{"model":"m","messages":[{"role":"user","content":"hello"}]}`
+	validKey      = "Bearer k1.secret"
+	otherBrandKey = "Bearer k2.secret"
+	modelURL      = "/v1/chat/completions"
+	validBody     = `{"model":"m","messages":[{"role":"user","content":"hello"}]}`
 )
 
-// answering is a dispatcher that runs a function for each call.
-type answering func(ctx context.Context, call *dispatcher.Call, sink dispatcher.Sink) error
+// dispatcherFunc is a Dispatcher that calls the function for each call.
+type dispatcherFunc func(ctx context.Context, call *dispatcher.Call, sink dispatcher.Sink) error
 
-func (a answering) Do(ctx context.Context, call *dispatcher.Call, sink dispatcher.Sink) error {
-	return a(ctx, call, sink)
+func (f dispatcherFunc) Do(ctx context.Context, call *dispatcher.Call, sink dispatcher.Sink) error {
+	return f(ctx, call, sink)
 }
 
 func answerOK(_ context.Context, _ *dispatcher.Call, sink dispatcher.Sink) error {
@@ -62,7 +62,7 @@
 	return configuration
 }
 
-// serve runs a server until the test ends and returns its address.
+// serve runs a server until the end of the test and returns its address.
 func serve(t *testing.T, server *Server) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -83,50 +83,51 @@
 	go func() { ended <- server.Run(ctx) }()
 	t.Cleanup(func() {
 		cancel()
-		// A connection left open by a test may outlast the drain.
+		// A connection that a test leaves open may outlast the drain.
 		if err := <-ended; err != nil && !errors.Is(err, context.DeadlineExceeded) {
-			t.Errorf("the server's end: got %v, want none", err)
+			t.Errorf("Run: got error %v, want none", err)
 		}
 	})
 	return listener.Addr().String()
 }
 
-// Whatever is wrong with a request, its caller learns what and whether to ask
-// again, in a problem body that says truthfully that nothing ran; the id in it
-// is the one in the header and in the log.
-func TestBadRequestsGetProblems(t *testing.T) {
+// Guards against refusals that a caller cannot act on: each invalid request must be
+// answered with a problem body that states the kind of the problem, whether to retry, and
+// whether the call was executed. The call id in the body must be the one in the header and
+// in the log.
+func TestInvalidRequestsGetProblems(t *testing.T) {
 	cases := map[string]struct {
 		method, path, host, key, contentType, body, idempotency string
 		unready                                                 bool
 		want                                                    int
 		kind                                                    dispatcher.ProblemKind
-		again                                                   bool
+		retry                                                   bool
 		executed                                                dispatcher.Executed
 	}{
-		"bad JSON":          {body: "{", want: 400, kind: dispatcher.ProblemBadRequest},
-		"no body":           {body: "", want: 400, kind: dispatcher.ProblemBadRequest},
-		"two documents":     {body: okBody + okBody, want: 400, kind: dispatcher.ProblemBadRequest},
-		"no model":          {body: "{}", want: 400, kind: dispatcher.ProblemBadRequest},
-		"tokens below 0":    {body: `{"model":"m","max_tokens":-1}`, want: 400, kind: dispatcher.ProblemBadRequest},
-		"tokens beyond all": {body: `{"model":"m","max_tokens":99999999999}`, want: 400, kind: dispatcher.ProblemBadRequest},
-		"tokens not whole":  {body: `{"model":"m","max_tokens":1e99}`, want: 400, kind: dispatcher.ProblemBadRequest},
-		"long key":          {body: okBody, idempotency: strings.Repeat("x", maxKey+1), want: 400, kind: dispatcher.ProblemBadRequest},
-		"no API key":        {body: okBody, key: "none", want: 401, kind: dispatcher.ProblemBadKey},
-		"wrong secret":      {body: okBody, key: "Bearer k1.wrong", want: 401, kind: dispatcher.ProblemBadKey},
-		"unknown key":       {body: okBody, key: "Bearer k9.secret", want: 401, kind: dispatcher.ProblemBadKey},
-		"another brand":     {body: okBody, key: otherKey, want: 403, kind: dispatcher.ProblemForbidden},
-		"unknown model":     {body: `{"model":"x"}`, want: 404, kind: dispatcher.ProblemNotFound},
-		"unknown route":     {path: "/q", body: okBody, want: 404, kind: dispatcher.ProblemNotFound},
+		"bad JSON":              {body: "{", want: 400, kind: dispatcher.ProblemBadRequest},
+		"no body":               {body: "", want: 400, kind: dispatcher.ProblemBadRequest},
+		"two documents":         {body: validBody + validBody, want: 400, kind: dispatcher.ProblemBadRequest},
+		"no model":              {body: "{}", want: 400, kind: dispatcher.ProblemBadRequest},
+		"negative tokens":       {body: `{"model":"m","max_tokens":-1}`, want: 400, kind: dispatcher.ProblemBadRequest},
+		"tokens above limit":    {body: `{"model":"m","max_tokens":99999999999}`, want: 400, kind: dispatcher.ProblemBadRequest},
+		"tokens not an integer": {body: `{"model":"m","max_tokens":1e99}`, want: 400, kind: dispatcher.ProblemBadRequest},
+		"long key":              {body: validBody, idempotency: strings.Repeat("x", maxKeyLength+1), want: 400, kind: dispatcher.ProblemBadRequest},
+		"no API key":            {body: validBody, key: "none", want: 401, kind: dispatcher.ProblemBadKey},
+		"wrong secret":          {body: validBody, key: "Bearer k1.wrong", want: 401, kind: dispatcher.ProblemBadKey},
+		"unknown key":           {body: validBody, key: "Bearer k9.secret", want: 401, kind: dispatcher.ProblemBadKey},
+		"another brand":         {body: validBody, key: otherBrandKey, want: 403, kind: dispatcher.ProblemForbidden},
+		"unknown model":         {body: `{"model":"x"}`, want: 404, kind: dispatcher.ProblemNotFound},
+		"unknown route":         {path: "/q", body: validBody, want: 404, kind: dispatcher.ProblemNotFound},
 		"unknown model route": {
-			path: "/v1/nothing", body: okBody, want: 404, kind: dispatcher.ProblemNotFound,
+			path: "/v1/nothing", body: validBody, want: 404, kind: dispatcher.ProblemNotFound,
 		},
-		"wrong method":  {method: http.MethodDelete, body: okBody, want: 405, kind: dispatcher.ProblemMethod},
-		"too large":     {body: strings.Repeat(" ", maxBody+1), want: 413, kind: dispatcher.ProblemTooLarge},
-		"not JSON":      {contentType: "text/plain", body: okBody, want: 415, kind: dispatcher.ProblemMediaType},
-		"unknown brand": {host: "x.example", body: okBody, want: 421, kind: dispatcher.ProblemUnknownHost},
-		"unready":       {unready: true, body: okBody, want: 503, kind: dispatcher.ProblemUnready, again: true},
+		"wrong method":  {method: http.MethodDelete, body: validBody, want: 405, kind: dispatcher.ProblemMethod},
+		"too large":     {body: strings.Repeat(" ", maxBodyBytes+1), want: 413, kind: dispatcher.ProblemTooLarge},
+		"not JSON":      {contentType: "text/plain", body: validBody, want: 415, kind: dispatcher.ProblemMediaType},
+		"unknown brand": {host: "x.example", body: validBody, want: 421, kind: dispatcher.ProblemUnknownHost},
+		"unready":       {unready: true, body: validBody, want: 503, kind: dispatcher.ProblemUnready, retry: true},
 		"unready, may be a resend": {
-			unready: true, idempotency: "k", body: okBody, want: 503, kind: dispatcher.ProblemUnready, again: true,
+			unready: true, idempotency: "k", body: validBody, want: 503, kind: dispatcher.ProblemUnready, retry: true,
 			executed: dispatcher.ExecutedUnknown,
 		},
 	}
@@ -134,20 +135,20 @@
 		t.Run(name, func(t *testing.T) {
 			ran := atomic.Bool{}
 			address := serve(t, &Server{
-				Dispatcher: answering(func(ctx context.Context, call *dispatcher.Call, sink dispatcher.Sink) error {
+				Dispatcher: dispatcherFunc(func(ctx context.Context, call *dispatcher.Call, sink dispatcher.Sink) error {
 					ran.Store(true)
 					return answerOK(ctx, call, sink)
 				}),
 				Ready: func() bool { return !c.unready },
 			})
-			request, err := http.NewRequestWithContext(t.Context(), or(c.method, http.MethodPost),
-				"http://"+address+or(c.path, modelURL), strings.NewReader(c.body))
+			request, err := http.NewRequestWithContext(t.Context(), orDefault(c.method, http.MethodPost),
+				"http://"+address+orDefault(c.path, modelURL), strings.NewReader(c.body))
 			if err != nil {
 				t.Fatal(err)
 			}
-			request.Host = or(c.host, "b.example")
-			request.Header.Set("Authorization", or(c.key, okKey))
-			request.Header.Set("Content-Type", or(c.contentType, jsonType))
+			request.Host = orDefault(c.host, "b.example")
+			request.Header.Set("Authorization", orDefault(c.key, validKey))
+			request.Header.Set("Content-Type", orDefault(c.contentType, jsonContentType))
 			request.Header.Set(headerKey, c.idempotency)
 			response, err := http.DefaultClient.Do(request)
 			if err != nil {
@@ -163,30 +164,30 @@
 			}
 			wantExecuted := cmp.Or(c.executed, dispatcher.ExecutedNo)
 			if got.Executed != wantExecuted || ran.Load() {
-				t.Errorf("executed: got %q and ran %t, want %q and not run", got.Executed, ran.Load(), wantExecuted)
+				t.Errorf("executed: got %q and dispatched %t, want %q and not dispatched", got.Executed, ran.Load(), wantExecuted)
 			}
 			if id := response.Header.Get(headerCallID); id == "" || id != got.Instance {
 				t.Errorf("call id: got %q in the header and %q in the body, want the same", id, got.Instance)
 			}
-			if again := response.Header.Get("Retry-After") != ""; again != c.again || (got.RetryAfter > 0) != c.again {
-				t.Errorf("Retry-After: got %t, want %t", again, c.again)
+			if retry := response.Header.Get("Retry-After") != ""; retry != c.retry || (got.RetryAfter > 0) != c.retry {
+				t.Errorf("Retry-After: got %t, want %t", retry, c.retry)
 			}
 		})
 	}
 }
 
-func or(value, fallback string) string {
+func orDefault(value, fallback string) string {
 	if value == "" {
 		return fallback
 	}
 	return value
 }
 
-// A caller sends its headers and half a body, then nothing. It must get an
-// answer that says to ask again, and hold no memory for good.
+// A caller sends its headers and part of a body, then nothing. It must be answered with a
+// retryable refusal; otherwise it would hold memory forever.
 func TestSlowBodyIsRefused(t *testing.T) {
 	address := serve(t, &Server{
-		Dispatcher:  answering(answerOK),
+		Dispatcher:  dispatcherFunc(answerOK),
 		BodyTimeout: 50 * time.Millisecond,
 	})
 	conn, err := net.Dial("tcp", address)
@@ -194,7 +195,7 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = conn.Close() }()
-	head := "POST " + modelURL + " HTTP/1.1\r\nHost: b.example\r\nAuthorization: " + okKey +
+	head := "POST " + modelURL + " HTTP/1.1\r\nHost: b.example\r\nAuthorization: " + validKey +
 		"\r\nContent-Type: application/json\r\nContent-Length: 100\r\n\r\n{"
 	if _, err := io.WriteString(conn, head); err != nil {
 		t.Fatal(err)
@@ -210,14 +211,14 @@
 	}
 }
 
-// A stream lasts longer than a request's body may take. The time limit for the
-// body must not end it: the caller would get half an answer.
-func TestLongStreamOutlivesTheBodysTime(t *testing.T) {
+// A stream lasts longer than the timeout for a request's body. That timeout must not end
+// the stream, which would leave the caller with part of an answer.
+func TestStreamOutlastsBodyTimeout(t *testing.T) {
 	const limit = 50 * time.Millisecond
 	address := serve(t, &Server{
 		BodyTimeout:  limit,
 		WriteTimeout: limit,
-		Dispatcher: answering(func(ctx context.Context, _ *dispatcher.Call, sink dispatcher.Sink) error {
+		Dispatcher: dispatcherFunc(func(ctx context.Context, _ *dispatcher.Call, sink dispatcher.Sink) error {
 			if err := sink.Begin(http.Header{}); err != nil {
 				return err
 			}
@@ -231,18 +232,18 @@
 	})
 	status, body := post(t, address)
 	if want := "data: [DONE]\n\n"; status != http.StatusOK || !strings.HasSuffix(body, want) {
-		t.Errorf("stream: got %d %q, want the end %q", status, body, want)
+		t.Errorf("stream: got %d %q, want the suffix %q", status, body, want)
 	}
 }
 
 func post(t *testing.T, address string) (int, string) {
 	t.Helper()
-	request, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+address+modelURL, strings.NewReader(okBody))
+	request, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+address+modelURL, strings.NewReader(validBody))
 	if err != nil {
 		t.Fatal(err)
 	}
 	request.Host = "b.example"
-	request.Header.Set("Authorization", okKey)
+	request.Header.Set("Authorization", validKey)
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
 		t.Fatal(err)
@@ -255,13 +256,13 @@
 	return response.StatusCode, string(content)
 }
 
-// A caller asks for a stream and reads none of it. Once the buffers between are
-// full, its writes stall; the call must end so that its engine's slot is freed.
-func TestCallerWhoReadsNothingIsDropped(t *testing.T) {
+// A caller requests a stream and reads none of it. Once the socket buffers are full,
+// writes to it block; the call must end so that its slot at the engine is freed.
+func TestCallEndsWhenCallerStopsReading(t *testing.T) {
 	ended := make(chan error, 1)
 	address := serve(t, &Server{
 		WriteTimeout: 50 * time.Millisecond,
-		Dispatcher: answering(func(_ context.Context, _ *dispatcher.Call, sink dispatcher.Sink) error {
+		Dispatcher: dispatcherFunc(func(_ context.Context, _ *dispatcher.Call, sink dispatcher.Sink) error {
 			err := sink.Begin(http.Header{})
 			event := bytes.Repeat([]byte("x"), 1<<20)
 			for err == nil {
@@ -276,17 +277,17 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = conn.Close() }()
-	request := "POST " + modelURL + " HTTP/1.1\r\nHost: b.example\r\nAuthorization: " + okKey +
-		"\r\nContent-Length: " + fmt.Sprint(len(okBody)) + "\r\n\r\n" + okBody
+	request := "POST " + modelURL + " HTTP/1.1\r\nHost: b.example\r\nAuthorization: " + validKey +
+		"\r\nContent-Length: " + fmt.Sprint(len(validBody)) + "\r\n\r\n" + validBody
 	if _, err := io.WriteString(conn, request); err != nil {
 		t.Fatal(err)
 	}
 	select {
 	case err := <-ended:
 		if err == nil {
-			t.Error("the call's error: got none, want one")
+			t.Error("call: got no error, want a write error")
 		}
 	case <-time.After(30 * time.Second):
-		t.Error("the call: got still running, want ended")
+		t.Error("call: still running after 30 s, want it ended")
 	}
 }
--- a/src/server/sink.go
+++ b/src/server/sink.go
@@ -14,53 +14,55 @@
 )
 
 const (
-	streamType = "text/event-stream"
-	// writeTimeout bounds one write; a stream may last as long as its caller reads.
-	writeTimeout = 10 * time.Second
-	// writeSize is how much of a whole answer one write holds, so that a slow
-	// caller of a long one is told from one that reads nothing.
-	writeSize = 64 << 10
-	// holdSize is the most bytes that wait for a later event.
-	holdSize = 8 << 10
+	streamContentType = "text/event-stream"
+	// defaultWriteTimeout bounds one write; a stream may last as long as its caller keeps
+	// reading.
+	defaultWriteTimeout = 10 * time.Second
+	// writeChunkBytes is how much of an unstreamed answer goes into one write, so that a
+	// caller that reads a long answer slowly can be told from one that reads nothing.
+	writeChunkBytes = 64 << 10
+	// maxHeldBytes is the buffer size from which held events are written anyway.
+	maxHeldBytes = 8 << 10
 )
 
 // sink writes one call's answer to its caller.
 type sink struct {
-	writer  http.ResponseWriter
-	flusher *http.ResponseController
-	begun   bool
-	// timeout bounds each write; without it a caller that stops reading would
-	// hold its call, its memory and its upstream's slot for good.
+	writer     http.ResponseWriter
+	controller *http.ResponseController
+	streaming  bool
+	// timeout bounds each write; without it, a caller that stops reading would keep its
+	// call, the memory and the upstream's slot occupied forever.
 	timeout time.Duration
-	meters  *serviceMeters
-	// last is when the call began or its last event was written.
-	last   time.Time
-	events int
-	// held says that the buffer waits for a later event.
-	held   bool
-	buffer []byte
-
-	// mu guards what decides between an answer and a word where to collect it.
+	metrics *serviceMetrics
+	// lastWriteAt is when the call started or the last event was recorded.
+	lastWriteAt time.Time
+	eventCount  int
+	// holding is set while events are buffered for a later write.
+	holding bool
+	buffer  []byte
+
+	// mu guards ended, which decides between sending the answer and sending the location
+	// from which to collect it.
 	mu sync.Mutex
-	// ended says that the caller has its final answer.
+	// ended is set once the caller has been sent its final answer.
 	ended bool
 }
 
-func (s *Server) newSink(writer http.ResponseWriter, call *dispatcher.Call, began time.Time) *sink {
-	out := &sink{
-		writer:  writer,
-		flusher: http.NewResponseController(writer),
-		timeout: writeTimeout,
-		meters:  s.meters.of(s.Scope, call.Service),
-		last:    began,
+func (s *Server) newSink(writer http.ResponseWriter, call *dispatcher.Call, startedAt time.Time) *sink {
+	callerSink := &sink{
+		writer:      writer,
+		controller:  http.NewResponseController(writer),
+		timeout:     defaultWriteTimeout,
+		metrics:     s.metrics.forService(s.Scope, call.Service),
+		lastWriteAt: startedAt,
 	}
 	if s.WriteTimeout > 0 {
-		out.timeout = s.WriteTimeout
+		callerSink.timeout = s.WriteTimeout
 	}
-	return out
+	return callerSink
 }
 
-// Answer writes a whole answer.
+// Answer writes an unstreamed answer.
 func (s *sink) Answer(answer *dispatcher.Answer) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -71,64 +73,65 @@
 	maps.Copy(s.writer.Header(), answer.Header)
 	s.writer.Header().Set("Content-Length", strconv.Itoa(len(answer.Body)))
 	s.writer.WriteHeader(answer.Status)
-	for part := range slices.Chunk(answer.Body, writeSize) {
-		s.extend()
-		if _, err := s.writer.Write(part); err != nil {
+	for chunk := range slices.Chunk(answer.Body, writeChunkBytes) {
+		s.extendWriteDeadline()
+		if _, err := s.writer.Write(chunk); err != nil {
 			return err
 		}
 	}
-	s.meters.whole.RecordDuration(time.Since(s.last))
-	return s.flusher.Flush()
+	s.metrics.wholeAnswer.RecordDuration(time.Since(s.lastWriteAt))
+	return s.controller.Flush()
 }
 
-// extend gives the next write its time.
-func (s *sink) extend() {
-	_ = s.flusher.SetWriteDeadline(time.Now().Add(s.timeout))
+// extendWriteDeadline restarts the timeout for the next write.
+func (s *sink) extendWriteDeadline() {
+	_ = s.controller.SetWriteDeadline(time.Now().Add(s.timeout))
 }
 
 // Begin starts a stream.
 func (s *sink) Begin(http.Header) error {
-	s.begun = true
-	s.writer.Header().Set("Content-Type", streamType)
+	s.streaming = true
+	s.writer.Header().Set("Content-Type", streamContentType)
 	s.writer.Header().Set("Cache-Control", "no-store")
 	s.writer.WriteHeader(http.StatusOK)
-	// The header goes out with the first event, in one write.
+	// The header is sent with the first event, in one write.
 	return nil
 }
 
-// Event writes one event, whose id is the count of tokens up to it.
+// Event writes one event, whose id is the number of tokens up to and including it.
 func (s *sink) Event(offset units.Tokens, data []byte) error {
 	s.buffer = append(s.buffer, "id: "...)
 	s.buffer = strconv.AppendInt(s.buffer, int64(offset), 10)
 	s.buffer = append(s.buffer, "\ndata: "...)
 	s.buffer = append(s.buffer, data...)
-	s.record()
+	s.recordLatency()
 	return s.flush()
 }
 
-func (s *sink) record() {
+func (s *sink) recordLatency() {
 	now := time.Now()
-	if s.events == 0 {
-		s.meters.firstToken.RecordDuration(now.Sub(s.last))
+	if s.eventCount == 0 {
+		s.metrics.firstToken.RecordDuration(now.Sub(s.lastWriteAt))
 	} else {
-		s.meters.betweenTokens.RecordDuration(now.Sub(s.last))
+		s.metrics.betweenTokens.RecordDuration(now.Sub(s.lastWriteAt))
 	}
-	s.events++
-	s.last = now
+	s.eventCount++
+	s.lastWriteAt = now
 }
 
-// SetBuffering keeps events back until the first that is not held.
-func (s *sink) SetBuffering(hold bool) { s.held = hold }
+// SetBuffering sets whether events are buffered; the first event that is not held is written along
+// with the buffered ones.
+func (s *sink) SetBuffering(hold bool) { s.holding = hold }
 
 // End writes the final marker of a stream.
 func (s *sink) End() error {
-	s.held = false
+	s.holding = false
 	s.buffer = append(s.buffer, "data: [DONE]"...)
 	return s.flush()
 }
 
-// refuse ends a call that gets no answer. A stream that has begun ends with an
-// error event and without the final marker, so that no caller takes it for whole.
+// refuse ends a call without an answer. A stream that has begun ends with an error event
+// and without the final marker, so that no caller takes it for complete.
 func (s *sink) refuse(id units.CallID, refusal *dispatcher.Refusal) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -136,58 +139,59 @@
 		return
 	}
 	s.ended = true
-	if !s.begun {
+	if !s.streaming {
 		writeProblem(s.writer, id, refusal)
 		return
 	}
-	content, err := json.Marshal(problemOf(id, refusal))
+	content, err := json.Marshal(newProblem(id, refusal))
 	if err != nil {
 		return
 	}
-	s.held = false
+	s.holding = false
 	s.buffer = append(s.buffer, "event: error\ndata: "...)
 	s.buffer = append(s.buffer, content...)
 	_ = s.flush()
 }
 
-// collectLater tells the caller of a call that still runs where to collect its answer.
-func (s *sink) collectLater(call *dispatcher.Call) {
+// answerCollectLater tells the caller of a call that is still running where to collect its
+// answer.
+func (s *sink) answerCollectLater(call *dispatcher.Call) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.ended || s.begun {
+	if s.ended || s.streaming {
 		return
 	}
 	s.ended = true
-	s.extend()
-	writeCollect(s.writer, location(call))
-	_ = s.flusher.Flush()
+	s.extendWriteDeadline()
+	writeAccepted(s.writer, collectPath(call))
+	_ = s.controller.Flush()
 }
 
-// moved ends the answer of a call that another entry has taken. A stream that has
-// begun ends with an event that names where the whole answer is, and without the
-// final marker.
-func (s *sink) moved(call *dispatcher.Call) {
-	if !s.begun {
-		s.collectLater(call)
+// answerMoved ends the answer of a call that was handed over to another entry. A stream
+// that has begun ends with an event that holds the location of the whole answer, and
+// without the final marker.
+func (s *sink) answerMoved(call *dispatcher.Call) {
+	if !s.streaming {
+		s.answerCollectLater(call)
 		return
 	}
-	s.held = false
+	s.holding = false
 	s.buffer = append(s.buffer, "event: moved\ndata: {\"location\":"...)
-	s.buffer = strconv.AppendQuote(s.buffer, location(call))
+	s.buffer = strconv.AppendQuote(s.buffer, collectPath(call))
 	s.buffer = append(s.buffer, ",\"retry-after\":1}"...)
 	_ = s.flush()
 }
 
 func (s *sink) flush() error {
 	s.buffer = append(s.buffer, "\n\n"...)
-	if s.held && len(s.buffer) < holdSize {
+	if s.holding && len(s.buffer) < maxHeldBytes {
 		return nil
 	}
 	content := s.buffer
 	s.buffer = s.buffer[:0]
-	s.extend()
+	s.extendWriteDeadline()
 	if _, err := s.writer.Write(content); err != nil {
 		return err
 	}
-	return s.flusher.Flush()
+	return s.controller.Flush()
 }
--- a/src/server/trail.go
+++ b/src/server/trail.go
@@ -6,8 +6,8 @@
 	"github.com/rosecroft/rosecroft/src/dispatcher"
 )
 
-// open starts the call's trail with what the call is.
-func (s *Server) open(call *dispatcher.Call) {
+// openTrail opens the call's trail and records the call's properties in it.
+func (s *Server) openTrail(call *dispatcher.Call) {
 	if s.Explainer == nil {
 		return
 	}
@@ -17,8 +17,8 @@
 		call.Account.Name, call.Brand, call.Service, call.Policy, call.Repeatable, call.Stream, call.PromptTokens, call.MaxOutput))
 }
 
-// conclude ends the call's trail with its outcome.
-func (s *Server) conclude(call *dispatcher.Call, outcome string, err error) {
+// recordOutcome records the call's outcome in its trail.
+func (s *Server) recordOutcome(call *dispatcher.Call, outcome string, err error) {
 	if err != nil {
 		outcome += ": " + err.Error()
 	}
