--- a/src/auditor/audit.go
+++ b/src/auditor/audit.go
@@ -8,91 +8,91 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// Carried is what one instance carried in a span of time.
-type Carried struct {
-	// Name is an entry's or an upstream's.
+// InstanceLoad is the load that one instance handled in a period.
+type InstanceLoad struct {
+	// Name is the name of an entry or an upstream.
 	Name    string
 	Service units.Service
 	Calls   int
-	// UnderWay is how many calls were there at once, on average.
-	UnderWay float64
-	Answered int
-	// Others is how many entries sent calls to an upstream, or to how many upstreams an
-	// entry did.
-	Others int
-	// First and Late are the median and the 95th percentile of the time to the first
-	// byte, Pause the 95th percentile of the longest pauses of streams.
-	First time.Duration
-	Late  time.Duration
-	Pause time.Duration
+	// Concurrency is the mean number of calls in progress.
+	Concurrency float64
+	Answered    int
+	// Counterparts is the number of entries that sent calls to an upstream, or the number of
+	// upstreams to which an entry sent calls.
+	Counterparts int
+	// MedianFirstByte and P95FirstByte are the median and the 95th percentile of the time to the
+	// first byte, P95LongestPause is the 95th percentile of the longest pauses of streams.
+	MedianFirstByte time.Duration
+	P95FirstByte    time.Duration
+	P95LongestPause time.Duration
 }
 
-// Share says how evenly the calls of a span were spread.
-type Share struct {
-	// Of is the service whose upstreams are meant, "" for the entries.
-	Of        units.Service
+// Distribution describes how evenly the calls of a period were distributed.
+type Distribution struct {
+	// Service is the service whose upstreams are described, "" for the entries.
+	Service   units.Service
 	Instances int
 	Calls     int
-	// Uneven is how many times the mean the one with the most calls under way had.
-	Uneven float64
+	// Imbalance is the ratio of the highest concurrency of an instance to the mean.
+	Imbalance float64
 }
 
-// Audit is what a span of a fleet's logs comes to.
+// Audit is the evaluation of a period of the entries' logs.
 type Audit struct {
-	From      time.Time
-	Until     time.Time
-	Entries   []Carried
-	Upstreams []Carried
-	Shares    []Share
-	// Routes tells what became of the calls, route by route.
-	Routes []Ledger
+	From          time.Time
+	Until         time.Time
+	Entries       []InstanceLoad
+	Upstreams     []InstanceLoad
+	Distributions []Distribution
+	// Routes holds the outcomes of the calls by route.
+	Routes []RouteSummary
 }
 
-// Take audits the last span of some calls; the newest of them ends it.
-func Take(calls []Call, span time.Duration) Audit {
+// NewAudit evaluates the period of length span that ends with the latest call.
+func NewAudit(calls []Call, span time.Duration) Audit {
 	var a Audit
 	for i := range calls {
-		if calls[i].Ended.After(a.Until) {
-			a.Until = calls[i].Ended
+		if calls[i].EndedAt.After(a.Until) {
+			a.Until = calls[i].EndedAt
 		}
 	}
 	a.From = a.Until.Add(-span)
-	entries, upstreams := make(sums), make(sums)
-	routes := make(ledgers)
+	entries, upstreams := make(totals), make(totals)
+	routes := make(routeSummaries)
 	for i := range calls {
-		a.add(&calls[i], entries, upstreams)
-		if !calls[i].Ended.Before(a.From) {
-			routes.take(&calls[i])
+		a.addCall(&calls[i], entries, upstreams)
+		if !calls[i].EndedAt.Before(a.From) {
+			routes.addCall(&calls[i])
 		}
 	}
 	a.Routes = routes.sorted()
-	a.Entries = entries.carried(span)
-	a.Upstreams = upstreams.carried(span)
-	a.Shares = shares(a.Entries, a.Upstreams)
+	a.Entries = entries.loads(span)
+	a.Upstreams = upstreams.loads(span)
+	a.Distributions = distributions(a.Entries, a.Upstreams)
 	return a
 }
 
-func (a *Audit) add(c *Call, entries, upstreams sums) {
-	began := c.Began()
-	overlap := earlier(c.Ended, a.Until).Sub(later(began, a.From))
-	if overlap < 0 || c.Ended.Before(a.From) {
+func (a *Audit) addCall(c *Call, entries, upstreams totals) {
+	startedAt := c.StartedAt()
+	overlap := earlier(c.EndedAt, a.Until).Sub(later(startedAt, a.From))
+	if overlap < 0 || c.EndedAt.Before(a.From) {
 		return
 	}
-	entry := entries.of(sumKey{name: string(c.Entry)})
-	entry.take(c, overlap, c.Outcome == answered)
-	for i, v := range c.Visits {
-		upstream := upstreams.of(sumKey{
+	entry := entries.get(instanceKey{name: string(c.Entry)})
+	entry.addCall(c, overlap, c.Outcome == outcomeAnswered)
+	for i, v := range c.Attempts {
+		upstream := upstreams.get(instanceKey{
 			name:    string(v.Upstream),
 			service: c.Service,
 		})
-		entry.others[string(v.Upstream)] = true
-		upstream.others[string(c.Entry)] = true
-		if i < len(c.Visits)-1 {
-			// Only the last attempt has the time that the line tells.
+		entry.counterparts[string(v.Upstream)] = true
+		upstream.counterparts[string(c.Entry)] = true
+		if i < len(c.Attempts)-1 {
+			// The times in the log line are those of the last attempt.
 			upstream.calls++
 			continue
 		}
-		upstream.take(c, overlap, v.End == answered)
+		upstream.addCall(c, overlap, v.Result == outcomeAnswered)
 	}
 }
 
@@ -110,59 +110,59 @@
 	return b
 }
 
-type sumKey struct {
+type instanceKey struct {
 	name    string
 	service units.Service
 }
 
-// sum adds up one instance.
-type sum struct {
-	calls    int
-	answered int
-	underWay time.Duration
-	others   map[string]bool
-	firsts   []time.Duration
-	pauses   []time.Duration
+// instanceTotals holds the totals of one instance.
+type instanceTotals struct {
+	calls        int
+	answered     int
+	callTime     time.Duration
+	counterparts map[string]bool
+	firstBytes   []time.Duration
+	pauses       []time.Duration
 }
 
-type sums map[sumKey]*sum
+type totals map[instanceKey]*instanceTotals
 
-func (s sums) of(key sumKey) *sum {
+func (s totals) get(key instanceKey) *instanceTotals {
 	if s[key] == nil {
-		s[key] = &sum{others: make(map[string]bool)}
+		s[key] = &instanceTotals{counterparts: make(map[string]bool)}
 	}
 	return s[key]
 }
 
-func (s *sum) take(c *Call, overlap time.Duration, answered bool) {
+func (s *instanceTotals) addCall(c *Call, overlap time.Duration, answered bool) {
 	s.calls++
-	s.underWay += overlap
+	s.callTime += overlap
 	if !answered {
 		return
 	}
 	s.answered++
-	s.firsts = append(s.firsts, c.First)
-	s.pauses = append(s.pauses, c.Pause)
+	s.firstBytes = append(s.firstBytes, c.FirstByte)
+	s.pauses = append(s.pauses, c.LongestPause)
 }
 
-// carried returns the sums, the instances with most under way first.
-func (s sums) carried(span time.Duration) []Carried {
-	list := make([]Carried, 0, len(s))
-	for key, sum := range s {
-		list = append(list, Carried{
-			Name:     key.name,
-			Service:  key.service,
-			Calls:    sum.calls,
-			UnderWay: sum.underWay.Seconds() / span.Seconds(),
-			Answered: sum.answered,
-			Others:   len(sum.others),
-			First:    quantile(sum.firsts, 0.5),
-			Late:     quantile(sum.firsts, 0.95),
-			Pause:    quantile(sum.pauses, 0.95),
+// loads returns the load of each instance, sorted by service and descending concurrency.
+func (s totals) loads(span time.Duration) []InstanceLoad {
+	list := make([]InstanceLoad, 0, len(s))
+	for key, t := range s {
+		list = append(list, InstanceLoad{
+			Name:            key.name,
+			Service:         key.service,
+			Calls:           t.calls,
+			Concurrency:     t.callTime.Seconds() / span.Seconds(),
+			Answered:        t.answered,
+			Counterparts:    len(t.counterparts),
+			MedianFirstByte: quantile(t.firstBytes, 0.5),
+			P95FirstByte:    quantile(t.firstBytes, 0.95),
+			P95LongestPause: quantile(t.pauses, 0.95),
 		})
 	}
-	slices.SortFunc(list, func(a, b Carried) int {
-		return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(b.UnderWay, a.UnderWay), cmp.Compare(a.Name, b.Name))
+	slices.SortFunc(list, func(a, b InstanceLoad) int {
+		return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(b.Concurrency, a.Concurrency), cmp.Compare(a.Name, b.Name))
 	})
 	return list
 }
@@ -175,34 +175,34 @@
 	return values[min(len(values)-1, int(q*float64(len(values))))]
 }
 
-// shares tells how uneven entries, and each service's upstreams, were used.
-func shares(entries, upstreams []Carried) []Share {
-	all := []Share{shareOf("", entries)}
+// distributions returns how evenly the entries, and the upstreams of each service, were used.
+func distributions(entries, upstreams []InstanceLoad) []Distribution {
+	list := []Distribution{newDistribution("", entries)}
 	for len(upstreams) > 0 {
 		service := upstreams[0].Service
-		end := slices.IndexFunc(upstreams, func(c Carried) bool { return c.Service != service })
+		end := slices.IndexFunc(upstreams, func(c InstanceLoad) bool { return c.Service != service })
 		if end < 0 {
 			end = len(upstreams)
 		}
-		all = append(all, shareOf(service, upstreams[:end]))
+		list = append(list, newDistribution(service, upstreams[:end]))
 		upstreams = upstreams[end:]
 	}
-	return all
+	return list
 }
 
-func shareOf(of units.Service, list []Carried) Share {
-	share := Share{
-		Of:        of,
+func newDistribution(service units.Service, list []InstanceLoad) Distribution {
+	d := Distribution{
+		Service:   service,
 		Instances: len(list),
 	}
 	most, total := 0.0, 0.0
 	for _, c := range list {
-		share.Calls += c.Calls
-		most = max(most, c.UnderWay)
-		total += c.UnderWay
+		d.Calls += c.Calls
+		most = max(most, c.Concurrency)
+		total += c.Concurrency
 	}
 	if total > 0 {
-		share.Uneven = most * float64(len(list)) / total
+		d.Imbalance = most * float64(len(list)) / total
 	}
-	return share
+	return d
 }
--- a/src/auditor/doc.go
+++ b/src/auditor/doc.go
@@ -1,2 +1,3 @@
-// Package auditor tells from the logs of entries which instances carry the calls.
+// Package auditor evaluates the logs of entries: which instances handled the calls, and why
+// calls failed or were late.
 package auditor
--- a/src/auditor/reader.go
+++ b/src/auditor/reader.go
@@ -12,42 +12,43 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// mostLine bounds one line of a log, in bytes.
-const mostLine = 1 << 20
+// maxLineBytes is the maximum length of a log line.
+const maxLineBytes = 1 << 20
 
-// callEnded is the message of the lines that are read; see docs/OPERATIONS.md.
-const callEnded = "call-ended"
+// callEndedMessage is the message of the log lines that are evaluated; see docs/OPERATIONS.md.
+const callEndedMessage = "call-ended"
 
-// Visit is one attempt of a call at an upstream.
-type Visit struct {
+// Attempt is one attempt of a call at an upstream.
+type Attempt struct {
 	Upstream units.Upstream
-	// End is how the attempt ended, such as "answered" or "lost".
-	End string
+	// Result is how the attempt ended, for example "answered" or "lost".
+	Result string
 }
 
-// Call is one call as its entry's log tells of it.
+// Call is one call as logged by its entry.
 type Call struct {
-	Entry   units.Instance
-	Service units.Service
-	Route   string
-	Ended   time.Time
-	Took    time.Duration
-	// First is the time to the first byte, Pause the longest pause between two events;
-	// both are 0 where there was none.
-	First time.Duration
-	Pause time.Duration
-	// Target and Gap are the most that callers want First and Pause to be, 0 for any.
-	Target  time.Duration
-	Gap     time.Duration
-	Outcome string
-	Visits  []Visit
+	Entry    units.Instance
+	Service  units.Service
+	Route    string
+	EndedAt  time.Time
+	Duration time.Duration
+	// FirstByte is the time to the first byte, LongestPause the longest pause between two
+	// events; both are 0 where there was none.
+	FirstByte    time.Duration
+	LongestPause time.Duration
+	// FirstByteTarget and PauseTarget are the limits that callers want for FirstByte and
+	// LongestPause, 0 for none.
+	FirstByteTarget time.Duration
+	PauseTarget     time.Duration
+	Outcome         string
+	Attempts        []Attempt
 }
 
-// Began returns when the call arrived.
-func (c *Call) Began() time.Time { return c.Ended.Add(-c.Took) }
+// StartedAt returns when the call arrived.
+func (c *Call) StartedAt() time.Time { return c.EndedAt.Add(-c.Duration) }
 
-// line is one line of a log.
-type line struct {
+// logLine is one line of a log.
+type logLine struct {
 	Time     time.Time `json:"time"`
 	Message  string    `json:"message"`
 	Instance string    `json:"instance"`
@@ -62,63 +63,63 @@
 	Attempts string    `json:"attempts"`
 }
 
-// Read returns the calls that a log tells of, and how many lines could not be read: one
-// that a crash has cut short does not hide the others.
-func Read(log io.Reader) (calls []Call, unread int, err error) {
+// Read returns the calls in a log and the number of lines that could not be decoded. A line that
+// a crash has truncated does not prevent the others from being read.
+func Read(log io.Reader) (calls []Call, unreadable int, err error) {
 	scanner := bufio.NewScanner(log)
-	scanner.Buffer(nil, mostLine)
+	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
 		content := scanner.Bytes()
-		if !bytes.Contains(content, []byte(callEnded)) {
+		if !bytes.Contains(content, []byte(callEndedMessage)) {
 			continue
 		}
-		// Collectors of logs put the instance or a time before each line.
+		// Log collectors prefix lines with the instance or a time.
 		start := bytes.IndexByte(content, '{')
-		var l line
+		var l logLine
 		if start < 0 || json.Unmarshal(content[start:], &l) != nil {
-			unread++
+			unreadable++
 			continue
 		}
-		if l.Message == callEnded {
+		if l.Message == callEndedMessage {
 			calls = append(calls, l.call())
 		}
 	}
 	if err := scanner.Err(); err != nil {
-		return nil, 0, fmt.Errorf("read the log: %w; see that it has lines of at most %d bytes", err, mostLine)
+		return nil, 0, fmt.Errorf("read log: %w; make sure that its lines have at most %d bytes", err, maxLineBytes)
 	}
-	return calls, unread, nil
+	return calls, unreadable, nil
 }
 
-func (l *line) call() Call {
+func (l *logLine) call() Call {
 	return Call{
-		Entry:   units.Instance(l.Instance),
-		Service: units.Service(l.Service),
-		Route:   l.Route,
-		Ended:   l.Time,
-		Took:    milliseconds(l.TookMs),
-		First:   milliseconds(l.FirstMs),
-		Pause:   milliseconds(l.PauseMs),
-		Target:  milliseconds(l.TargetMs),
-		Gap:     milliseconds(l.GapMs),
-		Outcome: l.Outcome,
-		Visits:  visits(l.Attempts),
+		Entry:           units.Instance(l.Instance),
+		Service:         units.Service(l.Service),
+		Route:           l.Route,
+		EndedAt:         l.Time,
+		Duration:        milliseconds(l.TookMs),
+		FirstByte:       milliseconds(l.FirstMs),
+		LongestPause:    milliseconds(l.PauseMs),
+		FirstByteTarget: milliseconds(l.TargetMs),
+		PauseTarget:     milliseconds(l.GapMs),
+		Outcome:         l.Outcome,
+		Attempts:        parseAttempts(l.Attempts),
 	}
 }
 
 func milliseconds(ms int64) time.Duration { return time.Duration(ms) * time.Millisecond }
 
-// visits reads the attempts of a line, such as "a lost: reset; b answered".
-func visits(attempts string) []Visit {
-	var visits []Visit
+// parseAttempts parses the attempts of a log line, for example "a lost: reset; b answered".
+func parseAttempts(attempts string) []Attempt {
+	var visits []Attempt
 	for _, attempt := range strings.Split(attempts, "; ") {
 		upstream, end, found := strings.Cut(attempt, " ")
 		if !found {
 			continue
 		}
 		end, _, _ = strings.Cut(end, ":")
-		visits = append(visits, Visit{
+		visits = append(visits, Attempt{
 			Upstream: units.Upstream(upstream),
-			End:      end,
+			Result:   end,
 		})
 	}
 	return visits
--- a/src/auditor/ledger_test.go
+++ b/src/auditor/route_test.go
@@ -8,12 +8,12 @@
 	"pgregory.net/rapid"
 )
 
-// Guards against calls that are lost without a cause: each call of a drawn log is in time, or
-// stands under one cause of its route.
+// Guards against missed calls without a cause: each call of a generated log is on time, or
+// counted under exactly one cause of its route.
 func TestEveryLostCallHasACause(t *testing.T) {
 	causes := map[string]func(first, pause, target, gap int) bool{
-		lateFirst: func(first, _, target, _ int) bool { return target > 0 && first > target },
-		latePause: func(first, pause, target, gap int) bool {
+		causeFirstByteLate: func(first, _, target, _ int) bool { return target > 0 && first > target },
+		causePauseTooLong: func(first, pause, target, gap int) bool {
 			return (target == 0 || first <= target) && gap > 0 && pause > gap
 		},
 	}
@@ -26,7 +26,7 @@
 			first, pause := rapid.IntRange(0, 900).Draw(t, "first"), rapid.IntRange(0, 900).Draw(t, "pause")
 			target, gap := rapid.SampledFrom([]int{0, 400}).Draw(t, "target"), rapid.SampledFrom([]int{0, 500}).Draw(t, "gap")
 			cause := outcome
-			if outcome == answered {
+			if outcome == outcomeAnswered {
 				cause = "in time"
 				for name, holds := range causes {
 					if holds(first, pause, target, gap) {
@@ -35,24 +35,24 @@
 				}
 			}
 			want[route+" "+cause]++
-			line := ended("e", "s", 0, 1000, first, pause, outcome, "")
+			line := endedLine("e", "s", 0, 1000, first, pause, outcome, "")
 			lines = append(lines, strings.Replace(line, "{", fmt.Sprintf(`{"route":%q,"target-ms":%d,"gap-ms":%d,`, route, target, gap), 1))
 		}
 		calls, _, err := Read(strings.NewReader(strings.Join(lines, "\n")))
 		if err != nil {
 			t.Fatal(err)
 		}
-		audit := Take(calls, 1)
+		audit := NewAudit(calls, 1)
 		got := make(map[string]int)
 		for _, l := range audit.Routes {
-			all := l.InTime
-			got[l.Route+" in time"] += l.InTime
-			for cause, count := range l.Lost {
+			counted := l.OnTime
+			got[l.Route+" in time"] += l.OnTime
+			for cause, count := range l.Missed {
 				got[l.Route+" "+cause] += count
-				all += count
+				counted += count
 			}
-			if all != l.Calls {
-				t.Errorf("calls of %s: got %d with a cause or in time, want all %d", l.Route, all, l.Calls)
+			if counted != l.Calls {
+				t.Errorf("calls of %s: got %d with a cause or in time, want all %d", l.Route, counted, l.Calls)
 			}
 		}
 		for key, count := range want {
--- a/src/explainer/doc.go
+++ b/src/explainer/doc.go
@@ -1,2 +1,3 @@
-// Package explainer keeps what was decided about each of the last calls, so that an operator can read it back.
+// Package explainer keeps the decisions made about each of the most recent calls, so that
+// operators can look them up.
 package explainer
--- a/src/explainer/book.go
+++ b/src/explainer/store.go
@@ -9,30 +9,31 @@
 )
 
 const (
-	// maxCalls is how many calls a book keeps, some 4 MB.
+	// maxCalls is how many calls are kept, about 4 MB.
 	maxCalls = 2048
-	// maxDecisions bounds one call's, for streams that move often.
+	// maxDecisions bounds the decisions kept for one call; a stream may move often.
 	maxDecisions = 64
-	// usualDecisions is room for a call with one attempt and its candidates.
-	usualDecisions = 12
+	// initialDecisions is the initial capacity, enough for a call with one attempt and its
+	// candidates.
+	initialDecisions = 12
 )
 
-// Book keeps the trails of the last calls; the zero value is ready.
+// Book keeps the decisions about the most recent calls; the zero value is ready to use.
 type Book struct {
-	mu   sync.Mutex
-	ring []*Trail
-	byID map[units.CallID]*Trail
-	next int
+	mu     sync.Mutex
+	ring   []*Trail
+	byID   map[units.CallID]*Trail
+	oldest int
 }
 
-// Trail is what was decided about one call.
+// Trail records the decisions about one call.
 type Trail struct {
 	id    units.CallID
 	began time.Time
 
 	mu        sync.Mutex
 	decisions []decision
-	left      int
+	omitted   int
 }
 
 type decision struct {
@@ -43,12 +44,12 @@
 	detail   string
 }
 
-// Open starts a call's trail, which takes the place of the oldest one.
+// Open starts recording a call; the oldest call is dropped once maxCalls are kept.
 func (b *Book) Open(id units.CallID) *Trail {
 	trail := &Trail{
 		id:        id,
 		began:     time.Now(),
-		decisions: make([]decision, 0, usualDecisions),
+		decisions: make([]decision, 0, initialDecisions),
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -60,9 +61,9 @@
 		b.ring = append(b.ring, trail)
 		return trail
 	}
-	delete(b.byID, b.ring[b.next].id)
-	b.ring[b.next] = trail
-	b.next = (b.next + 1) % maxCalls
+	delete(b.byID, b.ring[b.oldest].id)
+	b.ring[b.oldest] = trail
+	b.oldest = (b.oldest + 1) % maxCalls
 	return trail
 }
 
@@ -75,7 +76,7 @@
 	})
 }
 
-// RecordCandidate records an upstream that could be chosen and its score, the lower the better.
+// RecordCandidate records an upstream that could be chosen and its score, where lower is better.
 func (t *Trail) RecordCandidate(upstream units.Upstream, score float64) {
 	t.add(decision{
 		step:     dispatcher.StepCandidate,
@@ -89,24 +90,25 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if len(t.decisions) >= maxDecisions {
-		// The end matters more than the middle: it says what became of the call.
-		t.left++
+		// Overwrite the last decision: the final one states the outcome, which matters more than
+		// those in the middle.
+		t.omitted++
 		t.decisions[maxDecisions-1] = next
 		return
 	}
 	t.decisions = append(t.decisions, next)
 }
 
-// Explanation is what an operator reads of one call.
+// Explanation is what operators see of one call.
 type Explanation struct {
 	Call      units.CallID `yaml:"call"`
 	Began     time.Time    `yaml:"began"`
 	Decisions []Decision   `yaml:"decisions"`
-	// LeftOut counts decisions beyond what is kept.
+	// LeftOut is the number of decisions that were not kept.
 	LeftOut int `yaml:"left-out"`
 }
 
-// Decision is one step of a call; Score is in seconds and set for candidates.
+// Decision is one decision about a call; Score is in seconds and only set for candidates.
 type Decision struct {
 	After    time.Duration   `yaml:"after"`
 	Step     dispatcher.Step `yaml:"step"`
@@ -115,7 +117,7 @@
 	Detail   string          `yaml:"detail,omitempty"`
 }
 
-// Explain returns what was decided about a call, or nil where it is not among the last ones.
+// Explain returns the decisions about a call, or nil if it is not among the most recent ones.
 func (b *Book) Explain(id units.CallID) *Explanation {
 	b.mu.Lock()
 	trail := b.byID[id]
@@ -128,7 +130,7 @@
 	explanation := &Explanation{
 		Call:    trail.id,
 		Began:   trail.began,
-		LeftOut: trail.left,
+		LeftOut: trail.omitted,
 	}
 	for _, d := range trail.decisions {
 		explanation.Decisions = append(explanation.Decisions, Decision{
--- a/src/explainer/book_test.go
+++ b/src/explainer/store_test.go
@@ -8,8 +8,8 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// Calls come without end and one stream moves without end. The book must stay
-// bounded, keep the last calls, and of each how it ended.
+// With an endless series of calls, and a stream that moves endlessly, memory stays bounded: the
+// most recent calls are kept, each with its outcome.
 func TestBookIsBounded(t *testing.T) {
 	book := &Book{}
 	for i := range 3 * maxCalls {
@@ -24,7 +24,7 @@
 		t.Errorf("calls kept: got %d and %d, want %d", got, len(book.ring), want)
 	}
 	if got := book.Explain("0"); got != nil {
-		t.Errorf("oldest call: got %v, want it gone", got)
+		t.Errorf("oldest call: got %v, want it dropped", got)
 	}
 	got := book.Explain("last")
 	if got == nil || len(got.Decisions) != maxDecisions || got.LeftOut != 2*maxDecisions+1 {
@@ -35,7 +35,7 @@
 	}
 }
 
-// BenchmarkTrail measures what one call with an attempt among eight candidates costs.
+// BenchmarkTrail measures the cost of recording a call with one attempt and eight candidates.
 func BenchmarkTrail(b *testing.B) {
 	book := &Book{}
 	b.ReportAllocs()
