--- a/Makefile
+++ b/Makefile
@@ -5,7 +5,7 @@
 REVISION := $(shell git rev-parse --short HEAD 2>/dev/null || echo devel)
 LDFLAGS := -X main.version=$(VERSION) -X main.revision=$(REVISION)
 
-# Tests that are known to fail, listed in KNOWN-RED.txt by their names.
+# Names of the tests that are known to fail: the first word of each line of KNOWN-RED.txt.
 RED := $(shell cut -d' ' -f1 KNOWN-RED.txt 2>/dev/null | paste -sd'|')
 PROPERTIES := $(shell grep -ls pgregory.net/rapid src/*/*_test.go | xargs -n1 dirname | sort -u | sed 's|^|./|')
 SEED ?= 1
@@ -22,25 +22,25 @@
 	go build -o bin/failures ./src/cmd/failures
 	go build -o bin/measure ./src/cmd/measure
 
-# Every test once, with the race detector; the log is kept for .ci/proofs.
+# All tests except the known failures, with the race detector; .ci/proofs reads the log.
 test:
 	@mkdir -p bin
 	@set -o pipefail; go test -race -v $(if $(RED),-skip '^($(RED))$$') ./... 2>&1 | tee bin/test.log \
 		| grep -vE '^(=== |[ ]*--- PASS|PASS|\?)' || { grep -E '^(FAIL|panic)' bin/test.log; exit 1; }
 
-# The tests that are known to fail.
+# Only the tests that are known to fail.
 red:
 	@test -z "$(RED)" || go test -race -run '^($(RED))$$' ./...
 
-# Takes out one safeguard at a time and wants its proof to fail.
+# Mutation testing: removes one safeguard at a time and checks that its test fails.
 mutants:
 	.ci/mutants
 
-# Property tests with a fresh seed and many schedules.
+# Property tests with the current time as seed and CHECKS cases each.
 soak:
 	go test $(PROPERTIES) -timeout 60m -rapid.seed $$(date +%s) -rapid.checks $(CHECKS)
 
-# The fault soak of the real programs: SEEDS seeds from SEED on.
+# Soak test of the real programs with injected faults: SEEDS seeds, starting at SEED.
 SEEDS ?= 50
 stage-soak:
 	go test ./platform -run '^TestSoak$$' -timeout 60m -soak.seeds $(SEEDS) -soak.start $(SEED)
--- a/src/cmd/demo/main.go
+++ b/src/cmd/demo/main.go
@@ -1,4 +1,5 @@
-// Command demo starts a small fleet on loopback, uses it while instances leave, and counts what came back.
+// Command demo starts a small fleet on loopback, makes calls while instances stop and
+// die, and checks that no call was lost or ran twice.
 package main
 
 import (
@@ -17,23 +18,24 @@
 
 const (
 	controls = 3
-	// With one entry stopped and one dead, a majority of each record's owners lives.
+	// Four, so that a majority of each record's owners is left after one entry has
+	// stopped and another has died.
 	entries = 4
 	engines = 4
 	rounds  = 6
 )
 
 type options struct {
-	Program       string `help:"The built rosecroft program." default:"bin/rosecroft"`
-	Standin       string `help:"The built stand-in program." default:"bin/standin"`
-	Configuration string `help:"Configuration to apply." default:"examples/hearthline.yaml"`
+	Program       string `help:"Path of the rosecroft program." default:"bin/rosecroft"`
+	Standin       string `help:"Path of the stand-in program." default:"bin/standin"`
+	Configuration string `help:"Configuration file to apply." default:"examples/hearthline.yaml"`
 }
 
 func main() {
-	chosen := &options{}
-	kong.Parse(chosen, kong.Description("Shows rosecroft at work on this machine."))
+	opts := &options{}
+	kong.Parse(opts, kong.Description("Shows rosecroft at work on this machine."))
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
-	err := run(ctx, chosen)
+	err := run(ctx, opts)
 	stop()
 	if err != nil {
 		_, _ = fmt.Fprintln(os.Stderr, "demo:", err)
@@ -41,56 +43,56 @@
 	}
 }
 
-func run(ctx context.Context, chosen *options) error {
+func run(ctx context.Context, opts *options) error {
 	folder, err := os.MkdirTemp("", "rosecroft-demo-")
 	if err != nil {
-		return fmt.Errorf("make a folder for the demo: %w", err)
+		return fmt.Errorf("create a temporary folder for the demo: %w", err)
 	}
 	defer func() { _ = os.RemoveAll(folder) }()
 	stage := &stager.Stage{
 		Folder:  folder,
-		Program: chosen.Program,
-		Standin: chosen.Standin,
+		Program: opts.Program,
+		Standin: opts.Standin,
 	}
 	defer stage.Stop()
-	tour, err := prepare(ctx, stage, chosen)
+	s, err := startFleet(ctx, stage, opts)
 	if err != nil {
 		return err
 	}
-	tour.visit(ctx)
-	return tour.verdict(ctx)
+	s.run(ctx)
+	return s.checkResults(ctx)
 }
 
-// prepare starts the fleet and applies the configuration.
-func prepare(ctx context.Context, stage *stager.Stage, chosen *options) (*tour, error) {
+// startFleet starts the fleet, applies the configuration and waits until the entries are ready.
+func startFleet(ctx context.Context, stage *stager.Stage, opts *options) (*scenario, error) {
 	dataCentres := []units.DataCentre{"scot-central-a", "scot-central-b", "scot-central-c", "scot-central-d"}
 	if err := stage.StartFleet(controls, entries, dataCentres); err != nil {
 		return nil, err
 	}
-	t := &tour{stage: stage}
+	s := &scenario{stage: stage}
 	for i := range engines {
 		engine, err := stage.StartUpstream("engine", fmt.Sprintf("ember-%d", i+1),
 			"--service", "ember-llm", "--model", "ember-1", "--data-centre", string(dataCentres[i]))
 		if err != nil {
 			return nil, err
 		}
-		t.engines = append(t.engines, engine)
+		s.engines = append(s.engines, engine)
 	}
-	diary, err := stage.StartUpstream("plain", "diary-1",
+	plainService, err := stage.StartUpstream("plain", "diary-1",
 		"--service", "diary-app", "--data-centre", string(dataCentres[0]))
 	if err != nil {
 		return nil, err
 	}
-	t.diary = diary
+	s.plainService = plainService
 	if err := stage.AwaitHealthy(ctx); err != nil {
 		return nil, err
 	}
-	apply := exec.CommandContext(ctx, chosen.Program, "apply", chosen.Configuration,
+	command := exec.CommandContext(ctx, opts.Program, "apply", opts.Configuration,
 		"--control", stage.ControlURLs(), "--wait", "15s")
-	apply.Stdout = os.Stdout
-	apply.Stderr = os.Stderr
-	if err := apply.Run(); err != nil {
+	command.Stdout = os.Stdout
+	command.Stderr = os.Stderr
+	if err := command.Run(); err != nil {
 		return nil, fmt.Errorf("apply the configuration: %w", err)
 	}
-	return t, stage.AwaitReady(ctx)
+	return s, stage.AwaitReady(ctx)
 }
--- a/src/cmd/failures/main.go
+++ b/src/cmd/failures/main.go
@@ -1,5 +1,5 @@
-// Command failures runs a deployment under load and a seeded schedule of
-// failures, and checks what callers were told.
+// Command failures runs a deployment under load with a seeded schedule of failures, and
+// checks the callers' outcomes against the upstreams' journals.
 package main
 
 import (
@@ -20,63 +20,63 @@
 const maxSpan = 30 * time.Minute
 
 type options struct {
-	Program    string         `help:"The built rosecroft program." default:"bin/rosecroft"`
-	Standin    string         `help:"The built stand-in program." default:"bin/standin"`
-	Root       string         `help:"Folder of the repository." default:"."`
+	Program    string         `help:"Path of the rosecroft program." default:"bin/rosecroft"`
+	Standin    string         `help:"Path of the stand-in program." default:"bin/standin"`
+	Root       string         `help:"Root folder of the repository." default:"."`
 	Deployment string         `help:"Deployment to run." enum:"hearthline,cooperativa" default:"hearthline"`
-	Seed       uint64         `help:"Seed of the schedule and the load." default:"1"`
-	Span       time.Duration  `help:"How long the load lasts, at most 30m." default:"30s"`
-	Steps      int            `help:"How many failures to cause." default:"12"`
-	Acts       []injector.Act `help:"Kinds of failure to draw from; all where left out."`
+	Seed       uint64         `help:"Random seed of the schedule and the load." default:"1"`
+	Span       time.Duration  `help:"Duration of the load, at most 30m." default:"30s"`
+	Steps      int            `help:"Number of failures to inject." default:"12"`
+	Acts       []injector.Act `help:"Kinds of failure to draw from; all if omitted."`
 	Streams    float64        `help:"Streamed model calls per second." default:"20"`
-	Wholes     float64        `help:"Whole model calls per second." default:"4"`
+	Wholes     float64        `help:"Model calls per second that are not streamed." default:"4"`
 	Once       float64        `help:"Calls per second that must not run twice." default:"10"`
-	Reads      float64        `help:"Plain reads per second." default:"10"`
-	Keep       bool           `help:"Keep the folder with logs and journals."`
+	Reads      float64        `help:"Repeatable calls per second to plain services." default:"10"`
+	Keep       bool           `help:"Keep the temporary folder with logs and journals."`
 }
 
 func main() {
-	chosen := &options{}
-	parsed := kong.Parse(chosen, kong.Description("Causes failures in a fleet on loopback and checks what callers were told."))
+	opts := &options{}
+	cli := kong.Parse(opts, kong.Description("Causes failures in a fleet on loopback and checks what callers were told."))
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
-	err := run(ctx, chosen)
+	err := run(ctx, opts)
 	stop()
-	parsed.FatalIfErrorf(err)
+	cli.FatalIfErrorf(err)
 }
 
-func run(ctx context.Context, chosen *options) error {
-	if chosen.Span > maxSpan {
-		return fmt.Errorf("a span of %s is longer than %s; choose less", chosen.Span, maxSpan)
+func run(ctx context.Context, opts *options) error {
+	if opts.Span > maxSpan {
+		return fmt.Errorf("--span %s exceeds the maximum of %s", opts.Span, maxSpan)
 	}
 	folder, err := os.MkdirTemp("", "rosecroft-failures-")
 	if err != nil {
-		return fmt.Errorf("make a folder for the run: %w", err)
+		return fmt.Errorf("create a temporary folder for the run: %w", err)
 	}
-	if chosen.Keep {
+	if opts.Keep {
 		fmt.Println("logs and journals:", folder)
 	} else {
 		defer func() { _ = os.RemoveAll(folder) }()
 	}
-	acts := chosen.Acts
+	acts := opts.Acts
 	if len(acts) == 0 {
 		acts = injector.Acts
 	}
 	experiment := &injector.Experiment{
-		Deployment: deployment(chosen),
+		Deployment: deployment(opts),
 		Stage: &stager.Stage{
 			Folder:  folder,
-			Program: chosen.Program,
-			Standin: chosen.Standin,
+			Program: opts.Program,
+			Standin: opts.Standin,
 		},
 		Rates: deployer.Rates{
-			Stream: chosen.Streams,
-			Whole:  chosen.Wholes,
-			Once:   chosen.Once,
-			Read:   chosen.Reads,
+			Stream: opts.Streams,
+			Whole:  opts.Wholes,
+			Once:   opts.Once,
+			Read:   opts.Reads,
 		},
-		Span:     chosen.Span,
-		Seed:     chosen.Seed,
-		Schedule: injector.Draw(chosen.Seed, chosen.Span, chosen.Steps, acts),
+		Span:     opts.Span,
+		Seed:     opts.Seed,
+		Schedule: injector.Draw(opts.Seed, opts.Span, opts.Steps, acts),
 		Log:      os.Stdout,
 	}
 	verdict, _, err := experiment.Run(ctx)
@@ -89,16 +89,16 @@
 	for _, refused := range verdict.Refused {
 		fmt.Println("refused", refused)
 	}
-	fmt.Printf("failures deployment=%s seed=%d %s\n", chosen.Deployment, chosen.Seed, verdict)
+	fmt.Printf("failures deployment=%s seed=%d %s\n", opts.Deployment, opts.Seed, verdict)
 	if len(verdict.Faults) > 0 {
-		return fmt.Errorf("%d faults", len(verdict.Faults))
+		return fmt.Errorf("the run showed %d faults", len(verdict.Faults))
 	}
 	return nil
 }
 
-func deployment(chosen *options) *deployer.Deployment {
-	if chosen.Deployment == "cooperativa" {
-		return deployer.Cooperativa(chosen.Root)
+func deployment(opts *options) *deployer.Deployment {
+	if opts.Deployment == "cooperativa" {
+		return deployer.Cooperativa(opts.Root)
 	}
-	return deployer.Hearthline(chosen.Root)
+	return deployer.Hearthline(opts.Root)
 }
--- a/src/cmd/load/main.go
+++ b/src/cmd/load/main.go
@@ -1,4 +1,5 @@
-// Command load sends a bounded load of calls to entries on loopback and prints what callers saw.
+// Command load sends an open-loop load of bounded rate and duration to entries on
+// loopback and prints the callers' outcomes and latencies.
 package main
 
 import (
@@ -28,66 +29,66 @@
 	Key      string        `help:"API key." default:"strath-sweeps.example-secret"`
 	Kind     string        `help:"Kind of call." enum:"stream,whole,read,once" default:"stream"`
 	Path     string        `help:"Path to call." default:"/v1/completions"`
-	Model    string        `help:"Model to ask." default:"ember-1"`
+	Model    string        `help:"Model to request." default:"ember-1"`
 	Rate     float64       `help:"Calls per second." default:"20"`
-	Span     time.Duration `help:"How long new calls are made, at most 10m." default:"10s"`
-	Prefixes int           `help:"How many different beginnings the prompts share." default:"8"`
-	Prefix   int           `help:"Bytes of a shared beginning." default:"2048"`
-	Prompt   int           `help:"Bytes of a prompt's own part." default:"256"`
-	Tokens   int           `help:"Tokens to generate." default:"64"`
-	Seed     uint64        `help:"Seed of arrivals and prompts." default:"1"`
+	Span     time.Duration `help:"Duration for which new calls are started, at most 10m." default:"10s"`
+	Prefixes int           `help:"Number of different shared prompt prefixes." default:"8"`
+	Prefix   int           `help:"Size of a shared prompt prefix in bytes." default:"2048"`
+	Prompt   int           `help:"Size of the rest of each prompt, which is not shared, in bytes." default:"256"`
+	Tokens   int           `help:"Output tokens to generate per call." default:"64"`
+	Seed     uint64        `help:"Random seed of arrivals and prompts." default:"1"`
 }
 
 func main() {
-	chosen := &options{}
-	parsed := kong.Parse(chosen, kong.Description("Sends an open-loop load to entries on loopback."))
-	parsed.FatalIfErrorf(check(chosen))
+	opts := &options{}
+	cli := kong.Parse(opts, kong.Description("Sends an open-loop load to entries on loopback."))
+	cli.FatalIfErrorf(validate(opts))
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	printReport(run(ctx, chosen))
+	printReport(run(ctx, opts))
 }
 
-// check refuses a load that is unbounded or leaves this machine.
-func check(chosen *options) error {
-	if chosen.Span > maxSpan || chosen.Rate > maxRate {
-		return fmt.Errorf("at most %s and %d calls per second; choose less", maxSpan, maxRate)
+// validate rejects a load that exceeds the bounds or would leave this machine.
+func validate(opts *options) error {
+	if opts.Span > maxSpan || opts.Rate > maxRate {
+		return fmt.Errorf("--span or --rate exceeds the maximum of %s and %d calls per second", maxSpan, maxRate)
 	}
-	for _, entry := range chosen.Entries {
+	for _, entry := range opts.Entries {
 		address, err := url.Parse(entry)
 		if err != nil {
-			return fmt.Errorf("read the entry's address: %w", err)
+			return fmt.Errorf("parse the entry's base URL: %w", err)
 		}
 		if ip := net.ParseIP(address.Hostname()); ip == nil || !ip.IsLoopback() {
-			return fmt.Errorf("%s is not on loopback; this program loads only this machine", entry)
+			return fmt.Errorf("entry %s is not on loopback; load is only sent to this machine", entry)
 		}
 	}
 	return nil
 }
 
-func run(ctx context.Context, chosen *options) *loader.Report {
-	load := &loader.Loader{
+func run(ctx context.Context, opts *options) *loader.Report {
+	generator := &loader.Loader{
 		Balancer: &loader.Balancer{
-			Entries: chosen.Entries,
+			Entries: opts.Entries,
 		},
-		Span: chosen.Span,
-		Seed: chosen.Seed,
+		Span: opts.Span,
+		Seed: opts.Seed,
 		Name: "load",
 		Workloads: []*loader.Workload{{
-			Name:         chosen.Kind,
-			Kind:         loader.Kind(chosen.Kind),
-			Host:         chosen.Host,
-			Key:          chosen.Key,
-			Rate:         chosen.Rate,
-			Path:         chosen.Path,
-			Model:        chosen.Model,
-			Prefixes:     chosen.Prefixes,
-			PrefixBytes:  chosen.Prefix,
-			PromptBytes:  chosen.Prompt,
-			OutputTokens: chosen.Tokens,
+			Name:         opts.Kind,
+			Kind:         loader.Kind(opts.Kind),
+			Host:         opts.Host,
+			Key:          opts.Key,
+			Rate:         opts.Rate,
+			Path:         opts.Path,
+			Model:        opts.Model,
+			Prefixes:     opts.Prefixes,
+			PrefixBytes:  opts.Prefix,
+			PromptBytes:  opts.Prompt,
+			OutputTokens: opts.Tokens,
 			Deadline:     time.Minute,
 		}},
 	}
-	return load.Run(ctx)
+	return generator.Run(ctx)
 }
 
 func printReport(report *loader.Report) {
--- a/src/cmd/measure/main.go
+++ b/src/cmd/measure/main.go
@@ -1,4 +1,5 @@
-// Command measure runs experiments on real processes on loopback and rewrites docs/MEASUREMENTS.md.
+// Command measure runs experiments on real processes on loopback, stores their results
+// and rewrites docs/MEASUREMENTS.md.
 package main
 
 import (
@@ -16,58 +17,58 @@
 )
 
 type options struct {
-	Names   []string `arg:"" optional:"" help:"Experiments to run; all where left out."`
-	Program string   `help:"The built rosecroft program." default:"bin/rosecroft"`
-	Standin string   `help:"The built stand-in program." default:"bin/standin"`
-	Root    string   `help:"Folder of the repository." default:"."`
-	Seed    uint64   `help:"Seed of the load." default:"1"`
-	Quick   bool     `help:"Run short trials and keep no figures."`
-	Render  bool     `help:"Run nothing and write the page of the kept figures anew."`
+	Names   []string `arg:"" optional:"" help:"Experiments to run; all if omitted."`
+	Program string   `help:"Path of the rosecroft program." default:"bin/rosecroft"`
+	Standin string   `help:"Path of the stand-in program." default:"bin/standin"`
+	Root    string   `help:"Root folder of the repository." default:"."`
+	Seed    uint64   `help:"Random seed of the load." default:"1"`
+	Quick   bool     `help:"Run shortened trials and store no results."`
+	Render  bool     `help:"Run no experiment; only render the page from the stored results."`
 }
 
-// experiment is one named measurement.
+// experiment is an experiment with its name on the command line.
 type experiment struct {
 	name string
 	run  func(context.Context) (*measurer.Result, error)
 }
 
 func main() {
-	chosen := &options{}
-	parsed := kong.Parse(chosen, kong.Description("Measures the system on this machine, on loopback alone."))
+	opts := &options{}
+	cli := kong.Parse(opts, kong.Description("Measures the system on this machine, on loopback alone."))
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
-	err := run(ctx, chosen)
+	err := run(ctx, opts)
 	stop()
-	parsed.FatalIfErrorf(err)
+	cli.FatalIfErrorf(err)
 }
 
-func run(ctx context.Context, chosen *options) error {
-	root, err := filepath.Abs(chosen.Root)
+func run(ctx context.Context, opts *options) error {
+	root, err := filepath.Abs(opts.Root)
 	if err != nil {
 		return err
 	}
-	if chosen.Render {
+	if opts.Render {
 		return measurer.Render(root)
 	}
 	bench := &measurer.Bench{
 		Root:    root,
-		Program: chosen.Program,
-		Standin: chosen.Standin,
-		Seed:    chosen.Seed,
-		Quick:   chosen.Quick,
+		Program: opts.Program,
+		Standin: opts.Standin,
+		Seed:    opts.Seed,
+		Quick:   opts.Quick,
 	}
-	for _, one := range experiments(bench) {
-		if len(chosen.Names) > 0 && !slices.Contains(chosen.Names, one.name) {
+	for _, e := range experiments(bench) {
+		if len(opts.Names) > 0 && !slices.Contains(opts.Names, e.name) {
 			continue
 		}
-		fmt.Println("== " + one.name)
-		result, err := one.run(ctx)
+		fmt.Println("== " + e.name)
+		result, err := e.run(ctx)
 		if err != nil {
-			return fmt.Errorf("measure %s: %w", one.name, err)
+			return fmt.Errorf("measure %s: %w", e.name, err)
 		}
 		for _, figure := range result.Figures {
 			fmt.Printf("%s: %s (%s) aim: %s\n", figure.Name, figure.Value, figure.Spread, figure.Aim)
 		}
-		if chosen.Quick {
+		if opts.Quick {
 			continue
 		}
 		if err := measurer.Save(root, result); err != nil {
@@ -79,25 +80,25 @@
 
 func experiments(bench *measurer.Bench) []experiment {
 	return []experiment{
-		{name: "latency", run: bench.Latency},
-		{name: "record", run: bench.Record},
+		{name: "latency", run: bench.EntryLatency},
+		{name: "record", run: bench.RecordCost},
 		{name: "overload", run: bench.Overload},
-		{name: "changes", run: bench.Changes},
+		{name: "changes", run: bench.ConfigurationChanges},
 		{name: "repair", run: bench.Repair},
-		{name: "slopes", run: bench.Slopes},
-		{name: "upstreams", run: bench.Upstreams},
+		{name: "slopes", run: bench.ControlCostByEntries},
+		{name: "upstreams", run: bench.ControlCostByUpstreams},
 		{name: "failures", run: bench.Failures},
 		{name: "cost-hearthline", run: func(ctx context.Context) (*measurer.Result, error) {
-			return bench.Cost(ctx, "hearthline")
+			return bench.PolicyCost(ctx, "hearthline")
 		}},
 		{name: "cost-cooperativa", run: func(ctx context.Context) (*measurer.Result, error) {
-			return bench.Cost(ctx, "cooperativa")
+			return bench.PolicyCost(ctx, "cooperativa")
 		}},
 		{name: "wave-hearthline", run: func(ctx context.Context) (*measurer.Result, error) {
-			return bench.Wave(ctx, "hearthline")
+			return bench.ReclaimWave(ctx, "hearthline")
 		}},
 		{name: "wave-cooperativa", run: func(ctx context.Context) (*measurer.Result, error) {
-			return bench.Wave(ctx, "cooperativa")
+			return bench.ReclaimWave(ctx, "cooperativa")
 		}},
 	}
 }
--- a/src/cmd/standin/cloud.go
+++ b/src/cmd/standin/cloud.go
@@ -12,16 +12,16 @@
 type cloudCommand struct {
 	Name    string        `help:"Name of the platform." default:"cloud"`
 	Listen  string        `help:"Address to serve on." required:""`
-	Entries []string      `help:"Base URLs that take the instances' announcements." required:""`
-	Boot    time.Duration `help:"Time from a launch until the engine runs." default:"300ms"`
-	Notice  time.Duration `help:"Time between an instance's notice and its end." default:"5s"`
-	Rate    int64         `help:"Bytes that the weight store passes on in a second." default:"2000000"`
-	Loads   int           `help:"Loads at once that the weight store takes." default:"2"`
-	Weights int64         `help:"Bytes of each model version." default:"1000000"`
-	Slots   int           `help:"Sequences that an engine runs at once." default:"16"`
+	Entries []string      `help:"Base URLs of the entries to which the instances announce themselves." required:""`
+	Boot    time.Duration `help:"Time from the launch of an instance until its engine runs." default:"300ms"`
+	Notice  time.Duration `help:"Time between an instance's notice and its termination." default:"5s"`
+	Rate    int64         `help:"Bandwidth of the weight store in bytes per second." default:"2000000"`
+	Loads   int           `help:"Number of concurrent loads that the weight store accepts." default:"2"`
+	Weights int64         `help:"Size of each model version in bytes." default:"1000000"`
+	Slots   int           `help:"Number of sequences that an engine runs concurrently." default:"16"`
 }
 
-// Run plays the platform until it is told to stop; its instances end with it.
+// Run runs the stand-in until ctx is cancelled; its instances end with it.
 func (c *cloudCommand) Run(ctx context.Context) error {
 	listener, err := net.Listen("tcp", c.Listen)
 	if err != nil {
--- a/src/cmd/standin/main.go
+++ b/src/cmd/standin/main.go
@@ -1,4 +1,5 @@
-// Command standin plays the systems that rosecroft serves.
+// Command standin runs stand-ins for the systems around rosecroft: model engines, plain
+// services and the platform's cloud API.
 package main
 
 import (
@@ -19,61 +20,61 @@
 	"github.com/rosecroft/rosecroft/src/standin"
 )
 
-// common are the options of every upstream.
-type common struct {
+// upstreamOptions are the options that every kind of upstream has.
+type upstreamOptions struct {
 	Name       string        `help:"Name that the upstream announces." required:""`
 	Service    string        `help:"Service that the upstream belongs to." required:""`
 	Listen     string        `help:"Address to serve on." required:""`
-	Entries    []string      `help:"Base URLs that take announcements." required:""`
+	Entries    []string      `help:"Base URLs of the entries to announce to." required:""`
 	DataCentre string        `help:"Data centre to announce." required:""`
 	Class      string        `help:"Machine class to announce." default:"standard"`
 	Price      float64       `help:"Price per hour to announce." default:"1"`
 	OnDemand   bool          `help:"Announce an on-demand instance, which is not reclaimable."`
-	Notice     time.Duration `help:"Time between SIGTERM and the stop." default:"5s"`
-	Journal    string        `help:"File to which every run of a call is appended."`
+	Notice     time.Duration `help:"Time between SIGTERM and the exit." default:"5s"`
+	Journal    string        `help:"Journal file to which every execution of a call is appended."`
 
-	Certificate string `help:"Certificate to announce with, in PEM." and:"tls"`
-	PrivateKey  string `help:"The certificate's private key, in PEM." and:"tls"`
-	Authorities string `help:"Certificates that verify the entries, in PEM." and:"tls"`
+	Certificate string `help:"Certificate file of the upstream, in PEM." and:"tls"`
+	PrivateKey  string `help:"Private key file of the certificate, in PEM." and:"tls"`
+	Authorities string `help:"File with the CA certificates that verify the entries, in PEM." and:"tls"`
 }
 
 type engineCommand struct {
-	common
+	upstreamOptions
 	Model         string        `help:"Model to serve." required:""`
 	ModelVersion  string        `help:"Version of the model." default:"1"`
-	Slots         int           `help:"Sequences that run at once." default:"16"`
-	Step          time.Duration `help:"Time of one step." default:"2ms"`
-	Prefill       int           `help:"Prompt tokens computed in a step." default:"128"`
-	CacheBlocks   int           `help:"Blocks that the prefix cache holds." default:"512"`
+	Slots         int           `help:"Number of sequences that run concurrently." default:"16"`
+	Step          time.Duration `help:"Duration of one engine step." default:"2ms"`
+	Prefill       int           `help:"Prompt tokens computed per step." default:"128"`
+	CacheBlocks   int           `help:"Capacity of the prefix cache in blocks." default:"512"`
 	ChecksFencing bool          `help:"Refuse orders with an old fencing number."`
-	Store         string        `help:"Base URL of the weight store; without it a load takes the load time."`
-	LoadTime      time.Duration `help:"Time of a load without a weight store." default:"500ms"`
-	KVBytes       int           `help:"Bytes of KV cache for each token." default:"4096"`
-	KVRate        int           `help:"Bytes of KV cache exported in a second; 0 exports none." default:"100000000"`
-	LoadLag       time.Duration `help:"Age of the load that is announced." default:"100ms"`
-	EventGaps     float64       `help:"Share of cache events that is never sent." default:"0.1"`
+	Store         string        `help:"Base URL of the weight store; without one, loading a model takes the load time."`
+	LoadTime      time.Duration `help:"Time that loading a model takes without a weight store." default:"500ms"`
+	KVBytes       int           `help:"KV cache bytes per token." default:"4096"`
+	KVRate        int           `help:"KV cache export rate in bytes per second; 0 disables the export." default:"100000000"`
+	LoadLag       time.Duration `help:"Minimum age of the load values that are announced." default:"100ms"`
+	EventGaps     float64       `help:"Fraction of cache events that is never sent." default:"0.1"`
 }
 
 type plainCommand struct {
-	common
-	Work time.Duration `help:"Time that a call takes." default:"5ms"`
+	upstreamOptions
+	Work time.Duration `help:"Processing time of a call." default:"5ms"`
 }
 
 type options struct {
-	Engine engineCommand `cmd:"" help:"Play a model engine."`
-	Plain  plainCommand  `cmd:"" help:"Play a plain service."`
-	Cloud  cloudCommand  `cmd:"" help:"Play the platform's cloud API and weight store."`
+	Engine engineCommand `cmd:"" help:"Run a stand-in model engine."`
+	Plain  plainCommand  `cmd:"" help:"Run a stand-in plain service."`
+	Cloud  cloudCommand  `cmd:"" help:"Run a stand-in for the platform's cloud API and weight store."`
 }
 
 func main() {
-	parsed := kong.Parse(&options{})
+	cli := kong.Parse(&options{})
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	parsed.BindTo(ctx, (*context.Context)(nil))
-	parsed.FatalIfErrorf(parsed.Run())
+	cli.BindTo(ctx, (*context.Context)(nil))
+	cli.FatalIfErrorf(cli.Run())
 }
 
-// Run plays a model engine until the notice has passed.
+// Run runs a stand-in model engine until the notice period after the signal has passed.
 func (c *engineCommand) Run(ctx context.Context) error {
 	engine := &standin.Engine{
 		Options: standin.EngineOptions{
@@ -92,7 +93,7 @@
 		Ledger: &standin.Ledger{},
 		Faults: &standin.Faults{},
 	}
-	host, err := c.host(server.Ledger, server.Faults)
+	host, err := c.newHost(server.Ledger, server.Faults)
 	if err != nil {
 		return err
 	}
@@ -132,14 +133,14 @@
 	return host.Run(ctx)
 }
 
-// Run plays a plain service until the notice has passed.
+// Run runs a stand-in plain service until the notice period after the signal has passed.
 func (c *plainCommand) Run(ctx context.Context) error {
 	plain := &standin.Plain{
 		Ledger: &standin.Ledger{},
 		Faults: &standin.Faults{},
 		Work:   c.Work,
 	}
-	host, err := c.host(plain.Ledger, plain.Faults)
+	host, err := c.newHost(plain.Ledger, plain.Faults)
 	if err != nil {
 		return err
 	}
@@ -148,7 +149,7 @@
 	return host.Run(ctx)
 }
 
-func (c *common) host(ledger *standin.Ledger, faults *standin.Faults) (*standin.Host, error) {
+func (c *upstreamOptions) newHost(ledger *standin.Ledger, faults *standin.Faults) (*standin.Host, error) {
 	if c.Journal != "" {
 		journal, err := standin.OpenJournal(c.Journal, c.Name)
 		if err != nil {
@@ -160,7 +161,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("listen on %s: %w; choose a free port", c.Listen, err)
 	}
-	source, err := c.source()
+	source, err := c.loadCertificate()
 	if err != nil {
 		return nil, err
 	}
@@ -188,8 +189,8 @@
 	}, nil
 }
 
-// source loads the certificate, or returns nil where none is named.
-func (c *common) source() (*certifier.Source, error) {
+// loadCertificate loads the certificate, or returns nil where the options name none.
+func (c *upstreamOptions) loadCertificate() (*certifier.Source, error) {
 	if c.Certificate == "" {
 		return nil, nil
 	}
--- a/src/measurer/bench.go
+++ b/src/measurer/bench.go
@@ -17,18 +17,19 @@
 	"github.com/rosecroft/rosecroft/src/stager"
 )
 
-// Bench runs experiments; its fields are set before use.
+// Bench runs the experiments; its fields are set before use.
 type Bench struct {
-	// Root is the repository's folder, Program and Standin the built programs.
+	// Root is the repository's folder, Program and Standin are the paths of the built programs.
 	Root    string
 	Program string
 	Standin string
 	Seed    uint64
-	// Quick shortens each experiment; its figures are trials only.
+	// Quick shortens each experiment; figures from such a run are trials only.
 	Quick bool
 }
 
-// Commit returns the commit whose programs are measured.
+// Commit returns the short hash of the repository's HEAD, whose programs are
+// measured, or "unknown".
 func (b *Bench) Commit() string {
 	output, err := exec.Command("git", "-C", b.Root, "rev-parse", "--short", "HEAD").Output()
 	if err != nil {
@@ -37,8 +38,8 @@
 	return strings.TrimSpace(string(output))
 }
 
-// result returns an empty result of an experiment.
-func (b *Bench) result(experiment, what string) *Result {
+// newResult returns a result without figures for an experiment.
+func (b *Bench) newResult(experiment, what string) *Result {
 	return &Result{
 		Experiment: experiment,
 		What:       what,
@@ -48,11 +49,12 @@
 	}
 }
 
-// stage returns a stage in a new folder and what removes it.
-func (b *Bench) stage() (*stager.Stage, func(), error) {
+// newStage returns a stage in a new temporary folder, and a function that stops the
+// stage and removes the folder.
+func (b *Bench) newStage() (*stager.Stage, func(), error) {
 	folder, err := os.MkdirTemp("", "rosecroft-measure-")
 	if err != nil {
-		return nil, nil, fmt.Errorf("make a folder for the experiment: %w", err)
+		return nil, nil, fmt.Errorf("create a temporary folder for the experiment: %w", err)
 	}
 	stage := &stager.Stage{
 		Folder:  folder,
@@ -65,15 +67,15 @@
 	}, nil
 }
 
-// span returns how long a load lasts.
-func (b *Bench) span(full time.Duration) time.Duration {
+// loadDuration returns the duration of a load: full, or a quarter of it for a quick run.
+func (b *Bench) loadDuration(full time.Duration) time.Duration {
 	if b.Quick {
 		return full / 4
 	}
 	return full
 }
 
-// deployment returns a deployment by name.
+// deployment returns an example deployment by name.
 func (b *Bench) deployment(name string) *deployer.Deployment {
 	if name == "cooperativa" {
 		return deployer.Cooperativa(b.Root)
@@ -81,58 +83,59 @@
 	return deployer.Hearthline(b.Root)
 }
 
-// withPolicy returns the deployment with another policy for its model service,
-// and without the accounts' limits, which would hide what the policy can do.
-func withPolicy(d *deployer.Deployment, policy parser.Policy, folder string) error {
+// setPolicy makes the deployment use a copy of its configuration, in folder, with
+// another policy for its model service and without the client accounts' limits,
+// which would hide the differences between policies.
+func setPolicy(d *deployer.Deployment, policy parser.Policy, folder string) error {
 	content, err := os.ReadFile(d.Configuration)
 	if err != nil {
 		return fmt.Errorf("read the configuration: %w", err)
 	}
 	document := strings.Replace(string(content), "policy: prefix-cost", "policy: "+string(policy), 1)
-	document = withoutLimits(document)
+	document = removeLimits(document)
 	d.Configuration = filepath.Join(folder, "configuration.yaml")
 	return os.WriteFile(d.Configuration, []byte(document), fileMode)
 }
 
-func withoutLimits(document string) string {
-	var kept []string
+func removeLimits(document string) string {
+	var lines []string
 	for _, line := range strings.Split(document, "\n") {
 		key, _, _ := strings.Cut(line, ":")
 		switch strings.TrimSpace(key) {
 		case "requests-per-second", "tokens-per-second", "concurrency":
 			line = key + ": 0"
 		}
-		kept = append(kept, line)
+		lines = append(lines, line)
 	}
-	return strings.Join(kept, "\n")
+	return strings.Join(lines, "\n")
 }
 
-// load runs workloads against base URLs.
-func (b *Bench) load(ctx context.Context, name string, urls []string, workloads []*loader.Workload, span time.Duration, resend bool) *loader.Report {
-	run := &loader.Loader{
+// runLoad sends the workloads to the servers at the base URLs.
+func (b *Bench) runLoad(ctx context.Context, name string, urls []string, workloads []*loader.Workload, duration time.Duration, resend bool) *loader.Report {
+	generator := &loader.Loader{
 		Balancer: &loader.Balancer{
 			Entries: urls,
 		},
 		Workloads: workloads,
-		Span:      span,
+		Span:      duration,
 		Seed:      b.Seed,
 		Name:      name,
 		Resend:    resend,
 	}
-	return run.Run(ctx)
+	return generator.Run(ctx)
 }
 
-// at returns a quantile of a histogram of durations.
-func at(histogram *hdrhistogram.Histogram, quantile float64) time.Duration {
-	return time.Duration(histogram.ValueAtQuantile(quantile))
+// durationAt returns the p-th percentile of a histogram of durations.
+func durationAt(histogram *hdrhistogram.Histogram, p float64) time.Duration {
+	return time.Duration(histogram.ValueAtQuantile(p))
 }
 
-func quantiles(histogram *hdrhistogram.Histogram) string {
-	return fmt.Sprintf("p50 %s, p99 %s", short(at(histogram, 50)), short(at(histogram, 99)))
+func formatPercentiles(histogram *hdrhistogram.Histogram) string {
+	return fmt.Sprintf("p50 %s, p99 %s", formatDuration(durationAt(histogram, 50)), formatDuration(durationAt(histogram, 99)))
 }
 
-// short returns a duration with three digits or so.
-func short(d time.Duration) string {
+// formatDuration rounds a duration to about three significant digits.
+func formatDuration(d time.Duration) string {
 	switch {
 	case d >= time.Second:
 		return d.Round(10 * time.Millisecond).String()
@@ -142,6 +145,6 @@
 	return d.Round(100 * time.Nanosecond).String()
 }
 
-func quantity(calls int64) string {
+func formatCallCount(calls int64) string {
 	return fmt.Sprintf("%d calls", calls)
 }
--- a/src/measurer/control.go
+++ b/src/measurer/control.go
@@ -19,52 +19,53 @@
 )
 
 const (
-	changes          = 200
-	changesPause     = 25 * time.Millisecond
-	changeEntries    = 8
-	leaderLosses     = 5
-	histogramMost    = int64(time.Minute)
-	histogramDigits  = 3
-	inForceTimeout   = 30 * time.Second
-	inForcePoll      = 2 * time.Millisecond
-	submitTimeout    = 2 * time.Second
-	fewVoters        = 3
-	manyVoters       = 5
-	operatorType     = "application/yaml"
-	leaderLostPauses = 2 * time.Second
+	changeCount              = 200
+	changePause              = 25 * time.Millisecond
+	changeEntries            = 8
+	leaderKills              = 5
+	histogramMax             = int64(time.Minute)
+	histogramDigits          = 3
+	inForceTimeout           = 30 * time.Second
+	inForcePollInterval      = 2 * time.Millisecond
+	requestTimeout           = 2 * time.Second
+	fewVoters                = 3
+	manyVoters               = 5
+	configurationContentType = "application/yaml"
+	leaderLossPause          = 2 * time.Second
 )
 
-// operator submits changes over HTTP, as the command line does.
-type operator struct {
+// operatorClient submits configuration versions over HTTP, as the command line does.
+type operatorClient struct {
 	stage    *stager.Stage
 	document string
 	version  uint64
 }
 
-func newOperator(d *deployer.Deployment, stage *stager.Stage) (*operator, error) {
+func newOperatorClient(d *deployer.Deployment, stage *stager.Stage) (*operatorClient, error) {
 	content, err := os.ReadFile(d.Configuration)
 	if err != nil {
 		return nil, fmt.Errorf("read the configuration: %w", err)
 	}
-	return &operator{
+	return &operatorClient{
 		stage:    stage,
 		document: string(content),
 		version:  1,
 	}, nil
 }
 
-// change submits the next version until it is accepted, and returns how long that took.
-func (o *operator) change(ctx context.Context) (time.Duration, error) {
+// submitNextVersion submits the next configuration version to the control instances
+// in turn until one accepts it, and returns how long that took.
+func (o *operatorClient) submitNextVersion(ctx context.Context) (time.Duration, error) {
 	o.version++
 	document := strings.Replace(o.document, "version: 1", fmt.Sprintf("version: %d", o.version), 1)
-	began := time.Now()
+	start := time.Now()
 	for {
 		for _, control := range o.stage.Controls {
-			if control.Running() && put(ctx, control.OperatorURL(), document) {
-				return time.Since(began), nil
+			if control.Running() && putConfiguration(ctx, control.OperatorURL(), document) {
+				return time.Since(start), nil
 			}
 		}
-		if time.Since(began) > inForceTimeout {
+		if time.Since(start) > inForceTimeout {
 			return 0, fmt.Errorf("version %d was not accepted within %s", o.version, inForceTimeout)
 		}
 		if err := ctx.Err(); err != nil {
@@ -73,44 +74,44 @@
 	}
 }
 
-// awaitInForce returns once the status says that the version is in force everywhere.
-func (o *operator) awaitInForce(ctx context.Context) error {
-	began := time.Now()
+// awaitInForce waits until a control instance's status reports the version as in force on all entries.
+func (o *operatorClient) awaitInForce(ctx context.Context) error {
+	start := time.Now()
 	for {
 		for _, control := range o.stage.Controls {
-			if control.Running() && o.everywhere(ctx, control.OperatorURL()) {
+			if control.Running() && o.isInForceEverywhere(ctx, control.OperatorURL()) {
 				return nil
 			}
 		}
-		if time.Since(began) > inForceTimeout {
+		if time.Since(start) > inForceTimeout {
 			return fmt.Errorf("version %d was not in force within %s", o.version, inForceTimeout)
 		}
-		time.Sleep(inForcePoll)
+		time.Sleep(inForcePollInterval)
 	}
 }
 
-func (o *operator) everywhere(ctx context.Context, url string) bool {
+func (o *operatorClient) isInForceEverywhere(ctx context.Context, url string) bool {
 	status := &messages.Status{}
-	content, ok := ask(ctx, http.MethodGet, url+"/v1/status", "")
+	content, ok := sendRequest(ctx, http.MethodGet, url+"/v1/status", "")
 	if !ok || protojson.Unmarshal(content, status) != nil {
 		return false
 	}
 	return status.GetAcceptedVersion() >= o.version && status.GetEntries() > 0 && status.GetInForce() == status.GetEntries()
 }
 
-func put(ctx context.Context, url, document string) bool {
-	_, ok := ask(ctx, http.MethodPut, url+"/v1/configuration", document)
+func putConfiguration(ctx context.Context, url, document string) bool {
+	_, ok := sendRequest(ctx, http.MethodPut, url+"/v1/configuration", document)
 	return ok
 }
 
-func ask(ctx context.Context, method, url, body string) ([]byte, bool) {
-	ctx, cancel := context.WithTimeout(ctx, submitTimeout)
+func sendRequest(ctx context.Context, method, url, body string) ([]byte, bool) {
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader([]byte(body)))
 	if err != nil {
 		return nil, false
 	}
-	request.Header.Set("Content-Type", operatorType)
+	request.Header.Set("Content-Type", configurationContentType)
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
 		return nil, false
@@ -120,24 +121,25 @@
 	return content, err == nil && response.StatusCode == http.StatusOK
 }
 
-// Changes measures how soon a change is accepted and in force, and how soon
-// the next is after the leader is killed.
-func (b *Bench) Changes(ctx context.Context) (*Result, error) {
-	result := b.result("changes", fmt.Sprintf("Changes of configuration with %d entries on loopback: submit to accepted, and to in force everywhere as the status tells; a killed leader to the next accepted change.", changeEntries))
+// ConfigurationChanges measures the time from submitting a configuration change until
+// it is accepted and until it is in force, and the time from killing the leader until
+// the next change is accepted.
+func (b *Bench) ConfigurationChanges(ctx context.Context) (*Result, error) {
+	result := b.newResult("changes", fmt.Sprintf("Changes of configuration with %d entries on loopback: submit to accepted, and to in force everywhere as the status tells; a killed leader to the next accepted change.", changeEntries))
 	for _, voters := range []int{fewVoters, manyVoters} {
-		if err := b.changes(ctx, result, voters); err != nil {
+		if err := b.measureChanges(ctx, result, voters); err != nil {
 			return nil, err
 		}
 	}
 	return result, nil
 }
 
-func (b *Bench) changes(ctx context.Context, result *Result, voters int) error {
-	stage, remove, err := b.stage()
+func (b *Bench) measureChanges(ctx context.Context, result *Result, voters int) error {
+	stage, cleanup, err := b.newStage()
 	if err != nil {
 		return err
 	}
-	defer remove()
+	defer cleanup()
 	d := b.deployment("hearthline")
 	d.Entries = changeEntries
 	d.Controls = voters
@@ -146,68 +148,68 @@
 	if _, err := d.Start(ctx, stage); err != nil {
 		return err
 	}
-	o, err := newOperator(d, stage)
+	o, err := newOperatorClient(d, stage)
 	if err != nil {
 		return err
 	}
-	accepted := hdrhistogram.New(1, histogramMost, histogramDigits)
-	inForce := hdrhistogram.New(1, histogramMost, histogramDigits)
-	count := changes
+	accepted := hdrhistogram.New(1, histogramMax, histogramDigits)
+	inForce := hdrhistogram.New(1, histogramMax, histogramDigits)
+	count := changeCount
 	if b.Quick {
 		count /= 4
 	}
 	for range count {
-		began := time.Now()
-		took, err := o.change(ctx)
+		start := time.Now()
+		elapsed, err := o.submitNextVersion(ctx)
 		if err != nil {
 			return err
 		}
-		_ = accepted.RecordValue(int64(took))
+		_ = accepted.RecordValue(int64(elapsed))
 		if err := o.awaitInForce(ctx); err != nil {
 			return err
 		}
-		_ = inForce.RecordValue(int64(time.Since(began)))
-		time.Sleep(changesPause)
+		_ = inForce.RecordValue(int64(time.Since(start)))
+		time.Sleep(changePause)
 	}
 	name := fmt.Sprintf("%d voters: ", voters)
-	result.Add(name+"submit to accepted", quantiles(accepted), fmt.Sprintf("%d changes", count), "")
-	result.Add(name+"submit to in force", quantiles(inForce), fmt.Sprintf("%d changes", count), "p99 at most 1s")
-	return b.leaderLosses(ctx, result, name, o)
+	result.Add(name+"submit to accepted", formatPercentiles(accepted), fmt.Sprintf("%d changes", count), "")
+	result.Add(name+"submit to in force", formatPercentiles(inForce), fmt.Sprintf("%d changes", count), "p99 at most 1s")
+	return b.measureLeaderLosses(ctx, result, name, o)
 }
 
-// leaderLosses kills the leader again and again and measures the time to the next accepted change.
-func (b *Bench) leaderLosses(ctx context.Context, result *Result, name string, o *operator) error {
-	gaps := hdrhistogram.New(1, histogramMost, histogramDigits)
-	for range leaderLosses {
-		leader, err := o.leader(ctx)
+// measureLeaderLosses kills the leader leaderKills times and measures the time until the next change is accepted.
+func (b *Bench) measureLeaderLosses(ctx context.Context, result *Result, name string, o *operatorClient) error {
+	recoveryTimes := hdrhistogram.New(1, histogramMax, histogramDigits)
+	for range leaderKills {
+		leader, err := o.findLeader(ctx)
 		if err != nil {
 			return err
 		}
 		leader.Kill()
-		took, err := o.change(ctx)
+		elapsed, err := o.submitNextVersion(ctx)
 		if err != nil {
 			return err
 		}
-		_ = gaps.RecordValue(int64(took))
+		_ = recoveryTimes.RecordValue(int64(elapsed))
 		if err := o.stage.Start(leader); err != nil {
 			return err
 		}
 		if err := o.stage.AwaitHealthy(ctx); err != nil {
 			return err
 		}
-		time.Sleep(leaderLostPauses)
+		time.Sleep(leaderLossPause)
 	}
-	result.Add(name+"leader killed to next accepted change", fmt.Sprintf("p50 %s, max %s", short(at(gaps, 50)), short(time.Duration(gaps.Max()))),
-		fmt.Sprintf("%d kills", leaderLosses), "at most 2s")
+	result.Add(name+"leader killed to next accepted change", fmt.Sprintf("p50 %s, max %s", formatDuration(durationAt(recoveryTimes, 50)), formatDuration(time.Duration(recoveryTimes.Max()))),
+		fmt.Sprintf("%d kills", leaderKills), "at most 2s")
 	return nil
 }
 
-// leader returns the control node that leads.
-func (o *operator) leader(ctx context.Context) (*stager.Node, error) {
-	began := time.Now()
-	for time.Since(began) < inForceTimeout {
+// findLeader returns the running control node that a control instance's status names as leader.
+func (o *operatorClient) findLeader(ctx context.Context) (*stager.Node, error) {
+	start := time.Now()
+	for time.Since(start) < inForceTimeout {
 		for _, control := range o.stage.Controls {
-			content, ok := ask(ctx, http.MethodGet, control.OperatorURL()+"/v1/status", "")
+			content, ok := sendRequest(ctx, http.MethodGet, control.OperatorURL()+"/v1/status", "")
 			status := &messages.Status{}
 			if !ok || protojson.Unmarshal(content, status) != nil {
 				continue
--- a/src/measurer/counter.go
+++ b/src/measurer/counter.go
@@ -9,23 +9,24 @@
 	"github.com/prometheus/common/model"
 )
 
-// counter returns the sum of a counter over its labels, from a scrape.
-func counter(scrape []byte, name string) float64 {
+// counterSum returns the sum of a counter over all label values in a scrape in the
+// Prometheus text format, or 0 where the scrape can't be parsed.
+func counterSum(scrape []byte, name string) float64 {
 	parser := expfmt.NewTextParser(model.LegacyValidation)
 	families, err := parser.TextToMetricFamilies(bytes.NewReader(scrape))
 	if err != nil {
 		return 0
 	}
 	total := 0.0
-	for family, metrics := range families {
-		if strings.TrimSuffix(family, "_total") == name {
-			total += sum(metrics)
+	for familyName, family := range families {
+		if strings.TrimSuffix(familyName, "_total") == name {
+			total += familySum(family)
 		}
 	}
 	return total
 }
 
-func sum(family *dto.MetricFamily) float64 {
+func familySum(family *dto.MetricFamily) float64 {
 	total := 0.0
 	for _, metric := range family.GetMetric() {
 		total += metric.GetCounter().GetValue()
--- a/src/measurer/doc.go
+++ b/src/measurer/doc.go
@@ -1,2 +1,3 @@
-// Package measurer runs experiments on real processes and keeps their figures for docs/MEASUREMENTS.md.
+// Package measurer runs performance and failure experiments on real processes,
+// stores their results and renders them into docs/MEASUREMENTS.md.
 package measurer
--- a/src/measurer/failures.go
+++ b/src/measurer/failures.go
@@ -11,17 +11,18 @@
 )
 
 const (
-	failureSeeds = 3
-	failureSpan  = 30 * time.Second
-	failureSteps = 18
+	failureSeedCount    = 3
+	failureLoadDuration = 30 * time.Second
+	failureCount        = 18
 )
 
-// Failures runs seeded schedules of failures over both deployments.
+// Failures runs both deployments under load with seeded schedules of failures and
+// reports the verdict on what callers were told.
 func (b *Bench) Failures(ctx context.Context) (*Result, error) {
-	result := b.result("failures", fmt.Sprintf("Both deployments at their sizes under load and %d failures in %s, drawn from all kinds; `bin/failures` runs one seed. Unknown are calls whose caller was told truthfully that nobody knows whether they ran.", failureSteps, failureSpan))
+	result := b.newResult("failures", fmt.Sprintf("Both deployments at their sizes under load and %d failures in %s, drawn from all kinds; `bin/failures` runs one seed. Unknown are calls whose caller was told truthfully that nobody knows whether they ran.", failureCount, failureLoadDuration))
 	for _, name := range []string{"hearthline", "cooperativa"} {
-		for seed := b.Seed; seed < b.Seed+failureSeeds; seed++ {
-			verdict, err := b.failures(ctx, name, seed)
+		for seed := b.Seed; seed < b.Seed+failureSeedCount; seed++ {
+			verdict, err := b.runFailures(ctx, name, seed)
 			if err != nil {
 				return nil, err
 			}
@@ -34,13 +35,13 @@
 	return result, nil
 }
 
-func (b *Bench) failures(ctx context.Context, name string, seed uint64) (*injector.Verdict, error) {
-	stage, remove, err := b.stage()
+func (b *Bench) runFailures(ctx context.Context, name string, seed uint64) (*injector.Verdict, error) {
+	stage, cleanup, err := b.newStage()
 	if err != nil {
 		return nil, err
 	}
-	defer remove()
-	span := b.span(failureSpan)
+	defer cleanup()
+	duration := b.loadDuration(failureLoadDuration)
 	experiment := &injector.Experiment{
 		Deployment: b.deployment(name),
 		Stage:      stage,
@@ -50,9 +51,9 @@
 			Once:   10,
 			Read:   10,
 		},
-		Span:     span,
+		Span:     duration,
 		Seed:     seed,
-		Schedule: injector.Draw(seed, span, failureSteps, injector.Acts),
+		Schedule: injector.Draw(seed, duration, failureCount, injector.Acts),
 		Log:      io.Discard,
 	}
 	verdict, _, err := experiment.Run(ctx)
--- a/src/measurer/figure.go
+++ b/src/measurer/figure.go
@@ -13,7 +13,7 @@
 
 const (
 	resultsFolder = "docs/measurements"
-	tableFile     = "docs/MEASUREMENTS.md"
+	pageFile      = "docs/MEASUREMENTS.md"
 	fileMode      = 0o644
 	folderMode    = 0o755
 )
@@ -22,22 +22,24 @@
 type Figure struct {
 	Name  string `yaml:"name"`
 	Value string `yaml:"value"`
-	// Spread tells how far repeated values lie apart, or how many there were.
+	// Spread is the variation of repeated values, the number of samples or a remark on them.
 	Spread string `yaml:"spread"`
-	Aim    string `yaml:"aim"`
+	// Aim is the target for the value, empty where there is none.
+	Aim string `yaml:"aim"`
 }
 
-// Result is what one experiment measured.
+// Result holds the figures of one experiment and what is needed to reproduce them.
 type Result struct {
-	Experiment string   `yaml:"experiment"`
-	What       string   `yaml:"what"`
-	Command    string   `yaml:"command"`
-	Seed       uint64   `yaml:"seed"`
-	Commit     string   `yaml:"commit"`
-	Figures    []Figure `yaml:"figures"`
-	// Note says what a reader must know to trust the figures.
+	Experiment string `yaml:"experiment"`
+	// What describes the experiment and its conditions.
+	What    string   `yaml:"what"`
+	Command string   `yaml:"command"`
+	Seed    uint64   `yaml:"seed"`
+	Commit  string   `yaml:"commit"`
+	Figures []Figure `yaml:"figures"`
+	// Note states the limitations of the figures.
 	Note string `yaml:"note"`
-	// Plots are files beside the results.
+	// Plots are the names of SVG files in the folder of results.
 	Plots []string `yaml:"plots"`
 }
 
@@ -51,15 +53,16 @@
 	})
 }
 
-// Save keeps a result below the repository's root and renders the table anew.
+// Save stores a result below the repository's root, in place of the experiment's
+// previous one, and renders the page again.
 func Save(root string, result *Result) error {
 	folder := filepath.Join(root, resultsFolder)
 	if err := os.MkdirAll(folder, folderMode); err != nil {
-		return fmt.Errorf("make the folder of results: %w", err)
+		return fmt.Errorf("create the results folder: %w", err)
 	}
 	content, err := yaml.Marshal(result)
 	if err != nil {
-		return fmt.Errorf("form the result: %w", err)
+		return fmt.Errorf("encode the result: %w", err)
 	}
 	if err := os.WriteFile(filepath.Join(folder, result.Experiment+".yaml"), content, fileMode); err != nil {
 		return fmt.Errorf("write the result: %w", err)
@@ -67,7 +70,8 @@
 	return Render(root)
 }
 
-// Render writes the table of all kept results.
+// Render writes docs/MEASUREMENTS.md from all stored results; a result that can't be
+// decoded is left out of the page and reported in the error.
 func Render(root string) error {
 	files, err := filepath.Glob(filepath.Join(root, resultsFolder, "*.yaml"))
 	if err != nil {
@@ -76,20 +80,20 @@
 	slices.Sort(files)
 	var page strings.Builder
 	page.WriteString(preamble)
-	var failures error
+	var readErrors error
 	for _, file := range files {
 		content, err := os.ReadFile(file)
 		if err != nil {
-			return fmt.Errorf("read a result: %w", err)
+			return fmt.Errorf("read a stored result: %w", err)
 		}
 		result := &Result{}
 		if err := yaml.Unmarshal(content, result); err != nil {
-			failures = errors.Join(failures, fmt.Errorf("read %s: %w", file, err))
+			readErrors = errors.Join(readErrors, fmt.Errorf("decode %s: %w", file, err))
 			continue
 		}
-		result.write(&page)
+		result.writeTo(&page)
 	}
-	return errors.Join(failures, os.WriteFile(filepath.Join(root, tableFile), []byte(page.String()), fileMode))
+	return errors.Join(readErrors, os.WriteFile(filepath.Join(root, pageFile), []byte(page.String()), fileMode))
 }
 
 const preamble = `# Measurements
@@ -99,7 +103,7 @@
 of this repository. Figures belong to the commit named beside them.
 `
 
-func (r *Result) write(page *strings.Builder) {
+func (r *Result) writeTo(page *strings.Builder) {
 	fmt.Fprintf(page, "\n## %s\n\n%s\n\n", r.Experiment, r.What)
 	fmt.Fprintf(page, "Command `%s`, seed %d, commit %s.\n\n", r.Command, r.Seed, r.Commit)
 	page.WriteString("| figure | measured | spread | aim |\n|---|---|---|---|\n")
--- a/src/measurer/plot.go
+++ b/src/measurer/plot.go
@@ -21,94 +21,94 @@
 	percent    = 100
 )
 
-// series is one named curve.
+// series is a named curve of a chart.
 type series struct {
 	name   string
 	points plotter.XYs
 }
 
-// plotCost draws, for each policy, the share of calls within the target against the fleet's price.
-func plotCost(path string, curves map[parser.Policy][]*trial) error {
-	var drawn []series
+// plotCost draws, for each policy, the percentage of calls within the latency target against the engines' price per hour.
+func plotCost(path string, trials map[parser.Policy][]*trial) error {
+	var curves []series
 	for _, policy := range policies {
-		one := series{
+		curve := series{
 			name: string(policy),
 		}
-		for _, t := range curves[policy] {
-			one.points = append(one.points, plotter.XY{
-				X: t.spent / t.report.Span.Hours(),
-				Y: percent * float64(t.good) / float64(max(1, len(t.report.Outcomes))),
+		for _, t := range trials[policy] {
+			curve.points = append(curve.points, plotter.XY{
+				X: t.engineCost / t.report.Span.Hours(),
+				Y: percent * float64(t.metTarget) / float64(max(1, len(t.report.Outcomes))),
 			})
 		}
-		drawn = append(drawn, one)
+		curves = append(curves, curve)
 	}
-	return draw(path, "Calls within the latency target", "price of the engines held, per hour", "calls within the target, %", drawn)
+	return writeChart(path, "Calls within the latency target", "price of the engines held, per hour", "calls within the target, %", curves)
 }
 
-// plotWave draws how many tokens each policy had computed again by a moment of the load.
-func plotWave(path string, waves []*trial) error {
-	var drawn []series
-	for _, t := range waves {
-		one := series{
+// plotWave draws the cumulative count of tokens that engines recomputed over the time of the load, for each policy.
+func plotWave(path string, trials []*trial) error {
+	var curves []series
+	for _, t := range trials {
+		curve := series{
 			name:   string(t.policy),
 			points: plotter.XYs{{}},
 		}
-		slices.SortFunc(t.again, func(a, b standin.Line) int { return a.At.Compare(b.At) })
+		slices.SortFunc(t.recomputations, func(a, b standin.Line) int { return a.At.Compare(b.At) })
 		total := 0
-		for _, line := range t.again {
+		for _, line := range t.recomputations {
 			total += line.Tokens
-			one.points = append(one.points, plotter.XY{
-				X: line.At.Sub(t.began).Seconds(),
+			curve.points = append(curve.points, plotter.XY{
+				X: line.At.Sub(t.startedAt).Seconds(),
 				Y: float64(total),
 			})
 		}
-		one.points = append(one.points, plotter.XY{
+		curve.points = append(curve.points, plotter.XY{
 			X: t.report.Span.Seconds(),
 			Y: float64(total),
 		})
-		drawn = append(drawn, one)
+		curves = append(curves, curve)
 	}
-	return draw(path, "Tokens computed again through a wave", "seconds of load; the wave comes at 6", "tokens", drawn)
+	return writeChart(path, "Tokens computed again through a wave", "seconds of load; the wave comes at 6", "tokens", curves)
 }
 
-// draw writes curves as an SVG file.
-func draw(path, title, x, y string, drawn []series) error {
+// writeChart writes the curves as a line chart to an SVG file.
+func writeChart(path, title, xLabel, yLabel string, curves []series) error {
 	if err := os.MkdirAll(filepath.Dir(path), folderMode); err != nil {
-		return fmt.Errorf("make the folder of plots: %w", err)
+		return fmt.Errorf("create the folder of plots: %w", err)
 	}
-	page := plot.New()
-	page.Title.Text = title
-	page.X.Label.Text = x
-	page.Y.Label.Text = y
-	page.Y.Min = 0
-	page.Legend.Top = true
-	for i, one := range drawn {
-		line, points, err := plotter.NewLinePoints(one.points)
+	chart := plot.New()
+	chart.Title.Text = title
+	chart.X.Label.Text = xLabel
+	chart.Y.Label.Text = yLabel
+	chart.Y.Min = 0
+	chart.Legend.Top = true
+	for i, curve := range curves {
+		line, points, err := plotter.NewLinePoints(curve.points)
 		if err != nil {
-			return fmt.Errorf("draw %s: %w", one.name, err)
+			return fmt.Errorf("draw %s: %w", curve.name, err)
 		}
 		line.Color = plotutil.Color(i)
 		points.Color = plotutil.Color(i)
 		points.Shape = plotutil.Shape(i)
-		page.Add(line, points)
-		page.Legend.Add(one.name, line, points)
+		chart.Add(line, points)
+		chart.Legend.Add(curve.name, line, points)
 	}
-	if err := page.Save(plotWidth, plotHeight, path); err != nil {
+	if err := chart.Save(plotWidth, plotHeight, path); err != nil {
 		return fmt.Errorf("write the plot: %w", err)
 	}
 	return nil
 }
 
-// curve draws a value of each slope against the size of its fleet.
-func curve(name string, slopes []slope, value func(slope) float64) series {
-	one := series{
+// costSeries returns the curve of one value of each cost against the number of entries.
+func costSeries(name string, costs []controlCost, value func(controlCost) float64) series {
+	result := series{
 		name: name,
 	}
-	for _, s := range slopes {
-		one.points = append(one.points, plotter.XY{
-			X: float64(s.nodes),
-			Y: value(s),
+	for _, cost := range costs {
+		result.points = append(result.points, plotter.XY{
+			X: float64(cost.entries),
+			Y: value(cost),
 		})
 	}
-	return one
+	return result
 }
--- a/src/measurer/policy.go
+++ b/src/measurer/policy.go
@@ -16,107 +16,110 @@
 )
 
 const (
-	policySpan = 16 * time.Second
-	// goodShare is the share of calls that must meet the target.
-	goodShare   = 0.95
-	firstToken  = time.Second
-	waveAt      = 6 * time.Second
-	perThousand = 1000
-	// Long prompts that share their beginnings, as bulletins and diaries do.
+	policyLoadDuration = 16 * time.Second
+	// targetFraction is the fraction of calls that must meet the latency target.
+	targetFraction   = 0.95
+	firstTokenTarget = time.Second
+	waveAt           = 6 * time.Second
+	perThousand      = 1000
+	// Long prompts with shared prefixes, as the example deployments' bulletins and diaries have.
 	policyPrefixes     = 6
 	policyPrefixBytes  = 32 << 10
 	policyPromptBytes  = 1 << 10
 	policyOutputTokens = 96
-	betweenTokens      = 27 * time.Millisecond
-	// In a wave the streams last for seconds and the notice is shorter.
+	tokenGapTarget     = 27 * time.Millisecond
+	// The streams of a wave last for several seconds, longer than the notice, so that
+	// they have to continue on other engines.
 	waveOutputTokens = 3000
-	waveRateShare    = 0.1
+	waveRateFraction = 0.1
 	waveNotice       = 3 * time.Second
 )
 
-// waveNote says what one wave cannot show.
+// waveNote states the limitations of a single wave; it is printed below the figures.
 const waveNote = "One wave with few streams is a small sample. Round-robin's 0 is not explained: each entry's turn begins at the same engine, so that few of its calls may have reached the engines that left, but no run has shown that this is the cause."
 
 var policies = []parser.Policy{parser.PrefixCost, parser.RoundRobin, parser.LeastLoaded}
 
-// trial is one run of one policy on one size of fleet.
+// trial is one run of a policy on a fleet with a number of engines.
 type trial struct {
 	policy  parser.Policy
 	engines int
 	report  *loader.Report
-	// spent is the price of the model engines held during the load.
-	spent float64
-	// good is how many streams met the target.
-	good int
-	// recomputed counts tokens that engines computed again for streams that went on.
+	// engineCost is the total price of the model engines held during the load.
+	engineCost float64
+	// metTarget is the number of streams that met the latency target.
+	metTarget int
+	// recomputed is the number of tokens that engines computed again to continue streams.
 	recomputed int
 	verdict    *injector.Verdict
-	// began is when the load began, again what engines computed anew since.
-	began time.Time
-	again []standin.Line
+	// startedAt is when the load started; recomputations are the recomputed tokens from
+	// the engines' journals.
+	startedAt      time.Time
+	recomputations []standin.Line
 }
 
-// costPerThousand is the price of the engines for 1,000 calls that met the target.
+// costPerThousand returns the engines' price per 1,000 calls that met the target.
 func (t *trial) costPerThousand() float64 {
-	return t.spent / float64(max(1, t.good)) * perThousand
+	return t.engineCost / float64(max(1, t.metTarget)) * perThousand
 }
 
-// meets reports whether enough calls met the target.
-func (t *trial) meets() bool {
-	return float64(t.good) >= goodShare*float64(len(t.report.Outcomes))
+// meetsTarget reports whether at least targetFraction of the calls met the target.
+func (t *trial) meetsTarget() bool {
+	return float64(t.metTarget) >= targetFraction*float64(len(t.report.Outcomes))
 }
 
-// recomputedPerThousand is for 1,000 output tokens.
+// recomputedPerThousand returns the recomputed tokens per 1,000 output tokens.
 func (t *trial) recomputedPerThousand() float64 {
 	return float64(t.recomputed) / float64(max(1, t.report.Tokens())) * perThousand
 }
 
-// Cost measures, for one deployment, the cheapest fleet with which each policy
-// meets the target, calm.
-func (b *Bench) Cost(ctx context.Context, name string) (*Result, error) {
+// PolicyCost finds, for one deployment and each policy, the smallest fleet that meets the
+// latency target without failures, and its cost.
+func (b *Bench) PolicyCost(ctx context.Context, name string) (*Result, error) {
 	rate, engines := fullLoad(name)
 	sizes := []int{engines / 4, engines / 3, engines / 2, engines * 3 / 4, engines}
-	result := b.result("cost-"+name, fmt.Sprintf("Cost at the latency target, %s: %.0f streams a second with long shared prompts; the smallest fleet of which 95 of 100 calls had their first token within 1 s and 27 ms between tokens at their 95th percentile.", name, rate))
-	curves := make(map[parser.Policy][]*trial)
+	result := b.newResult("cost-"+name, fmt.Sprintf("Cost at the latency target, %s: %.0f streams a second with long shared prompts; the smallest fleet of which 95 of 100 calls had their first token within 1 s and 27 ms between tokens at their 95th percentile.", name, rate))
+	trials := make(map[parser.Policy][]*trial)
 	best := make(map[parser.Policy]*trial)
 	for _, policy := range policies {
 		for _, size := range sizes {
-			t, err := b.trial(ctx, name, policy, size, calm(rate))
+			t, err := b.runTrial(ctx, name, policy, size, calmConditions(rate))
 			if err != nil {
 				return nil, err
 			}
-			curves[policy] = append(curves[policy], t)
-			if t.meets() {
+			trials[policy] = append(trials[policy], t)
+			if t.meetsTarget() {
 				best[policy] = t
 				break
 			}
 		}
-		addCost(result, policy, curves[policy], best[policy])
+		addCost(result, policy, trials[policy], best[policy])
 	}
 	result.Plots = []string{"cost-" + name + ".svg"}
-	return result, plotCost(filepath.Join(b.Root, resultsFolder, result.Plots[0]), curves)
+	return result, plotCost(filepath.Join(b.Root, resultsFolder, result.Plots[0]), trials)
 }
 
-// Wave measures, for one deployment, what a wave over a data centre costs each
-// policy on the full fleet.
-func (b *Bench) Wave(ctx context.Context, name string) (*Result, error) {
-	result := b.result("wave-"+name, fmt.Sprintf("A wave takes a data centre's engines back on a notice of %s, %s: streams of %d tokens with long shared prompts, on the full fleet. One run for each policy, in which a few streams are on the engines that leave.", waveNotice, name, waveOutputTokens))
+// ReclaimWave measures, for one deployment, the recomputation and cost of each policy on
+// the full fleet when all model engines of a data centre are reclaimed at once.
+func (b *Bench) ReclaimWave(ctx context.Context, name string) (*Result, error) {
+	result := b.newResult("wave-"+name, fmt.Sprintf("A wave takes a data centre's engines back on a notice of %s, %s: streams of %d tokens with long shared prompts, on the full fleet. One run for each policy, in which a few streams are on the engines that leave.", waveNotice, name, waveOutputTokens))
 	result.Note = waveNote
 	rate, engines := fullLoad(name)
-	var waves []*trial
+	var trials []*trial
 	for _, policy := range policies {
-		t, err := b.trial(ctx, name, policy, engines, wave(rate))
+		t, err := b.runTrial(ctx, name, policy, engines, waveConditions(rate))
 		if err != nil {
 			return nil, err
 		}
 		addWave(result, t)
-		waves = append(waves, t)
+		trials = append(trials, t)
 	}
 	result.Plots = []string{"wave-" + name + ".svg"}
-	return result, plotWave(filepath.Join(b.Root, resultsFolder, result.Plots[0]), waves)
+	return result, plotWave(filepath.Join(b.Root, resultsFolder, result.Plots[0]), trials)
 }
 
-// fullLoad returns the calm load of a deployment and how many engines it has.
+// fullLoad returns a deployment's load without failures, in streams per second, and
+// its number of engines.
 func fullLoad(name string) (rate float64, engines int) {
 	if name == "cooperativa" {
 		return 24, 12
@@ -124,15 +127,15 @@
 	return 40, 18
 }
 
-func addCost(result *Result, policy parser.Policy, curve []*trial, best *trial) {
+func addCost(result *Result, policy parser.Policy, trials []*trial, best *trial) {
 	if best == nil {
-		last := curve[len(curve)-1]
+		last := trials[len(trials)-1]
 		result.Add(string(policy)+": calm", "target not met",
-			fmt.Sprintf("%d of %d calls good with %d engines", last.good, len(last.report.Outcomes), last.engines), "")
+			fmt.Sprintf("%d of %d calls good with %d engines", last.metTarget, len(last.report.Outcomes), last.engines), "")
 		return
 	}
 	result.Add(string(policy)+": calm, cost of 1,000 good calls", fmt.Sprintf("%.4f", best.costPerThousand()),
-		fmt.Sprintf("%d engines, %d of %d calls good", best.engines, best.good, len(best.report.Outcomes)),
+		fmt.Sprintf("%d engines, %d of %d calls good", best.engines, best.metTarget, len(best.report.Outcomes)),
 		"prefix-cost 30% below the best baseline")
 }
 
@@ -140,75 +143,75 @@
 	result.Add(string(t.policy)+": wave, recomputed tokens per 1,000", fmt.Sprintf("%.1f", t.recomputedPerThousand()),
 		t.verdict.String(), "a tenth of the best baseline's")
 	result.Add(string(t.policy)+": wave, cost of 1,000 good calls", fmt.Sprintf("%.4f", t.costPerThousand()),
-		fmt.Sprintf("%d engines, %d of %d calls good", t.engines, t.good, len(t.report.Outcomes)), "")
+		fmt.Sprintf("%d engines, %d of %d calls good", t.engines, t.metTarget, len(t.report.Outcomes)), "")
 }
 
-// conditions are the load and the failures of a trial.
-type conditions struct {
-	rate     float64
-	tokens   int
-	schedule []injector.Step
-	// arguments are further options of the engines.
-	arguments []string
+// trialConditions are the load of a trial and the failures injected into it.
+type trialConditions struct {
+	rate         float64
+	outputTokens int
+	schedule     []injector.Step
+	// engineArguments are extra command-line arguments of the engines.
+	engineArguments []string
 }
 
-func calm(rate float64) conditions {
-	return conditions{
-		rate:   rate,
-		tokens: policyOutputTokens,
+func calmConditions(rate float64) trialConditions {
+	return trialConditions{
+		rate:         rate,
+		outputTokens: policyOutputTokens,
 	}
 }
 
-// wave takes a data centre's engines back on a notice that the streams outlast.
-func wave(rate float64) conditions {
-	return conditions{
-		rate:   rate * waveRateShare,
-		tokens: waveOutputTokens,
+// waveConditions reclaims a data centre's engines with a notice shorter than the streams.
+func waveConditions(rate float64) trialConditions {
+	return trialConditions{
+		rate:         rate * waveRateFraction,
+		outputTokens: waveOutputTokens,
 		schedule: []injector.Step{{
 			At:  waveAt,
 			Act: injector.Wave,
 		}},
-		arguments: []string{"--notice", waveNotice.String()},
+		engineArguments: []string{"--notice", waveNotice.String()},
 	}
 }
 
-// trial runs one policy on a fleet of a size.
-func (b *Bench) trial(ctx context.Context, name string, policy parser.Policy, engines int, under conditions) (*trial, error) {
-	stage, remove, err := b.stage()
+// runTrial runs a policy on a fleet with a number of engines.
+func (b *Bench) runTrial(ctx context.Context, name string, policy parser.Policy, engines int, conditions trialConditions) (*trial, error) {
+	stage, cleanup, err := b.newStage()
 	if err != nil {
 		return nil, err
 	}
-	defer remove()
+	defer cleanup()
 	d := b.deployment(name)
 	d.Pools[0].Count = engines
 	d.Pools[0].Offers = d.Pools[0].Offers[:1]
-	d.Pools[0].Arguments = append(d.Pools[0].Arguments, under.arguments...)
+	d.Pools[0].Arguments = append(d.Pools[0].Arguments, conditions.engineArguments...)
 	d.Pools[1].Count = 1
-	if err := withPolicy(d, policy, stage.Folder); err != nil {
+	if err := setPolicy(d, policy, stage.Folder); err != nil {
 		return nil, err
 	}
 	fleet, err := d.Start(ctx, stage)
 	if err != nil {
 		return nil, err
 	}
-	workloads := fleet.Mixed(deployer.Rates{Stream: under.rate})
+	workloads := fleet.Mixed(deployer.Rates{Stream: conditions.rate})
 	for _, workload := range workloads {
 		workload.Prefixes = policyPrefixes
 		workload.PrefixBytes = policyPrefixBytes
 		workload.PromptBytes = policyPromptBytes
-		workload.OutputTokens = under.tokens
+		workload.OutputTokens = conditions.outputTokens
 	}
-	span := b.span(policySpan)
-	wrecking := &injector.Injector{
+	duration := b.loadDuration(policyLoadDuration)
+	faultInjector := &injector.Injector{
 		Fleet:    fleet,
-		Schedule: under.schedule,
+		Schedule: conditions.schedule,
 		Log:      os.Stdout,
 	}
-	wrecked := make(chan error, 1)
-	go func() { wrecked <- wrecking.Run(ctx) }()
-	began := time.Now()
-	report := b.load(ctx, string(policy), fleet.EntryURLs(), workloads, span, true)
-	if err := <-wrecked; err != nil {
+	injected := make(chan error, 1)
+	go func() { injected <- faultInjector.Run(ctx) }()
+	startedAt := time.Now()
+	report := b.runLoad(ctx, string(policy), fleet.EntryURLs(), workloads, duration, true)
+	if err := <-injected; err != nil {
 		return nil, err
 	}
 	truth, err := injector.ReadTruth(fleet.Journals)
@@ -216,23 +219,23 @@
 		return nil, err
 	}
 	t := &trial{
-		policy:     policy,
-		engines:    engines,
-		report:     report,
-		spent:      spent(fleet, began, time.Now()),
-		good:       report.Within(firstToken, betweenTokens),
-		recomputed: truth.RecomputedTokens(),
-		verdict:    injector.Check(report, truth, under.schedule),
-		began:      began,
-		again:      truth.Recomputed,
+		policy:         policy,
+		engines:        engines,
+		report:         report,
+		engineCost:     engineCostBetween(fleet, startedAt, time.Now()),
+		metTarget:      report.Within(firstTokenTarget, tokenGapTarget),
+		recomputed:     truth.RecomputedTokens(),
+		verdict:        injector.Check(report, truth, conditions.schedule),
+		startedAt:      startedAt,
+		recomputations: truth.Recomputed,
 	}
-	fmt.Printf("%s %s engines=%d good=%d of %d first-token %s cost=%.4f recomputed=%.1f %s\n", name, policy, engines, t.good,
-		len(report.Outcomes), quantiles(report.FirstTokens()), t.costPerThousand(), t.recomputedPerThousand(), t.verdict)
+	fmt.Printf("%s %s engines=%d good=%d of %d first-token %s cost=%.4f recomputed=%.1f %s\n", name, policy, engines, t.metTarget,
+		len(report.Outcomes), formatPercentiles(report.FirstTokens()), t.costPerThousand(), t.recomputedPerThousand(), t.verdict)
 	return t, nil
 }
 
-// spent returns the price of the model engines held between two moments.
-func spent(fleet *deployer.Fleet, from, to time.Time) float64 {
+// engineCostBetween returns the price of the time for which model engines were held between two times.
+func engineCostBetween(fleet *deployer.Fleet, from, to time.Time) float64 {
 	total := 0.0
 	for _, member := range fleet.Upstreams {
 		if member.Pool.Kind != "engine" {
--- a/src/measurer/process.go
+++ b/src/measurer/process.go
@@ -9,44 +9,44 @@
 )
 
 const (
-	// clockTick is the kernel's unit of processor time in /proc.
+	// clockTick is the kernel's unit of processor time in /proc (USER_HZ is 100).
 	clockTick = 10 * time.Millisecond
-	// Fields of /proc/PID/stat behind the program's name.
-	userField   = 11
-	systemField = 12
+	// Indices of the fields utime and stime of /proc/PID/stat, counted after the
+	// parenthesized program name, which may itself contain spaces.
+	userTimeIndex   = 11
+	systemTimeIndex = 12
 )
 
-// usage is what a process has used so far.
+// usage is a process's cumulative processor time and current resident memory.
 type usage struct {
-	processor time.Duration
-	// resident is in bytes.
-	resident int64
+	cpuTime       time.Duration
+	residentBytes int64
 }
 
-// read returns the usage of a process.
-func read(pid int) (usage, error) {
+// readUsage reads the usage of a process from /proc.
+func readUsage(pid int) (usage, error) {
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
-		return usage{}, fmt.Errorf("read the process's usage: %w", err)
+		return usage{}, fmt.Errorf("read the usage of the process: %w", err)
 	}
-	_, behind, _ := strings.Cut(string(stat), ") ")
-	fields := strings.Fields(behind)
-	user, err := strconv.ParseInt(fields[userField], 10, 64)
+	_, afterName, _ := strings.Cut(string(stat), ") ")
+	fields := strings.Fields(afterName)
+	user, err := strconv.ParseInt(fields[userTimeIndex], 10, 64)
 	if err != nil {
 		return usage{}, err
 	}
-	system, err := strconv.ParseInt(fields[systemField], 10, 64)
+	system, err := strconv.ParseInt(fields[systemTimeIndex], 10, 64)
 	if err != nil {
 		return usage{}, err
 	}
-	resident, err := residentBytes(pid)
+	residentBytes, err := readResidentBytes(pid)
 	return usage{
-		processor: time.Duration(user+system) * clockTick,
-		resident:  resident,
+		cpuTime:       time.Duration(user+system) * clockTick,
+		residentBytes: residentBytes,
 	}, err
 }
 
-func residentBytes(pid int) (int64, error) {
+func readResidentBytes(pid int) (int64, error) {
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
 		return 0, err
@@ -59,5 +59,5 @@
 		kibibytes, err := strconv.ParseInt(strings.Fields(value)[0], 10, 64)
 		return kibibytes << 10, err
 	}
-	return 0, fmt.Errorf("process %d has no resident memory", pid)
+	return 0, fmt.Errorf("/proc/%d/status has no VmRSS field", pid)
 }
--- a/src/measurer/record.go
+++ b/src/measurer/record.go
@@ -10,20 +10,20 @@
 )
 
 const (
-	recordSpan = 15 * time.Second
-	recordRate = 100
+	recordLoadDuration = 15 * time.Second
+	recordRate         = 100
 )
 
-// Record measures what the replicated record adds to a call that may not be repeated.
-func (b *Bench) Record(ctx context.Context) (*Result, error) {
-	stage, remove, err := b.stage()
+// RecordCost measures the latency that replicating the call's record adds to a call that must not run twice.
+func (b *Bench) RecordCost(ctx context.Context) (*Result, error) {
+	stage, cleanup, err := b.newStage()
 	if err != nil {
 		return nil, err
 	}
-	defer remove()
+	defer cleanup()
 	d := b.deployment("hearthline")
 	d.Pools[0].Count = 1
-	if err := withPolicy(d, parser.PrefixCost, stage.Folder); err != nil {
+	if err := setPolicy(d, parser.PrefixCost, stage.Folder); err != nil {
 		return nil, err
 	}
 	fleet, err := d.Start(ctx, stage)
@@ -34,13 +34,13 @@
 		Once: recordRate,
 		Read: recordRate,
 	})
-	report := b.load(ctx, "record", fleet.EntryURLs(), workloads, b.span(recordSpan), false)
+	report := b.runLoad(ctx, "record", fleet.EntryURLs(), workloads, b.loadDuration(recordLoadDuration), false)
 	once := report.Latencies(loader.Once)
 	read := report.Latencies(loader.Read)
-	result := b.result("record", "The cost of the record: calls that may not be repeated beside repeatable ones, 100 of each a second, 9 entries, 4 plain services that work 5 ms a call.")
-	result.Add("not repeatable", quantiles(once), quantity(once.TotalCount()), "")
-	result.Add("repeatable", quantiles(read), quantity(read.TotalCount()), "")
-	result.Add("added at p50", short(at(once, 50)-at(read, 50)), "", "")
-	result.Add("added at p99", short(at(once, 99)-at(read, 99)), "", "")
+	result := b.newResult("record", "The cost of the record: calls that may not be repeated beside repeatable ones, 100 of each a second, 9 entries, 4 plain services that work 5 ms a call.")
+	result.Add("not repeatable", formatPercentiles(once), formatCallCount(once.TotalCount()), "")
+	result.Add("repeatable", formatPercentiles(read), formatCallCount(read.TotalCount()), "")
+	result.Add("added at p50", formatDuration(durationAt(once, 50)-durationAt(read, 50)), "", "")
+	result.Add("added at p99", formatDuration(durationAt(once, 99)-durationAt(read, 99)), "", "")
 	return result, nil
 }
--- a/src/measurer/repair.go
+++ b/src/measurer/repair.go
@@ -16,41 +16,42 @@
 )
 
 const (
-	repairControls = 5
-	repairVoters   = 3
-	repairs        = 3
-	repairAfter    = time.Second
-	repairPoll     = 5 * time.Millisecond
-	behindChanges  = 500
-	// metricsLag is longer than the processes' interval of reporting counters.
-	metricsLag = 1500 * time.Millisecond
+	repairControls     = 5
+	repairVoters       = 3
+	repairCount        = 3
+	repairDelay        = time.Second
+	repairPollInterval = 5 * time.Millisecond
+	missedChanges      = 500
+	// metricsDelay is longer than the interval at which processes update their counters.
+	metricsDelay = 1500 * time.Millisecond
 )
 
-// Repair measures how soon the log can lose a voter again after one was lost
-// for good, and how a process catches up that restarts 500 changes behind.
+// Repair measures how soon the replicated log can tolerate the loss of another voter
+// after one was lost for good, and how much time and traffic a process that restarts
+// 500 changes behind takes to catch up.
 func (b *Bench) Repair(ctx context.Context) (*Result, error) {
-	result := b.result("repair", fmt.Sprintf("A voter of %d is killed and its disk removed; a spare takes its place after timing.repair (%s here). Then processes that restart %d changes behind.", repairVoters, repairAfter, behindChanges))
-	if err := b.withFleet(ctx, repairControls, func(o *operator) error {
-		return b.repairs(ctx, result, o)
+	result := b.newResult("repair", fmt.Sprintf("A voter of %d is killed and its disk removed; a spare takes its place after timing.repair (%s here). Then processes that restart %d changes behind.", repairVoters, repairDelay, missedChanges))
+	if err := b.withRepairFleet(ctx, repairControls, func(o *operatorClient) error {
+		return b.measureRepairs(ctx, result, o)
 	}); err != nil {
 		return nil, err
 	}
-	// Without spares nobody takes the place of the one that is behind.
-	err := b.withFleet(ctx, repairVoters, func(o *operator) error {
-		return b.behind(ctx, result, o)
+	// Without spare control instances the voter that is behind is not replaced.
+	err := b.withRepairFleet(ctx, repairVoters, func(o *operatorClient) error {
+		return b.measureCatchUp(ctx, result, o)
 	})
 	return result, err
 }
 
-// withFleet runs a part of the experiment on a small fleet of its own.
-func (b *Bench) withFleet(ctx context.Context, controls int, part func(*operator) error) error {
-	stage, remove, err := b.stage()
+// withRepairFleet runs a part of the experiment on a new small fleet.
+func (b *Bench) withRepairFleet(ctx context.Context, controls int, run func(*operatorClient) error) error {
+	stage, cleanup, err := b.newStage()
 	if err != nil {
 		return err
 	}
-	defer remove()
+	defer cleanup()
 	stage.Voters = repairVoters
-	stage.Timing.Repair = repairAfter
+	stage.Timing.Repair = repairDelay
 	d := b.deployment("hearthline")
 	d.Controls = controls
 	d.Entries = 2
@@ -59,52 +60,52 @@
 	if _, err := d.Start(ctx, stage); err != nil {
 		return err
 	}
-	o, err := newOperator(d, stage)
+	o, err := newOperatorClient(d, stage)
 	if err != nil {
 		return err
 	}
-	return part(o)
+	return run(o)
 }
 
-func (b *Bench) repairs(ctx context.Context, result *Result, o *operator) error {
-	whole := hdrhistogram.New(1, histogramMost, histogramDigits)
-	joining := hdrhistogram.New(1, histogramMost, histogramDigits)
-	for range repairs {
-		leader, err := o.leader(ctx)
+func (b *Bench) measureRepairs(ctx context.Context, result *Result, o *operatorClient) error {
+	lossToRepaired := hdrhistogram.New(1, histogramMax, histogramDigits)
+	joinToRepaired := hdrhistogram.New(1, histogramMax, histogramDigits)
+	for range repairCount {
+		leader, err := o.findLeader(ctx)
 		if err != nil {
 			return err
 		}
-		victim := o.follower(ctx, leader)
-		if victim == nil {
-			return fmt.Errorf("the leader %s names no other voter", leader.Settings.Name)
+		lostVoter := o.findFollower(ctx, leader)
+		if lostVoter == nil {
+			return fmt.Errorf("the dump of leader %s lists no other running voter", leader.Settings.Name)
 		}
-		victim.Kill()
-		killed := time.Now()
-		if err := os.RemoveAll(victim.Settings.DataFolder); err != nil {
+		lostVoter.Kill()
+		killedAt := time.Now()
+		if err := os.RemoveAll(lostVoter.Settings.DataFolder); err != nil {
 			return err
 		}
-		joined, repaired, err := o.awaitRepair(ctx, leader, victim.Settings.Name)
+		joinedAt, repairedAt, err := o.awaitRepair(ctx, leader, lostVoter.Settings.Name)
 		if err != nil {
 			return err
 		}
-		_ = whole.RecordValue(int64(repaired.Sub(killed)))
-		_ = joining.RecordValue(int64(repaired.Sub(joined)))
-		if err := o.stage.Start(victim); err != nil {
+		_ = lossToRepaired.RecordValue(int64(repairedAt.Sub(killedAt)))
+		_ = joinToRepaired.RecordValue(int64(repairedAt.Sub(joinedAt)))
+		if err := o.stage.Start(lostVoter); err != nil {
 			return err
 		}
 		if err := o.stage.AwaitHealthy(ctx); err != nil {
 			return err
 		}
 	}
-	spread := fmt.Sprintf("%d losses", repairs)
-	result.Add("voter lost to able to lose the next", fmt.Sprintf("p50 %s, max %s", short(at(whole, 50)), short(time.Duration(whole.Max()))), spread, "")
-	result.Add("replacement joins to able to lose the next", fmt.Sprintf("p50 %s, max %s", short(at(joining, 50)), short(time.Duration(joining.Max()))), spread, "at most 5s")
+	spread := fmt.Sprintf("%d losses", repairCount)
+	result.Add("voter lost to able to lose the next", fmt.Sprintf("p50 %s, max %s", formatDuration(durationAt(lossToRepaired, 50)), formatDuration(time.Duration(lossToRepaired.Max()))), spread, "")
+	result.Add("replacement joins to able to lose the next", fmt.Sprintf("p50 %s, max %s", formatDuration(durationAt(joinToRepaired, 50)), formatDuration(time.Duration(joinToRepaired.Max()))), spread, "at most 5s")
 	return nil
 }
 
-// follower returns a running voter that does not lead.
-func (o *operator) follower(ctx context.Context, leader *stager.Node) *stager.Node {
-	dump, ok := controlState(ctx, leader)
+// findFollower returns a running voter that is not the leader, or nil.
+func (o *operatorClient) findFollower(ctx context.Context, leader *stager.Node) *stager.Node {
+	dump, ok := readControlDump(ctx, leader)
 	if !ok {
 		return nil
 	}
@@ -118,62 +119,64 @@
 	return nil
 }
 
-// awaitRepair returns when a replacement joined and when all voters wanted were there without the lost one.
-func (o *operator) awaitRepair(ctx context.Context, leader *stager.Node, lost units.Instance) (joined, repaired time.Time, err error) {
-	before, _ := controlState(ctx, leader)
-	known := make(map[units.VoterID]bool)
+// awaitRepair waits until the lost voter is removed and there are repairVoters voters
+// again; it returns when the replacement joined and when the repair was complete.
+func (o *operatorClient) awaitRepair(ctx context.Context, leader *stager.Node, lost units.Instance) (joinedAt, repairedAt time.Time, err error) {
+	before, _ := readControlDump(ctx, leader)
+	knownVoters := make(map[units.VoterID]bool)
 	for _, member := range before.Members {
-		known[member.ID] = true
+		knownVoters[member.ID] = true
 	}
-	began := time.Now()
-	for time.Since(began) < inForceTimeout {
-		time.Sleep(repairPoll)
-		dump, ok := controlState(ctx, leader)
+	start := time.Now()
+	for time.Since(start) < inForceTimeout {
+		time.Sleep(repairPollInterval)
+		dump, ok := readControlDump(ctx, leader)
 		if !ok {
 			continue
 		}
 		voters := 0
-		gone := true
+		lostRemoved := true
 		for _, member := range dump.Members {
-			if !known[member.ID] && joined.IsZero() {
-				joined = time.Now()
+			if !knownVoters[member.ID] && joinedAt.IsZero() {
+				joinedAt = time.Now()
 			}
 			if member.ID.Instance() == lost {
-				gone = false
+				lostRemoved = false
 			}
 			if !member.Learner {
 				voters++
 			}
 		}
-		if gone && voters == repairVoters {
-			return joined, time.Now(), nil
+		if lostRemoved && voters == repairVoters {
+			return joinedAt, time.Now(), nil
 		}
 	}
-	return joined, repaired, fmt.Errorf("%s was not replaced within %s", lost, inForceTimeout)
+	return joinedAt, repairedAt, fmt.Errorf("%s was not replaced within %s", lost, inForceTimeout)
 }
 
-func controlState(ctx context.Context, node *stager.Node) (*control.Dump, bool) {
+func readControlDump(ctx context.Context, node *stager.Node) (*control.Dump, bool) {
 	dump := &control.Dump{}
-	content, ok := ask(ctx, http.MethodGet, node.OperatorURL()+"/dump", "")
+	content, ok := sendRequest(ctx, http.MethodGet, node.OperatorURL()+"/dump", "")
 	return dump, ok && yaml.Unmarshal(content, dump) == nil
 }
 
-// behind kills a control follower and an entry, makes changes and starts both again.
-func (b *Bench) behind(ctx context.Context, result *Result, o *operator) error {
-	leader, err := o.leader(ctx)
+// measureCatchUp kills a control follower and an entry, submits changes and measures how
+// long each takes to catch up after its restart.
+func (b *Bench) measureCatchUp(ctx context.Context, result *Result, o *operatorClient) error {
+	leader, err := o.findLeader(ctx)
 	if err != nil {
 		return err
 	}
-	follower := o.follower(ctx, leader)
+	follower := o.findFollower(ctx, leader)
 	entry := o.stage.Entries[0]
 	follower.Kill()
 	entry.Kill()
-	count := behindChanges
+	count := missedChanges
 	if b.Quick {
 		count /= 10
 	}
 	for range count {
-		if _, err := o.change(ctx); err != nil {
+		if _, err := o.submitNextVersion(ctx); err != nil {
 			return err
 		}
 	}
@@ -184,24 +187,24 @@
 		if err := o.stage.Start(node); err != nil {
 			return err
 		}
-		began := time.Now()
-		if err := o.awaitVersion(ctx, node); err != nil {
+		start := time.Now()
+		if err := o.awaitCatchUp(ctx, node); err != nil {
 			return err
 		}
-		took := time.Since(began)
-		time.Sleep(metricsLag)
-		content, _ := ask(ctx, http.MethodGet, node.OperatorURL()+"/metrics", "")
+		elapsed := time.Since(start)
+		time.Sleep(metricsDelay)
+		content, _ := sendRequest(ctx, http.MethodGet, node.OperatorURL()+"/metrics", "")
 		result.Add(fmt.Sprintf("%s restarted %d changes behind", name, count),
-			fmt.Sprintf("%s, %.0f KB", short(took), counter(content, "rosecroft_peer_bytes")/kilobyte), "once", "")
+			fmt.Sprintf("%s, %.0f KB", formatDuration(elapsed), counterSum(content, "rosecroft_peer_bytes")/kilobyte), "once", "")
 	}
 	return nil
 }
 
-// awaitVersion waits until a process knows the newest version.
-func (o *operator) awaitVersion(ctx context.Context, node *stager.Node) error {
-	began := time.Now()
-	for time.Since(began) < inForceTimeout {
-		content, ok := ask(ctx, http.MethodGet, node.OperatorURL()+"/dump", "")
+// awaitCatchUp waits until a process has the newest version.
+func (o *operatorClient) awaitCatchUp(ctx context.Context, node *stager.Node) error {
+	start := time.Now()
+	for time.Since(start) < inForceTimeout {
+		content, ok := sendRequest(ctx, http.MethodGet, node.OperatorURL()+"/dump", "")
 		dump := struct {
 			Accepted uint64 `yaml:"accepted-version"`
 			InForce  uint64 `yaml:"version-in-force"`
@@ -209,7 +212,7 @@
 		if ok && yaml.Unmarshal(content, &dump) == nil && max(dump.Accepted, dump.InForce) >= o.version {
 			return nil
 		}
-		time.Sleep(repairPoll)
+		time.Sleep(repairPollInterval)
 	}
 	return fmt.Errorf("%s did not catch up within %s", node.Settings.Name, inForceTimeout)
 }
--- a/src/measurer/slopes.go
+++ b/src/measurer/slopes.go
@@ -11,216 +11,221 @@
 )
 
 const (
-	slopeSpan   = 20 * time.Second
-	slopeSettle = 6 * time.Second
-	// busyChange is the pace that 9,200 changes a day amount to.
-	busyChange = 9 * time.Second
-	kilobyte   = 1000
-	megabyte   = 1000 * kilobyte
+	observationDuration = 20 * time.Second
+	settleTime          = 6 * time.Second
+	// busyChangeInterval is the interval between changes at 9,200 changes per day.
+	busyChangeInterval = 9 * time.Second
+	kilobyte           = 1000
+	megabyte           = 1000 * kilobyte
 )
 
 var (
-	slopeNodes     = []int{8, 16, 32, 64}
-	slopeUpstreams = []int{1, 15, 47}
+	entryCounts  = []int{8, 16, 32, 64}
+	engineCounts = []int{1, 15, 47}
 )
 
-// slope is what control costs at one size of fleet.
-type slope struct {
-	nodes int
-	// The shares are of one core, entry for the mean of all entries.
-	entry, leader, follower       float64
-	entryMemory, leaderMemory     int64
-	entryBytes, leaderBytes       float64
-	entryMessages, leaderMessages float64
+// controlCost is what the control traffic costs each process at one fleet size.
+type controlCost struct {
+	entries int
+	// The CPU values are fractions of one core. The entry values are the mean of all
+	// entries; maxFollowerCPU is the highest of all followers. Memory is in bytes.
+	entryCPU, leaderCPU, maxFollowerCPU             float64
+	entryMemory, leaderMemory                       int64
+	entryBytesPerSecond, leaderBytesPerSecond       float64
+	entryMessagesPerSecond, leaderMessagesPerSecond float64
 }
 
-// Slopes measures what control costs a node and the leader as the fleet grows,
-// calm and at one change each nine seconds, without any calls.
-func (b *Bench) Slopes(ctx context.Context) (*Result, error) {
-	result := b.result("slopes", "What control costs while no calls are made: share of a core, resident memory and bytes a second, for the mean entry and for the control leader, at growing sizes of fleet. A change every 9 s is the pace of 9,200 a day.")
-	nodes := slopeNodes
+// ControlCostByEntries measures what control costs an entry and the control leader as
+// the number of entries grows, without any calls: first without configuration changes,
+// then with one every nine seconds.
+func (b *Bench) ControlCostByEntries(ctx context.Context) (*Result, error) {
+	result := b.newResult("slopes", "What control costs while no calls are made: share of a core, resident memory and bytes a second, for the mean entry and for the control leader, at growing sizes of fleet. A change every 9 s is the pace of 9,200 a day.")
+	counts := entryCounts
 	if b.Quick {
-		nodes = nodes[:2]
+		counts = counts[:2]
 	}
-	var calm, busy []slope
-	for _, count := range nodes {
-		quiet, changing, err := b.slope(ctx, count)
+	var calm, busy []controlCost
+	for _, count := range counts {
+		calmCost, busyCost, err := b.measureCalmAndBusy(ctx, count)
 		if err != nil {
 			return nil, err
 		}
-		calm = append(calm, quiet)
-		busy = append(busy, changing)
-		addSlope(result, "calm", quiet)
-		addSlope(result, "a change every 9 s", changing)
+		calm = append(calm, calmCost)
+		busy = append(busy, busyCost)
+		addControlCost(result, "calm", calmCost)
+		addControlCost(result, "a change every 9 s", busyCost)
 	}
 	result.Plots = []string{"slopes-processor.svg", "slopes-bytes.svg"}
-	return result, b.plotSlopes(calm, busy)
+	return result, b.plotControlCosts(calm, busy)
 }
 
-// Upstreams measures what control costs as the upstreams grow at one size of fleet.
-func (b *Bench) Upstreams(ctx context.Context) (*Result, error) {
-	result := b.result("upstreams", fmt.Sprintf("What control costs %d entries while no calls are made, by the count of upstreams that announce themselves to every entry.", changeEntries))
-	for _, engines := range slopeUpstreams {
-		calm, err := b.calm(ctx, changeEntries, engines)
+// ControlCostByUpstreams measures what control costs as the number of upstreams grows,
+// with a fixed number of entries.
+func (b *Bench) ControlCostByUpstreams(ctx context.Context) (*Result, error) {
+	result := b.newResult("upstreams", fmt.Sprintf("What control costs %d entries while no calls are made, by the count of upstreams that announce themselves to every entry.", changeEntries))
+	for _, engines := range engineCounts {
+		calm, err := b.measureCalm(ctx, changeEntries, engines)
 		if err != nil {
 			return nil, err
 		}
-		addSlope(result, fmt.Sprintf("%d upstreams, calm", engines+1), calm)
+		addControlCost(result, fmt.Sprintf("%d upstreams, calm", engines+1), calm)
 	}
 	return result, nil
 }
 
-func (b *Bench) calm(ctx context.Context, nodes, engines int) (slope, error) {
-	o, remove, err := b.idle(ctx, nodes, engines)
+func (b *Bench) measureCalm(ctx context.Context, entries, engines int) (controlCost, error) {
+	o, cleanup, err := b.startIdleFleet(ctx, entries, engines)
 	if err != nil {
-		return slope{}, err
+		return controlCost{}, err
 	}
-	defer remove()
-	s, err := b.observe(ctx, o, func() error { return nil })
-	s.nodes = nodes
-	return s, err
+	defer cleanup()
+	cost, err := b.observe(ctx, o, func() error { return nil })
+	cost.entries = entries
+	return cost, err
 }
 
-func addSlope(result *Result, name string, s slope) {
-	prefix := fmt.Sprintf("%d nodes, %s: ", s.nodes, name)
+func addControlCost(result *Result, name string, cost controlCost) {
+	prefix := fmt.Sprintf("%d nodes, %s: ", cost.entries, name)
 	result.Add(prefix+"entry", fmt.Sprintf("%.2f%% of a core, %.1f MB resident, %.2f KB/s, %.1f messages/s",
-		100*s.entry, float64(s.entryMemory)/megabyte, s.entryBytes/kilobyte, s.entryMessages), "mean of the entries", "4.2%, 32 MB, 12 KB/s")
+		100*cost.entryCPU, float64(cost.entryMemory)/megabyte, cost.entryBytesPerSecond/kilobyte, cost.entryMessagesPerSecond), "mean of the entries", "4.2%, 32 MB, 12 KB/s")
 	result.Add(prefix+"leader", fmt.Sprintf("%.2f%% of a core, %.1f MB resident, %.2f KB/s, %.1f messages/s",
-		100*s.leader, float64(s.leaderMemory)/megabyte, s.leaderBytes/kilobyte, s.leaderMessages), fmt.Sprintf("followers %.2f%% of a core", 100*s.follower), "")
+		100*cost.leaderCPU, float64(cost.leaderMemory)/megabyte, cost.leaderBytesPerSecond/kilobyte, cost.leaderMessagesPerSecond), fmt.Sprintf("followers %.2f%% of a core", 100*cost.maxFollowerCPU), "")
 }
 
-// idle starts a fleet without calls and lets it settle.
-func (b *Bench) idle(ctx context.Context, nodes, engines int) (*operator, func(), error) {
-	stage, remove, err := b.stage()
+// startIdleFleet starts a fleet that gets no calls and waits settleTime for its start-up
+// traffic to end.
+func (b *Bench) startIdleFleet(ctx context.Context, entries, engines int) (*operatorClient, func(), error) {
+	stage, cleanup, err := b.newStage()
 	if err != nil {
 		return nil, nil, err
 	}
 	d := b.deployment("hearthline")
-	d.Entries = nodes
+	d.Entries = entries
 	d.Pools[0].Count = engines
 	d.Pools[1].Count = 1
 	if _, err := d.Start(ctx, stage); err != nil {
-		remove()
+		cleanup()
 		return nil, nil, err
 	}
-	o, err := newOperator(d, stage)
+	o, err := newOperatorClient(d, stage)
 	if err != nil {
-		remove()
+		cleanup()
 		return nil, nil, err
 	}
-	time.Sleep(slopeSettle)
-	return o, remove, nil
+	time.Sleep(settleTime)
+	return o, cleanup, nil
 }
 
-func (b *Bench) slope(ctx context.Context, nodes int) (calm, busy slope, err error) {
-	o, remove, err := b.idle(ctx, nodes, 1)
+func (b *Bench) measureCalmAndBusy(ctx context.Context, entries int) (calm, busy controlCost, err error) {
+	o, cleanup, err := b.startIdleFleet(ctx, entries, 1)
 	if err != nil {
 		return calm, busy, err
 	}
-	defer remove()
+	defer cleanup()
 	calm, err = b.observe(ctx, o, func() error { return nil })
 	if err != nil {
 		return calm, busy, err
 	}
 	busy, err = b.observe(ctx, o, func() error {
-		_, err := o.change(ctx)
+		_, err := o.submitNextVersion(ctx)
 		return err
 	})
-	calm.nodes = nodes
-	busy.nodes = nodes
+	calm.entries = entries
+	busy.entries = entries
 	return calm, busy, err
 }
 
-// observe samples every process over a span, with act called each nine seconds.
-func (b *Bench) observe(ctx context.Context, o *operator, act func() error) (slope, error) {
-	leader, err := o.leader(ctx)
+// observe measures every process's usage over observationDuration, with action called
+// every nine seconds.
+func (b *Bench) observe(ctx context.Context, o *operatorClient, action func() error) (controlCost, error) {
+	leader, err := o.findLeader(ctx)
 	if err != nil {
-		return slope{}, err
+		return controlCost{}, err
 	}
-	before, err := sample(ctx, o.stage)
+	before, err := sampleProcesses(ctx, o.stage)
 	if err != nil {
-		return slope{}, err
+		return controlCost{}, err
 	}
-	began := time.Now()
-	span := b.span(slopeSpan)
-	for time.Since(began) < span {
-		if err := act(); err != nil {
-			return slope{}, err
+	start := time.Now()
+	duration := b.loadDuration(observationDuration)
+	for time.Since(start) < duration {
+		if err := action(); err != nil {
+			return controlCost{}, err
 		}
-		time.Sleep(min(busyChange, span-time.Since(began)))
+		time.Sleep(min(busyChangeInterval, duration-time.Since(start)))
 	}
-	after, err := sample(ctx, o.stage)
+	after, err := sampleProcesses(ctx, o.stage)
 	if err != nil {
-		return slope{}, err
+		return controlCost{}, err
 	}
-	return compare(o.stage, leader, before, after, time.Since(began)), nil
+	return costBetween(o.stage, leader, before, after, time.Since(start)), nil
 }
 
-// sampled is one process's usage and traffic with the system's own processes.
-type sampled struct {
+// processSample is a process's usage and its cumulative traffic with the system's other processes.
+type processSample struct {
 	usage
-	bytes    float64
-	messages float64
+	peerBytes    float64
+	peerMessages float64
 }
 
-func sample(ctx context.Context, stage *stager.Stage) (map[*stager.Node]sampled, error) {
-	samples := make(map[*stager.Node]sampled)
+func sampleProcesses(ctx context.Context, stage *stager.Stage) (map[*stager.Node]processSample, error) {
+	samples := make(map[*stager.Node]processSample)
 	for _, node := range append(append([]*stager.Node{}, stage.Controls...), stage.Entries...) {
-		used, err := read(node.PID())
+		processUsage, err := readUsage(node.PID())
 		if err != nil {
 			return nil, err
 		}
-		content, _ := ask(ctx, http.MethodGet, node.OperatorURL()+"/metrics", "")
-		samples[node] = sampled{
-			usage:    used,
-			bytes:    counter(content, "rosecroft_peer_bytes"),
-			messages: counter(content, "rosecroft_peer_messages"),
+		content, _ := sendRequest(ctx, http.MethodGet, node.OperatorURL()+"/metrics", "")
+		samples[node] = processSample{
+			usage:        processUsage,
+			peerBytes:    counterSum(content, "rosecroft_peer_bytes"),
+			peerMessages: counterSum(content, "rosecroft_peer_messages"),
 		}
 	}
 	return samples, nil
 }
 
-func compare(stage *stager.Stage, leader *stager.Node, before, after map[*stager.Node]sampled, span time.Duration) slope {
-	s := slope{}
+func costBetween(stage *stager.Stage, leader *stager.Node, before, after map[*stager.Node]processSample, duration time.Duration) controlCost {
+	cost := controlCost{}
 	for _, entry := range stage.Entries {
-		s.entry += share(before[entry], after[entry], span) / float64(len(stage.Entries))
-		s.entryMemory += after[entry].resident / int64(len(stage.Entries))
-		s.entryBytes += (after[entry].bytes - before[entry].bytes) / span.Seconds() / float64(len(stage.Entries))
-		s.entryMessages += (after[entry].messages - before[entry].messages) / span.Seconds() / float64(len(stage.Entries))
+		cost.entryCPU += cpuFraction(before[entry], after[entry], duration) / float64(len(stage.Entries))
+		cost.entryMemory += after[entry].residentBytes / int64(len(stage.Entries))
+		cost.entryBytesPerSecond += (after[entry].peerBytes - before[entry].peerBytes) / duration.Seconds() / float64(len(stage.Entries))
+		cost.entryMessagesPerSecond += (after[entry].peerMessages - before[entry].peerMessages) / duration.Seconds() / float64(len(stage.Entries))
 	}
 	for _, control := range stage.Controls {
 		if control != leader {
-			s.follower = max(s.follower, share(before[control], after[control], span))
+			cost.maxFollowerCPU = max(cost.maxFollowerCPU, cpuFraction(before[control], after[control], duration))
 		}
 	}
-	s.leader = share(before[leader], after[leader], span)
-	s.leaderMemory = after[leader].resident
-	s.leaderBytes = (after[leader].bytes - before[leader].bytes) / span.Seconds()
-	s.leaderMessages = (after[leader].messages - before[leader].messages) / span.Seconds()
-	return s
+	cost.leaderCPU = cpuFraction(before[leader], after[leader], duration)
+	cost.leaderMemory = after[leader].residentBytes
+	cost.leaderBytesPerSecond = (after[leader].peerBytes - before[leader].peerBytes) / duration.Seconds()
+	cost.leaderMessagesPerSecond = (after[leader].peerMessages - before[leader].peerMessages) / duration.Seconds()
+	return cost
 }
 
-func share(before, after sampled, span time.Duration) float64 {
-	return (after.processor - before.processor).Seconds() / span.Seconds()
+func cpuFraction(before, after processSample, duration time.Duration) float64 {
+	return (after.cpuTime - before.cpuTime).Seconds() / duration.Seconds()
 }
 
-// plotSlopes draws processor share and bytes against the fleet's size.
-func (b *Bench) plotSlopes(calm, busy []slope) error {
+// plotControlCosts draws processor usage and traffic against the number of entries.
+func (b *Bench) plotControlCosts(calm, busy []controlCost) error {
 	folder := filepath.Join(b.Root, resultsFolder)
 	processor := []series{
-		curve("entry, calm", calm, func(s slope) float64 { return percent * s.entry }),
-		curve("entry, changing", busy, func(s slope) float64 { return percent * s.entry }),
-		curve("leader, calm", calm, func(s slope) float64 { return percent * s.leader }),
-		curve("leader, changing", busy, func(s slope) float64 { return percent * s.leader }),
+		costSeries("entry, calm", calm, func(s controlCost) float64 { return percent * s.entryCPU }),
+		costSeries("entry, changing", busy, func(s controlCost) float64 { return percent * s.entryCPU }),
+		costSeries("leader, calm", calm, func(s controlCost) float64 { return percent * s.leaderCPU }),
+		costSeries("leader, changing", busy, func(s controlCost) float64 { return percent * s.leaderCPU }),
 	}
-	if err := draw(filepath.Join(folder, "slopes-processor.svg"), "Control's share of a core", "entries", "% of a core", processor); err != nil {
+	if err := writeChart(filepath.Join(folder, "slopes-processor.svg"), "Control's share of a core", "entries", "% of a core", processor); err != nil {
 		return err
 	}
 	traffic := []series{
-		curve("entry, calm", calm, func(s slope) float64 { return s.entryBytes / kilobyte }),
-		curve("entry, changing", busy, func(s slope) float64 { return s.entryBytes / kilobyte }),
-		curve("leader, calm", calm, func(s slope) float64 { return s.leaderBytes / kilobyte }),
-		curve("leader, changing", busy, func(s slope) float64 { return s.leaderBytes / kilobyte }),
+		costSeries("entry, calm", calm, func(s controlCost) float64 { return s.entryBytesPerSecond / kilobyte }),
+		costSeries("entry, changing", busy, func(s controlCost) float64 { return s.entryBytesPerSecond / kilobyte }),
+		costSeries("leader, calm", calm, func(s controlCost) float64 { return s.leaderBytesPerSecond / kilobyte }),
+		costSeries("leader, changing", busy, func(s controlCost) float64 { return s.leaderBytesPerSecond / kilobyte }),
 	}
-	return draw(filepath.Join(folder, "slopes-bytes.svg"), "Control's traffic", "entries", "KB/s", traffic)
+	return writeChart(filepath.Join(folder, "slopes-bytes.svg"), "Control's traffic", "entries", "KB/s", traffic)
 }
--- a/src/stager/doc.go
+++ b/src/stager/doc.go
@@ -1,2 +1,3 @@
-// Package stager runs the real programs on loopback, for demonstrations, measurements and tests of failures.
+// Package stager starts fleets of the real programs on loopback, for
+// demonstrations, measurements and tests of failures.
 package stager
--- a/src/stager/process.go
+++ b/src/stager/process.go
@@ -10,28 +10,28 @@
 	"time"
 )
 
-// killAfter is how long a process may take to stop before it is killed.
-const killAfter = 30 * time.Second
+// stopTimeout is how long a process may take to exit after SIGTERM before it is killed.
+const stopTimeout = 30 * time.Second
 
-// Process is one program that the stage started.
+// Process is an operating system process that a Stage started.
 type Process struct {
 	Name string
 
 	command *exec.Cmd
 	log     *os.File
-	ended   chan struct{}
+	exited  chan struct{}
 }
 
-// start runs a program with its output in a file of the stage's folder.
-func (s *Stage) start(name, program string, arguments ...string) (*Process, error) {
+// startProcess runs a program and appends its output to NAME.log in the stage's folder.
+func (s *Stage) startProcess(name, program string, arguments ...string) (*Process, error) {
 	log, err := os.OpenFile(filepath.Join(s.Folder, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
-		return nil, fmt.Errorf("open the log of %s: %w", name, err)
+		return nil, fmt.Errorf("open the log file of %s: %w", name, err)
 	}
 	command := exec.Command(program, arguments...)
 	command.Stdout = log
 	command.Stderr = log
-	// A stage that dies must leave no process behind.
+	// The kernel kills the child when the stage's own process dies, so that none is left behind.
 	command.SysProcAttr = &syscall.SysProcAttr{
 		Pdeathsig: syscall.SIGKILL,
 	}
@@ -42,12 +42,12 @@
 		Name:    name,
 		command: command,
 		log:     log,
-		ended:   make(chan struct{}),
+		exited:  make(chan struct{}),
 	}
 	go func() {
 		_ = command.Wait()
 		_ = log.Close()
-		close(p.ended)
+		close(p.exited)
 	}()
 	s.processesMu.Lock()
 	defer s.processesMu.Unlock()
@@ -55,34 +55,34 @@
 	return p, nil
 }
 
-// PID returns the process's id.
+// PID returns the process ID.
 func (p *Process) PID() int { return p.command.Process.Pid }
 
-// Signal sends a signal; a process that has ended takes none.
+// Signal sends a signal; it has no effect on a process that has exited.
 func (p *Process) Signal(signal syscall.Signal) {
 	_ = p.command.Process.Signal(signal)
 }
 
-// Kill ends the process at once.
+// Kill sends SIGKILL and waits until the process has exited.
 func (p *Process) Kill() {
 	p.Signal(syscall.SIGKILL)
-	<-p.ended
+	<-p.exited
 }
 
-// Stop asks the process to stop and waits until it has.
+// Stop sends SIGTERM and waits until the process has exited, or kills it after stopTimeout.
 func (p *Process) Stop() {
 	p.Signal(syscall.SIGTERM)
 	select {
-	case <-p.ended:
-	case <-time.After(killAfter):
+	case <-p.exited:
+	case <-time.After(stopTimeout):
 		p.Kill()
 	}
 }
 
-// Running reports whether the process has not ended.
+// Running reports whether the process has not yet exited.
 func (p *Process) Running() bool {
 	select {
-	case <-p.ended:
+	case <-p.exited:
 		return false
 	default:
 		return true
--- a/src/stager/secure.go
+++ b/src/stager/secure.go
@@ -12,8 +12,8 @@
 
 const (
 	certificateLifetime = 24 * time.Hour
-	loopback            = "127.0.0.1"
-	// operatorName is the operator whose certificate the stage's own requests show.
+	loopbackAddress     = "127.0.0.1"
+	// operatorName is the operator whose certificate the stage's own requests present.
 	operatorName = "stage"
 )
 
@@ -31,8 +31,9 @@
 	return "http://"
 }
 
-// secure gives a node its certificate unless it has one or the stage runs plain.
-func (s *Stage) secure(node *Node) error {
+// configureTLS issues a node's certificate and sets it on all of its listeners,
+// unless the node already has one or the stage runs without TLS.
+func (s *Stage) configureTLS(node *Node) error {
 	if !s.Secured || node.Settings.Peers.Certificate != "" {
 		return nil
 	}
@@ -50,27 +51,28 @@
 		*listener = files
 		listener.Listen = address
 	}
-	// Callers show API keys and no certificates.
+	// Callers authenticate with API keys, not with certificates.
 	node.Settings.Callers.Authorities = ""
 	return nil
 }
 
-// Issue makes a certificate of the stage's authority.
+// Issue issues a certificate for an identity; the first call generates the stage's authority.
 func (s *Stage) Issue(identity certifier.Identity) (parser.Listener, error) {
 	if s.authority == nil {
-		made := &certifier.Authority{
+		issuer := &certifier.Authority{
 			Folder:   filepath.Join(s.Folder, "certificates"),
 			Lifetime: certificateLifetime,
 		}
-		if err := made.Make(); err != nil {
-			return parser.Listener{}, fmt.Errorf("make the stage's authority: %w", err)
+		if err := issuer.Make(); err != nil {
+			return parser.Listener{}, fmt.Errorf("generate the stage's certificate authority: %w", err)
 		}
-		s.authority = made
+		s.authority = issuer
 	}
-	return s.authority.Issue(identity, loopback)
+	return s.authority.Issue(identity, loopbackAddress)
 }
 
-// Flags returns the command line's flags that show a certificate, none for a plain stage.
+// Flags returns the command-line flags with which a program presents a
+// certificate for an identity, or none where the stage runs without TLS.
 func (s *Stage) Flags(identity certifier.Identity) ([]string, error) {
 	if !s.Secured {
 		return nil, nil
@@ -79,7 +81,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return flags(files), nil
+	return tlsFlags(files), nil
 }
 
 func (s *Stage) upstreamFlags(name string) ([]string, error) {
@@ -89,13 +91,13 @@
 	})
 }
 
-func flags(files parser.Listener) []string {
+func tlsFlags(files parser.Listener) []string {
 	return []string{
 		"--certificate", files.Certificate, "--private-key", files.PrivateKey, "--authorities", files.Authorities,
 	}
 }
 
-// Client returns an HTTP client that an operator of the stage uses.
+// Client returns an HTTP client that presents the certificate of an operator.
 func (s *Stage) Client() (*http.Client, error) {
 	return s.ClientOf(certifier.Identity{
 		Role: certifier.Operator,
@@ -103,7 +105,7 @@
 	})
 }
 
-// ClientOf returns an HTTP client that shows the certificate of an identity.
+// ClientOf returns an HTTP client that presents the certificate of an identity.
 func (s *Stage) ClientOf(identity certifier.Identity) (*http.Client, error) {
 	if !s.Secured {
 		return http.DefaultClient, nil
--- a/src/stager/stage.go
+++ b/src/stager/stage.go
@@ -21,25 +21,26 @@
 )
 
 const (
-	// Ports below the range that the system hands to outgoing connections, so
-	// that none of those takes a port between its choice and its use.
-	lowestPort   = 12000
-	highestPort  = 30000
-	readyTimeout = 20 * time.Second
-	pollInterval = 20 * time.Millisecond
-	settingsMode = 0o600
+	// Ports below the system's ephemeral range, so that no outgoing connection
+	// takes a port between its choice and its use.
+	minPort          = 12000
+	maxPort          = 30000
+	readyTimeout     = 20 * time.Second
+	pollInterval     = 20 * time.Millisecond
+	settingsFileMode = 0o600
 )
 
-// Stage is a set of real processes on loopback; its fields are set before use.
+// Stage is a fleet of real processes on loopback; its exported fields are set
+// before use, except Controls and Entries, which StartFleet fills.
 type Stage struct {
-	// Folder holds settings, data and logs.
+	// Folder holds the settings, data and log files of all processes.
 	Folder string
-	// Program and Standin are the built programs.
+	// Program and Standin are the paths of the built programs.
 	Program string
 	Standin string
-	// Timing goes into every process's settings.
+	// Timing is copied into every process's settings.
 	Timing parser.Timing
-	// Voters goes into every process's settings; 0 leaves the default.
+	// Voters is copied into every process's settings; 0 leaves the default.
 	Voters int
 	// Secured runs every process over TLS, with certificates made in Folder.
 	Secured bool
@@ -48,21 +49,21 @@
 	Entries  []*Node
 
 	authority *certifier.Authority
-	// processesMu guards processes, since several goroutines start programs.
+	// processesMu guards processes, since several goroutines start them.
 	processesMu sync.Mutex
 	processes   []*Process
 	portsMu     sync.Mutex
-	ports       map[int]bool
-	// reserved are sockets whose names keep other stages from this one's ports.
-	reserved []net.Listener
+	usedPorts   map[int]bool
+	// portLocks are Unix sockets whose names keep other stages from choosing this one's ports.
+	portLocks []net.Listener
 }
 
 // Node is one control or entry process with its settings.
 type Node struct {
 	*Process
-	Settings *parser.Settings
-	path     string
-	role     parser.Role
+	Settings     *parser.Settings
+	settingsPath string
+	role         parser.Role
 }
 
 // OperatorURL returns the node's base URL for operators.
@@ -71,16 +72,16 @@
 // CallerURL returns an entry's base URL for callers.
 func (n *Node) CallerURL() string { return baseURL(n.Settings.Callers) }
 
-// Address returns a free loopback address.
+// Address returns a free loopback address and locks its port for this stage.
 func (s *Stage) Address() string {
 	s.portsMu.Lock()
 	defer s.portsMu.Unlock()
-	if s.ports == nil {
-		s.ports = make(map[int]bool)
+	if s.usedPorts == nil {
+		s.usedPorts = make(map[int]bool)
 	}
 	for {
-		port := lowestPort + rand.IntN(highestPort-lowestPort)
-		if s.ports[port] || !s.reserve(port) {
+		port := minPort + rand.IntN(maxPort-minPort)
+		if s.usedPorts[port] || !s.lockPort(port) {
 			continue
 		}
 		address := fmt.Sprintf("127.0.0.1:%d", port)
@@ -89,24 +90,25 @@
 			continue
 		}
 		_ = listener.Close()
-		s.ports[port] = true
+		s.usedPorts[port] = true
 		return address
 	}
 }
 
-// reserve keeps a port from other stages on this machine until this one stops. A
-// port is free between its choice and its program's start; two stages that chose
-// the same one would each lose a process, and a test would wait for it in vain.
-func (s *Stage) reserve(port int) bool {
-	held, err := net.Listen("unix", fmt.Sprintf("@rosecroft-port-%d", port))
+// lockPort keeps other stages on this machine from choosing a port until this one
+// stops. A port is unbound between its choice and its program's start: two stages
+// that chose the same one would each lose a process, and a test would wait for it
+// until its timeout.
+func (s *Stage) lockPort(port int) bool {
+	listener, err := net.Listen("unix", fmt.Sprintf("@rosecroft-port-%d", port))
 	if err != nil {
 		return false
 	}
-	s.reserved = append(s.reserved, held)
+	s.portLocks = append(s.portLocks, listener)
 	return true
 }
 
-// StartFleet starts control and entry processes, spread over the data centres in turn.
+// StartFleet starts control and entry processes, assigned to the data centres round-robin.
 func (s *Stage) StartFleet(controls, entries int, dataCentres []units.DataCentre) error {
 	var addresses []parser.ControlAddress
 	for i := range controls {
@@ -152,26 +154,26 @@
 	return nil
 }
 
-// Start starts a node, or starts it again with the settings it had.
+// Start starts a node, or restarts it with the settings that it had.
 func (s *Stage) Start(node *Node) error {
 	if node.Settings.Operators.Listen == "" {
 		node.Settings.Operators.Listen = s.Address()
 	}
-	if err := s.secure(node); err != nil {
+	if err := s.configureTLS(node); err != nil {
 		return err
 	}
 	node.Settings.InsecureLoopback = !s.Secured
 	node.Settings.Timing = s.Timing
 	node.Settings.Voters = s.Voters
-	node.path = filepath.Join(s.Folder, string(node.Settings.Name)+".yaml")
+	node.settingsPath = filepath.Join(s.Folder, string(node.Settings.Name)+".yaml")
 	content, err := yaml.Marshal(node.Settings)
 	if err != nil {
-		return fmt.Errorf("form the settings of %s: %w", node.Settings.Name, err)
+		return fmt.Errorf("encode the settings of %s: %w", node.Settings.Name, err)
 	}
-	if err := os.WriteFile(node.path, content, settingsMode); err != nil {
+	if err := os.WriteFile(node.settingsPath, content, settingsFileMode); err != nil {
 		return fmt.Errorf("write the settings of %s: %w", node.Settings.Name, err)
 	}
-	node.Process, err = s.start(string(node.Settings.Name), s.Program, string(node.role), node.path)
+	node.Process, err = s.startProcess(string(node.Settings.Name), s.Program, string(node.role), node.settingsPath)
 	return err
 }
 
@@ -180,22 +182,22 @@
 	return s.StartUpstreamAt(s.Entries, kind, name, arguments...)
 }
 
-// StartUpstreamAt starts a stand-in that announces itself to the entries given alone.
-func (s *Stage) StartUpstreamAt(hearers []*Node, kind, name string, arguments ...string) (*Upstream, error) {
+// StartUpstreamAt starts a stand-in that announces itself only to the given entries.
+func (s *Stage) StartUpstreamAt(announceTo []*Node, kind, name string, arguments ...string) (*Upstream, error) {
 	address := s.Address()
-	entries := make([]string, 0, len(hearers))
-	for _, entry := range hearers {
-		entries = append(entries, baseURL(entry.Settings.Upstreams))
+	entryURLs := make([]string, 0, len(announceTo))
+	for _, entry := range announceTo {
+		entryURLs = append(entryURLs, baseURL(entry.Settings.Upstreams))
 	}
-	all := append([]string{
-		kind, "--name", name, "--listen", address, "--entries", strings.Join(entries, ","),
+	commandLine := append([]string{
+		kind, "--name", name, "--listen", address, "--entries", strings.Join(entryURLs, ","),
 	}, arguments...)
-	certificate, err := s.upstreamFlags(name)
+	certificateFlags, err := s.upstreamFlags(name)
 	if err != nil {
 		return nil, err
 	}
-	all = append(all, certificate...)
-	process, err := s.start(name, s.Standin, all...)
+	commandLine = append(commandLine, certificateFlags...)
+	process, err := s.startProcess(name, s.Standin, commandLine...)
 	if err != nil {
 		return nil, err
 	}
@@ -205,18 +207,19 @@
 	}, nil
 }
 
-// StartCloud starts the platform's stand-in, whose instances announce themselves to every entry.
+// StartCloud starts the stand-in for the platform's cloud API, whose instances
+// announce themselves to every entry.
 func (s *Stage) StartCloud(arguments ...string) (*Upstream, error) {
 	return s.StartUpstreamAt(s.Entries, "cloud", "cloud", arguments...)
 }
 
-// Upstream is one stand-in process.
+// Upstream is a stand-in process and its base URL.
 type Upstream struct {
 	*Process
 	URL string
 }
 
-// AwaitReady waits until every entry that runs takes calls.
+// AwaitReady waits until every running entry reports that it is ready for calls.
 func (s *Stage) AwaitReady(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
@@ -224,26 +227,27 @@
 		if !entry.Running() {
 			continue
 		}
-		if err := s.awaitOK(ctx, entry.CallerURL()+"/readyz"); err != nil {
+		if err := s.awaitStatusOK(ctx, entry.CallerURL()+"/readyz"); err != nil {
 			return fmt.Errorf("%s is not ready: %w; see its log in %s", entry.Settings.Name, err, s.Folder)
 		}
 	}
 	return nil
 }
 
-// AwaitHealthy waits until every control and entry process answers operators.
+// AwaitHealthy waits until every control and entry process passes its health check
+// on the operators' listener.
 func (s *Stage) AwaitHealthy(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for _, node := range append(append([]*Node{}, s.Controls...), s.Entries...) {
-		if err := s.awaitOK(ctx, node.OperatorURL()+"/healthz"); err != nil {
+		if err := s.awaitStatusOK(ctx, node.OperatorURL()+"/healthz"); err != nil {
 			return fmt.Errorf("%s does not answer: %w; see its log in %s", node.Settings.Name, err, s.Folder)
 		}
 	}
 	return nil
 }
 
-func (s *Stage) awaitOK(ctx context.Context, url string) error {
+func (s *Stage) awaitStatusOK(ctx context.Context, url string) error {
 	client, err := s.Client()
 	if err != nil {
 		return err
@@ -277,7 +281,8 @@
 	return strings.Join(urls, ",")
 }
 
-// Stop ends every process that the stage started, by its id.
+// Stop kills every running process that the stage started, by its ID, also suspended ones,
+// and releases its ports.
 func (s *Stage) Stop() {
 	for _, process := range s.processes {
 		if process.Running() {
@@ -287,8 +292,8 @@
 	}
 	s.portsMu.Lock()
 	defer s.portsMu.Unlock()
-	for _, held := range s.reserved {
-		_ = held.Close()
+	for _, portLock := range s.portLocks {
+		_ = portLock.Close()
 	}
-	s.reserved = nil
+	s.portLocks = nil
 }
