--- a/src/certifier/authority.go
+++ b/src/certifier/authority.go
@@ -41,8 +41,8 @@
 	key         *ecdsa.PrivateKey
 }
 
-// Make generates the authority's key and certificate and writes the certificate.
-func (a *Authority) Make() error {
+// Generate generates the authority's key and certificate and writes the certificate.
+func (a *Authority) Generate() error {
 	if err := os.MkdirAll(a.Folder, folderMode); err != nil {
 		return fmt.Errorf("create the folder of certificates: %w", err)
 	}
--- a/src/certifier/certifier.go
+++ b/src/certifier/certifier.go
@@ -113,68 +113,68 @@
 	}
 }
 
-// Callers returns the TLS configuration of the listener for callers, or nil for unencrypted
+// CallerConfig returns the TLS configuration of the listener for callers, or nil for unencrypted
 // loopback. Callers must present a certificate only where the settings name authorities for
 // them.
-func (c *Certifier) Callers() *tls.Config {
+func (c *Certifier) CallerConfig() *tls.Config {
 	if c == nil || c.callers == nil {
 		return nil
 	}
 	if c.callers.Files.Authorities == "" {
-		return c.callers.Server(tls.NoClientCert)
+		return c.callers.ServerConfig(tls.NoClientCert)
 	}
-	return c.callers.Server(tls.RequireAndVerifyClientCert)
+	return c.callers.ServerConfig(tls.RequireAndVerifyClientCert)
 }
 
-// Upstreams returns the TLS configuration of the listener for upstreams' announcements, or
+// UpstreamConfig returns the TLS configuration of the listener for upstreams' announcements, or
 // nil for unencrypted loopback.
-func (c *Certifier) Upstreams() *tls.Config {
+func (c *Certifier) UpstreamConfig() *tls.Config {
 	if c == nil || c.upstreams == nil {
 		return nil
 	}
-	return c.upstreams.Server(tls.RequireAndVerifyClientCert)
+	return c.upstreams.ServerConfig(tls.RequireAndVerifyClientCert)
 }
 
-// Operators returns the TLS configuration of the listener for operators, or nil for
+// OperatorConfig returns the TLS configuration of the listener for operators, or nil for
 // unencrypted loopback. A client certificate is optional, since load balancers probe without
 // one; without it, only the health endpoints are open.
-func (c *Certifier) Operators() *tls.Config {
+func (c *Certifier) OperatorConfig() *tls.Config {
 	if c == nil || c.operators == nil {
 		return nil
 	}
-	return c.operators.Server(tls.VerifyClientCertIfGiven)
+	return c.operators.ServerConfig(tls.VerifyClientCertIfGiven)
 }
 
-// Peers returns the TLS configuration of the listener for the system's other processes, or
+// PeerConfig returns the TLS configuration of the listener for the system's other processes, or
 // nil for unencrypted loopback.
-func (c *Certifier) Peers() *tls.Config {
+func (c *Certifier) PeerConfig() *tls.Config {
 	if c == nil || c.peers == nil {
 		return nil
 	}
-	return c.peers.Server(tls.RequireAndVerifyClientCert)
+	return c.peers.ServerConfig(tls.RequireAndVerifyClientCert)
 }
 
-// ToPeers returns the TLS configuration for connections to the system's other processes, or
+// PeerClientConfig returns the TLS configuration for connections to the system's other processes, or
 // nil for unencrypted loopback.
-func (c *Certifier) ToPeers() *tls.Config {
+func (c *Certifier) PeerClientConfig() *tls.Config {
 	if c == nil || c.peers == nil {
 		return nil
 	}
-	return c.peers.Client(Control, Entry)
+	return c.peers.ClientConfig(Control, Entry)
 }
 
-// ToUpstreams returns the TLS configuration for connections to upstreams that announce an
+// UpstreamClientConfig returns the TLS configuration for connections to upstreams that announce an
 // https address, or nil for unencrypted loopback.
-func (c *Certifier) ToUpstreams() *tls.Config {
+func (c *Certifier) UpstreamClientConfig() *tls.Config {
 	if c == nil || c.upstreams == nil {
 		return nil
 	}
-	return c.upstreams.Client(Upstream)
+	return c.upstreams.ClientConfig(Upstream)
 }
 
-// CheckPeer returns an error if the server at a control instance's address is not that
+// VerifyControlServer returns an error if the server at a control instance's address is not that
 // instance; such a server could otherwise send an entry a forged configuration.
-func (c *Certifier) CheckPeer(address string, state *tls.ConnectionState) error {
+func (c *Certifier) VerifyControlServer(address string, state *tls.ConnectionState) error {
 	name, isControl := c.controlNames[address]
 	if !isControl {
 		return nil
--- a/src/certifier/identity.go
+++ b/src/certifier/identity.go
@@ -52,9 +52,9 @@
 // Error returns the reason and the remedy.
 func (e *IdentityError) Error() string { return e.Reason + "; " + e.Remedy }
 
-// IdentityOf returns the identity that a certificate states, or an error unless there is
+// CertificateIdentity returns the identity that a certificate states, or an error unless there is
 // exactly one.
-func IdentityOf(certificate *x509.Certificate) (Identity, error) {
+func CertificateIdentity(certificate *x509.Certificate) (Identity, error) {
 	var identities []Identity
 	for _, uri := range certificate.URIs {
 		rest, hasPrefix := strings.CutPrefix(uri.Opaque, identityPrefix)
@@ -76,16 +76,16 @@
 	return identities[0], nil
 }
 
-// PeerOf returns the identity of the peer of a connection. Only a verified certificate is
+// PeerIdentity returns the identity of the peer of a connection. Only a verified certificate is
 // considered, since an unverified one may state any identity.
-func PeerOf(state *tls.ConnectionState) (Identity, error) {
+func PeerIdentity(state *tls.ConnectionState) (Identity, error) {
 	if state == nil || len(state.VerifiedChains) == 0 || len(state.VerifiedChains[0]) == 0 {
 		return Identity{}, &IdentityError{
 			Reason: "the other end showed no certificate that this process's authorities signed",
 			Remedy: "give it a certificate and its private key",
 		}
 	}
-	return IdentityOf(state.VerifiedChains[0][0])
+	return CertificateIdentity(state.VerifiedChains[0][0])
 }
 
 // Require returns an error unless the identity has one of the roles.
@@ -123,7 +123,7 @@
 	if !secured {
 		return Identity{}, nil
 	}
-	identity, err := PeerOf(request.TLS)
+	identity, err := PeerIdentity(request.TLS)
 	if err != nil {
 		return Identity{}, err
 	}
--- a/src/certifier/source.go
+++ b/src/certifier/source.go
@@ -79,12 +79,12 @@
 
 // Identity returns the identity that the source's own certificate states.
 func (s *Source) Identity() (Identity, error) {
-	return IdentityOf(s.current.Load().certificate.Leaf)
+	return CertificateIdentity(s.current.Load().certificate.Leaf)
 }
 
-// Server returns the TLS configuration of a listener; each handshake uses the credentials
+// ServerConfig returns the TLS configuration of a listener; each handshake uses the credentials
 // loaded last.
-func (s *Source) Server(auth tls.ClientAuthType) *tls.Config {
+func (s *Source) ServerConfig(auth tls.ClientAuthType) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
@@ -102,11 +102,11 @@
 	}
 }
 
-// Client returns the TLS configuration for connections to processes with one of the roles.
+// ClientConfig returns the TLS configuration for connections to processes with one of the roles.
 //
 // Processes are reached by IP address, so the identity in the certificate is verified
 // instead of a host name.
-func (s *Source) Client(roles ...Role) *tls.Config {
+func (s *Source) ClientConfig(roles ...Role) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
@@ -149,5 +149,5 @@
 	if _, err := chain[0].Verify(options); err != nil {
 		return Identity{}, fmt.Errorf("verify the peer's certificate: %w; use certificates of one authority on both sides", err)
 	}
-	return IdentityOf(chain[0])
+	return CertificateIdentity(chain[0])
 }
--- a/src/certifier/source_test.go
+++ b/src/certifier/source_test.go
@@ -15,7 +15,7 @@
 		Folder:   folder,
 		Lifetime: time.Hour,
 	}
-	if err := authority.Make(); err != nil {
+	if err := authority.Generate(); err != nil {
 		t.Fatal(err)
 	}
 	files, err := authority.Issue(identity)
@@ -84,7 +84,7 @@
 				}
 				certificate.URIs = append(certificate.URIs, parsed)
 			}
-			got, err := IdentityOf(certificate)
+			got, err := CertificateIdentity(certificate)
 			if got != c.want || (err != nil) != c.fail {
 				t.Errorf("identity: got %v, error %v, want %v, error %t", got, err, c.want, c.fail)
 			}
@@ -113,7 +113,7 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			if _, err := PeerOf(c.state); (err != nil) != c.fail {
+			if _, err := PeerIdentity(c.state); (err != nil) != c.fail {
 				t.Errorf("error: got %v, want one: %t", err, c.fail)
 			}
 		})
--- a/src/cmd/standin/main.go
+++ b/src/cmd/standin/main.go
@@ -113,7 +113,7 @@
 	if host.Source != nil {
 		server.Client = &http.Client{
 			Transport: &http.Transport{
-				TLSClientConfig: host.Source.Client(certifier.Upstream),
+				TLSClientConfig: host.Source.ClientConfig(certifier.Upstream),
 			},
 		}
 	}
--- a/src/connector/client.go
+++ b/src/connector/client.go
@@ -26,9 +26,9 @@
 type Client struct {
 	// TLS is nil only where the settings allow unencrypted loopback connections.
 	TLS *tls.Config
-	// Check returns an error for a server that is not the one expected at an address; it
+	// VerifyServer returns an error for a server that is not the one expected at an address; it
 	// may be nil.
-	Check func(address string, state *tls.ConnectionState) error
+	VerifyServer func(address string, state *tls.ConnectionState) error
 	// Traffic counts bytes and messages on the client's connections; it may be nil.
 	Traffic *Traffic
 
@@ -165,11 +165,11 @@
 	if err := tlsConn.HandshakeContext(ctx); err != nil {
 		return nil, err
 	}
-	if c.Check == nil {
+	if c.VerifyServer == nil {
 		return tlsConn, nil
 	}
 	state := tlsConn.ConnectionState()
-	return tlsConn, c.Check(address, &state)
+	return tlsConn, c.VerifyServer(address, &state)
 }
 
 func (c *Client) dropOnTransportError(address string, conn *connection, err error) {
--- a/src/connector/peer_test.go
+++ b/src/connector/peer_test.go
@@ -36,7 +36,7 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			if got, want := c.peer.Plays(certifier.Entry) == nil, c.want; got != want {
+			if got, want := c.peer.RequireRole(certifier.Entry) == nil, c.want; got != want {
 				t.Errorf("may act as an entry: got %t, want %t", got, want)
 			}
 		})
--- a/src/connector/server.go
+++ b/src/connector/server.go
@@ -36,17 +36,17 @@
 	Secured bool
 }
 
-// Plays returns an error unless the peer has the role; without TLS every peer is accepted.
-func (p Peer) Plays(role certifier.Role) error {
+// RequireRole returns an error unless the peer has the role; without TLS every peer is accepted.
+func (p Peer) RequireRole(role certifier.Role) error {
 	if !p.Secured {
 		return nil
 	}
 	return p.Identity.Require(role)
 }
 
-// Speaks returns an error unless the peer has the role and the name that a message claims
+// RequireName returns an error unless the peer has the role and the name that a message claims
 // as its sender; without TLS there is no identity to check, and every name is accepted.
-func (p Peer) Speaks(role certifier.Role, name string) error {
+func (p Peer) RequireName(role certifier.Role, name string) error {
 	if !p.Secured {
 		return nil
 	}
@@ -62,9 +62,9 @@
 	Traffic *Traffic
 	// Log may be the zero value, which logs nothing.
 	Log zerolog.Logger
-	// Allowed lists the roles that may call a method; a method without an entry may be
+	// AllowedRoles lists the roles that may call a method; a method without an entry may be
 	// called by control and entries.
-	Allowed map[Method][]certifier.Role
+	AllowedRoles map[Method][]certifier.Role
 
 	mu       sync.Mutex
 	handlers map[Method]Handler
@@ -165,7 +165,7 @@
 		return Peer{}, nil, err
 	}
 	state := secured.ConnectionState()
-	identity, err := certifier.PeerOf(&state)
+	identity, err := certifier.PeerIdentity(&state)
 	if err != nil {
 		return Peer{}, nil, err
 	}
@@ -183,7 +183,7 @@
 	if !peer.Secured {
 		return nil
 	}
-	roles, isRestricted := s.Allowed[method]
+	roles, isRestricted := s.AllowedRoles[method]
 	if !isRestricted {
 		roles = defaultRoles
 	}
--- a/src/control/control.go
+++ b/src/control/control.go
@@ -51,7 +51,7 @@
 	group, ctx := errgroup.WithContext(ctx)
 	out.run(ctx)
 	c.coordinator.orders.client.Transport = &http.Transport{
-		TLSClientConfig: c.Certificates.ToUpstreams(),
+		TLSClientConfig: c.Certificates.UpstreamClientConfig(),
 	}
 	c.coordinator.orders.run(ctx)
 	c.coordinator.purchases.run(ctx)
@@ -73,9 +73,9 @@
 func (c *Control) peerServer() *connector.Server {
 	server := &connector.Server{
 		Listener: c.Peers,
-		TLS:      c.Certificates.Peers(),
+		TLS:      c.Certificates.PeerConfig(),
 		Traffic:  c.Client.Traffic,
-		Allowed: map[connector.Method][]certifier.Role{
+		AllowedRoles: map[connector.Method][]certifier.Role{
 			MethodLog:       {certifier.Control},
 			MethodSubmit:    {certifier.Control},
 			MethodHeartbeat: {certifier.Entry},
@@ -93,18 +93,18 @@
 
 func (c *Control) operatorServer() *inspector.Inspector {
 	return &inspector.Inspector{
-		Listener: c.Operators,
-		TLS:      c.Certificates.Operators(),
-		Dump:     c.dump,
-		Ready:    func() bool { return true },
-		Metrics:  c.Meter.Handler,
-		Services: []*restful.WebService{c.operatorRoutes()},
+		Listener:    c.Operators,
+		TLS:         c.Certificates.OperatorConfig(),
+		Dump:        c.dump,
+		Ready:       func() bool { return true },
+		Metrics:     c.Meter.Handler,
+		WebServices: []*restful.WebService{c.operatorRoutes()},
 	}
 }
 
 func (c *Control) onLog(ctx context.Context, peer connector.Peer, message *messages.LogMessage) (*messages.LogMessage, error) {
 	// A vote sent in another voter's name could give two leaders a majority.
-	if err := peer.Speaks(certifier.Control, string(units.VoterID(message.GetFrom()).Instance())); err != nil {
+	if err := peer.RequireName(certifier.Control, string(units.VoterID(message.GetFrom()).Instance())); err != nil {
 		return nil, err
 	}
 	return &messages.LogMessage{}, c.postEvent(ctx, logMessageReceived{message: message})
@@ -116,7 +116,7 @@
 
 func (c *Control) onHeartbeat(ctx context.Context, peer connector.Peer, heartbeat *messages.EntryHeartbeat) (*messages.EntryHeartbeatResponse, error) {
 	// A heartbeat sent in another entry's name could report a version as in force that is not.
-	if err := peer.Speaks(certifier.Entry, heartbeat.GetEntry()); err != nil {
+	if err := peer.RequireName(certifier.Entry, heartbeat.GetEntry()); err != nil {
 		return nil, err
 	}
 	reply := make(chan *messages.EntryHeartbeatResponse, 1)
--- a/src/control/fleet.go
+++ b/src/control/fleet.go
@@ -163,7 +163,7 @@
 }
 
 func (c *Control) onReport(ctx context.Context, peer connector.Peer, report *messages.FleetReport) (*messages.FleetReportResponse, error) {
-	if err := peer.Speaks(certifier.Entry, report.GetEntry()); err != nil {
+	if err := peer.RequireName(certifier.Entry, report.GetEntry()); err != nil {
 		return nil, err
 	}
 	reply := make(chan *messages.FleetReportResponse, 1)
--- a/src/control/routes.go
+++ b/src/control/routes.go
@@ -63,7 +63,7 @@
 // operatorOf returns the operator's name, from the certificate if there is one and
 // otherwise from the request header.
 func operatorOf(request *restful.Request) string {
-	identity, err := certifier.PeerOf(request.Request.TLS)
+	identity, err := certifier.PeerIdentity(request.Request.TLS)
 	if err != nil {
 		return request.HeaderParameter(operatorHeader)
 	}
--- a/src/doorkeeper/listener.go
+++ b/src/doorkeeper/listener.go
@@ -20,11 +20,11 @@
 // server's ConnState.
 type Listener struct {
 	net.Listener
-	// Most is the maximum number of open connections, 0 for no limit.
-	Most int
-	// Closed counts the connections closed because of the limit; it may be nil.
-	Closed tally.Counter
-	Log    zerolog.Logger
+	// MaxConnections is the maximum number of open connections, 0 for no limit.
+	MaxConnections int
+	// Dropped counts the connections closed because of the limit; it may be nil.
+	Dropped tally.Counter
+	Log     zerolog.Logger
 
 	mu sync.Mutex
 	// open maps each connection to its element in idle, nil while it is not idle.
@@ -62,7 +62,7 @@
 		l.open = make(map[net.Conn]*list.Element)
 	}
 	var toClose net.Conn
-	if l.Most > 0 && len(l.open) >= l.Most {
+	if l.MaxConnections > 0 && len(l.open) >= l.MaxConnections {
 		oldest := l.idle.Front()
 		if oldest == nil {
 			return conn
@@ -74,8 +74,8 @@
 	return toClose
 }
 
-// Track records a change of a connection's state.
-func (l *Listener) Track(conn net.Conn, state http.ConnState) {
+// TrackState records a change of a connection's state.
+func (l *Listener) TrackState(conn net.Conn, state http.ConnState) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	element, held := l.open[conn]
@@ -108,8 +108,8 @@
 func (l *Listener) drop(conn net.Conn) {
 	// The error does not matter: the peer may have closed the connection already.
 	_ = conn.Close()
-	if l.Closed != nil {
-		l.Closed.Inc(1)
+	if l.Dropped != nil {
+		l.Dropped.Inc(1)
 	}
 	now := time.Now()
 	l.mu.Lock()
@@ -118,7 +118,7 @@
 	if now.Sub(l.loggedAt) < logInterval {
 		return
 	}
-	l.Log.Warn().Int("connections", l.droppedSinceLog).Int("most", l.Most).Msg("connections-given-up")
+	l.Log.Warn().Int("connections", l.droppedSinceLog).Int("most", l.MaxConnections).Msg("connections-given-up")
 	l.droppedSinceLog = 0
 	l.loggedAt = now
 }
--- a/src/doorkeeper/listener_test.go
+++ b/src/doorkeeper/listener_test.go
@@ -19,12 +19,12 @@
 		t.Fatal(err)
 	}
 	listener := &Listener{
-		Listener: tcpListener,
-		Most:     maxConnections,
+		Listener:       tcpListener,
+		MaxConnections: maxConnections,
 	}
 	server := &http.Server{
 		Handler:           handler,
-		ConnState:         listener.Track,
+		ConnState:         listener.TrackState,
 		ReadHeaderTimeout: ioTimeout,
 	}
 	done := make(chan struct{})
--- a/src/entry/adoption.go
+++ b/src/entry/adoption.go
@@ -65,7 +65,7 @@
 
 func (e *Entry) handleAdoption(server *connector.Server) {
 	connector.Handle(server, methodAdopt, func(ctx context.Context, peer connector.Peer, request *messages.AdoptRequest) (*messages.AdoptResponse, error) {
-		if err := peer.Plays(certifier.Entry); err != nil {
+		if err := peer.RequireRole(certifier.Entry); err != nil {
 			return nil, err
 		}
 		return e.callers.Adopt(ctx, request), nil
--- a/src/entry/entry.go
+++ b/src/entry/entry.go
@@ -48,7 +48,7 @@
 	stopping     atomic.Bool
 	incarnation  units.Incarnation
 	recorder     *recorder.Recorder
-	explanations explainer.Book
+	explanations explainer.TraceStore
 	// leaseExpiry is when the lease to serve expires.
 	leaseExpiry   atomic.Pointer[time.Time]
 	controlClient *controlClient
@@ -146,7 +146,7 @@
 func (e *Entry) newCallerServer() *server.Server {
 	return &server.Server{
 		Listener:  e.Callers,
-		TLS:       e.Certificates.Callers(),
+		TLS:       e.Certificates.CallerConfig(),
 		Log:       e.Log,
 		Scope:     e.Meter.Scope,
 		Snapshot:  &e.snapshot,
@@ -159,11 +159,11 @@
 			Exchanger: e.traffic.forwarder,
 			Observer:  e.traffic.router,
 		},
-		Ready:      e.isReady,
-		Drain:      e.Settings.Timing.Drain,
-		UnreadyFor: unreadyFor,
-		Adopter:    e,
-		Records:    e.recorder,
+		Ready:         e.isReady,
+		DrainTimeout:  e.Settings.Timing.Drain,
+		UnreadyPeriod: unreadyFor,
+		Adopter:       e,
+		Records:       e.recorder,
 	}
 }
 
@@ -171,7 +171,7 @@
 func (e *Entry) newPeerServer() *connector.Server {
 	server := &connector.Server{
 		Listener: e.Peers,
-		TLS:      e.Certificates.Peers(),
+		TLS:      e.Certificates.PeerConfig(),
 		Traffic:  e.Client.Traffic,
 	}
 	connector.Handle(server, MethodGossip, e.onGossip)
@@ -216,7 +216,7 @@
 func (e *Entry) newAnnouncementServer() *announcementServer {
 	return &announcementServer{
 		listener:    e.Upstreams,
-		tls:         e.Certificates.Upstreams(),
+		tls:         e.Certificates.UpstreamConfig(),
 		coordinator: e.coordinator,
 	}
 }
@@ -224,7 +224,7 @@
 func (e *Entry) newOperatorServer() *inspector.Inspector {
 	return &inspector.Inspector{
 		Listener: e.Operators,
-		TLS:      e.Certificates.Operators(),
+		TLS:      e.Certificates.OperatorConfig(),
 		Dump:     e.dump,
 		Explain:  e.explain,
 		Ready:    e.isReady,
--- a/src/entry/gossipsender.go
+++ b/src/entry/gossipsender.go
@@ -101,7 +101,7 @@
 
 // onGossip handles another entry's gossip.
 func (e *Entry) onGossip(ctx context.Context, peer connector.Peer, gossip *messages.Gossip) (*messages.GossipResponse, error) {
-	if err := peer.Speaks(certifier.Entry, gossip.GetFrom()); err != nil {
+	if err := peer.RequireName(certifier.Entry, gossip.GetFrom()); err != nil {
 		return nil, err
 	}
 	e.coordinator.gossipSender.received.Inc(1)
--- a/src/entry/relay.go
+++ b/src/entry/relay.go
@@ -31,12 +31,12 @@
 
 // register registers the handlers for requests of control and of other entries.
 func (c *controlClient) register(server *connector.Server) {
-	if server.Allowed == nil {
-		server.Allowed = make(map[connector.Method][]certifier.Role)
+	if server.AllowedRoles == nil {
+		server.AllowedRoles = make(map[connector.Method][]certifier.Role)
 	}
-	server.Allowed[distributor.MethodHeartbeat] = []certifier.Role{certifier.Entry}
-	server.Allowed[distributor.MethodContact] = []certifier.Role{certifier.Entry}
-	server.Allowed[distributor.MethodUpdate] = []certifier.Role{certifier.Control, certifier.Entry}
+	server.AllowedRoles[distributor.MethodHeartbeat] = []certifier.Role{certifier.Entry}
+	server.AllowedRoles[distributor.MethodContact] = []certifier.Role{certifier.Entry}
+	server.AllowedRoles[distributor.MethodUpdate] = []certifier.Role{certifier.Control, certifier.Entry}
 	connector.Handle(server, distributor.MethodHeartbeat, c.onHeartbeat)
 	connector.Handle(server, distributor.MethodContact, c.onContact)
 	connector.Handle(server, distributor.MethodUpdate, c.onUpdate)
@@ -45,7 +45,7 @@
 // onHeartbeat answers a child on behalf of control. The child's lease counts from this entry's
 // own contact with control, so a relay that is cut off renews no lease.
 func (c *controlClient) onHeartbeat(_ context.Context, peer connector.Peer, heartbeat *messages.EntryHeartbeat) (*messages.EntryHeartbeatResponse, error) {
-	if err := peer.Speaks(certifier.Entry, heartbeat.GetEntry()); err != nil {
+	if err := peer.RequireName(certifier.Entry, heartbeat.GetEntry()); err != nil {
 		return nil, err
 	}
 	now := time.Now()
--- a/src/entry/shares.go
+++ b/src/entry/shares.go
@@ -121,7 +121,7 @@
 
 // onShare handles another entry's request.
 func (s *shares) onShare(_ context.Context, peer connector.Peer, request *messages.ShareRequest) (*messages.ShareResponse, error) {
-	if err := peer.Speaks(certifier.Entry, request.GetEntry()); err != nil {
+	if err := peer.RequireName(certifier.Entry, request.GetEntry()); err != nil {
 		return nil, err
 	}
 	return s.answerRequest(request), nil
--- a/src/entry/traffic.go
+++ b/src/entry/traffic.go
@@ -21,7 +21,7 @@
 
 func newTraffic(e *Entry) *traffic {
 	pools := &forwarder.Pools{
-		TLS: e.Certificates.ToUpstreams(),
+		TLS: e.Certificates.UpstreamClientConfig(),
 	}
 	callRouter := &router.Router{
 		Snapshot: &e.snapshot,
--- a/src/explainer/store.go
+++ b/src/explainer/store.go
@@ -18,16 +18,16 @@
 	initialDecisions = 12
 )
 
-// Book keeps the decisions about the most recent calls; the zero value is ready to use.
-type Book struct {
+// TraceStore keeps the decisions about the most recent calls; the zero value is ready to use.
+type TraceStore struct {
 	mu     sync.Mutex
-	ring   []*Trail
-	byID   map[units.CallID]*Trail
+	ring   []*Trace
+	byID   map[units.CallID]*Trace
 	oldest int
 }
 
-// Trail records the decisions about one call.
-type Trail struct {
+// Trace records the decisions about one call.
+type Trace struct {
 	id    units.CallID
 	began time.Time
 
@@ -44,9 +44,9 @@
 	detail   string
 }
 
-// Open starts recording a call; the oldest call is dropped once maxCalls are kept.
-func (b *Book) Open(id units.CallID) *Trail {
-	trail := &Trail{
+// Start starts recording a call; the oldest call is dropped once maxCalls are kept.
+func (b *TraceStore) Start(id units.CallID) *Trace {
+	trail := &Trace{
 		id:        id,
 		began:     time.Now(),
 		decisions: make([]decision, 0, initialDecisions),
@@ -54,7 +54,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.byID == nil {
-		b.byID = make(map[units.CallID]*Trail)
+		b.byID = make(map[units.CallID]*Trace)
 	}
 	b.byID[id] = trail
 	if len(b.ring) < maxCalls {
@@ -68,7 +68,7 @@
 }
 
 // RecordStep records a decision.
-func (t *Trail) RecordStep(step dispatcher.Step, upstream units.Upstream, detail string) {
+func (t *Trace) RecordStep(step dispatcher.Step, upstream units.Upstream, detail string) {
 	t.add(decision{
 		step:     step,
 		upstream: upstream,
@@ -77,7 +77,7 @@
 }
 
 // RecordCandidate records an upstream that could be chosen and its score, where lower is better.
-func (t *Trail) RecordCandidate(upstream units.Upstream, score float64) {
+func (t *Trace) RecordCandidate(upstream units.Upstream, score float64) {
 	t.add(decision{
 		step:     dispatcher.StepCandidate,
 		upstream: upstream,
@@ -85,7 +85,7 @@
 	})
 }
 
-func (t *Trail) add(next decision) {
+func (t *Trace) add(next decision) {
 	next.after = time.Since(t.began)
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -118,7 +118,7 @@
 }
 
 // Explain returns the decisions about a call, or nil if it is not among the most recent ones.
-func (b *Book) Explain(id units.CallID) *Explanation {
+func (b *TraceStore) Explain(id units.CallID) *Explanation {
 	b.mu.Lock()
 	trail := b.byID[id]
 	b.mu.Unlock()
--- a/src/explainer/store_test.go
+++ b/src/explainer/store_test.go
@@ -11,11 +11,11 @@
 // With an endless series of calls, and a stream that moves endlessly, memory stays bounded: the
 // most recent calls are kept, each with its outcome.
 func TestBookIsBounded(t *testing.T) {
-	book := &Book{}
+	book := &TraceStore{}
 	for i := range 3 * maxCalls {
-		book.Open(units.CallID(fmt.Sprint(i)))
+		book.Start(units.CallID(fmt.Sprint(i)))
 	}
-	last := book.Open("last")
+	last := book.Start("last")
 	for range 3 * maxDecisions {
 		last.RecordCandidate("u", 1)
 	}
@@ -37,10 +37,10 @@
 
 // BenchmarkTrail measures the cost of recording a call with one attempt and eight candidates.
 func BenchmarkTrail(b *testing.B) {
-	book := &Book{}
+	book := &TraceStore{}
 	b.ReportAllocs()
 	for b.Loop() {
-		trail := book.Open("call")
+		trail := book.Start("call")
 		for range 8 {
 			trail.RecordCandidate("u", 1)
 		}
--- a/src/inspector/inspector.go
+++ b/src/inspector/inspector.go
@@ -40,8 +40,8 @@
 	// Explain returns the decisions about a call, or false if the call is not known; it
 	// is nil for a process that handles no calls.
 	Explain func(call units.CallID) (any, bool)
-	// Services are the operator routes that are specific to the process.
-	Services []*restful.WebService
+	// WebServices are the operator routes that are specific to the process.
+	WebServices []*restful.WebService
 }
 
 // Run serves until ctx ends.
@@ -80,7 +80,7 @@
 		routes.Route(routes.GET("/explain/{call}").To(i.handleExplain))
 	}
 	container.Add(routes)
-	for _, service := range i.Services {
+	for _, service := range i.WebServices {
 		container.Add(service)
 	}
 	return container
--- a/src/launcher/certificates.go
+++ b/src/launcher/certificates.go
@@ -33,7 +33,7 @@
 	}
 	return &http.Client{
 		Transport: &http.Transport{
-			TLSClientConfig: source.Client(certifier.Control, certifier.Entry),
+			TLSClientConfig: source.ClientConfig(certifier.Control, certifier.Entry),
 		},
 	}, nil
 }
@@ -54,7 +54,7 @@
 		Folder:   c.Folder,
 		Lifetime: c.Lifetime,
 	}
-	if err := authority.Make(); err != nil {
+	if err := authority.Generate(); err != nil {
 		return err
 	}
 	for _, holders := range []struct {
--- a/src/launcher/providers.go
+++ b/src/launcher/providers.go
@@ -19,9 +19,9 @@
 
 func newClient(certificates *certifier.Certifier, metrics *meter.Meter) (*connector.Client, func()) {
 	client := &connector.Client{
-		TLS:     certificates.ToPeers(),
-		Check:   certificates.CheckPeer,
-		Traffic: connector.NewTraffic(metrics.Scope),
+		TLS:          certificates.PeerClientConfig(),
+		VerifyServer: certificates.VerifyControlServer,
+		Traffic:      connector.NewTraffic(metrics.Scope),
 	}
 	return client, client.Close
 }
--- a/src/logger/bounded.go
+++ b/src/logger/bounded.go
@@ -22,9 +22,9 @@
 	maxPendingBytes = 256 << 10
 )
 
-// Bounded is a log writer that never blocks and that limits the volume of the log; lines
+// BoundedWriter is a log writer that never blocks and that limits the volume of the log; lines
 // beyond the limits are dropped and counted. Its fields are set before use.
-type Bounded struct {
+type BoundedWriter struct {
 	Out io.Writer
 	// LinesPerSecond is the maximum number of lines kept per second.
 	LinesPerSecond int
@@ -48,7 +48,7 @@
 
 // Write adds one line; it never returns an error, since a failing log must not stop the
 // process's work.
-func (b *Bounded) Write(line []byte) (int, error) {
+func (b *BoundedWriter) Write(line []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if currentSecond := time.Now().Unix(); currentSecond != b.currentSecond {
@@ -65,11 +65,11 @@
 }
 
 // Dropped returns the number of lines dropped since the start.
-func (b *Bounded) Dropped() int64 { return b.dropped.Load() }
+func (b *BoundedWriter) Dropped() int64 { return b.dropped.Load() }
 
 // Run writes the pending lines at each flushInterval and once more when ctx ends. It also
 // logs how many lines were dropped.
-func (b *Bounded) Run(ctx context.Context) {
+func (b *BoundedWriter) Run(ctx context.Context) {
 	ticker := time.NewTicker(flushInterval)
 	defer ticker.Stop()
 	reported := int64(0)
@@ -88,14 +88,14 @@
 	}
 }
 
-func (b *Bounded) appendLine(line string) {
+func (b *BoundedWriter) appendLine(line string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.pending.WriteString(line)
 }
 
 // Flush writes the pending lines.
-func (b *Bounded) Flush() {
+func (b *BoundedWriter) Flush() {
 	b.mu.Lock()
 	content := bytes.Clone(b.pending.Bytes())
 	b.pending.Reset()
--- a/src/logger/bounded_test.go
+++ b/src/logger/bounded_test.go
@@ -11,7 +11,7 @@
 // its memory; the lines that are dropped must be counted.
 func TestBoundedDropsAndCounts(t *testing.T) {
 	var out bytes.Buffer
-	b := &Bounded{Out: &out, LinesPerSecond: 10}
+	b := &BoundedWriter{Out: &out, LinesPerSecond: 10}
 	const lines = 500
 	for range lines {
 		if n, err := b.Write([]byte("line\n")); n != 5 || err != nil {
--- a/src/prover/certificates_test.go
+++ b/src/prover/certificates_test.go
@@ -28,7 +28,7 @@
 // peerConfig returns the TLS configuration of a process with an identity of the stage's authority.
 func peerConfig(t *testing.T, stage *stager.Stage, role certifier.Role, name string) *tls.Config {
 	t.Helper()
-	files, err := stage.Issue(certifier.Identity{
+	files, err := stage.IssueCertificate(certifier.Identity{
 		Role: role,
 		Name: name,
 	})
@@ -41,5 +41,5 @@
 	if _, err := source.Load(); err != nil {
 		t.Fatal(err)
 	}
-	return source.Client(certifier.Control, certifier.Entry)
+	return source.ClientConfig(certifier.Control, certifier.Entry)
 }
--- a/src/prover/fleet_test.go
+++ b/src/prover/fleet_test.go
@@ -91,7 +91,7 @@
 	await(t, "view with five entries at each", func() bool {
 		return viewInForce(t, stage, stage.Entries) == 5
 	})
-	upstream, err := stage.StartUpstreamAt(stage.Entries[:1], "engine", "ember-1",
+	upstream, err := stage.StartUpstreamFor(stage.Entries[:1], "engine", "ember-1",
 		"--service", "ember-llm", "--model", "ember-1", "--data-centre", "dc-a", "--notice", "60s")
 	if err != nil {
 		t.Fatal(err)
@@ -121,7 +121,7 @@
 	await(t, "view with three entries at each", func() bool {
 		return viewInForce(t, stage, stage.Entries) == 3
 	})
-	upstream, err := stage.StartUpstreamAt(stage.Entries[:1], "engine", "ember-1",
+	upstream, err := stage.StartUpstreamFor(stage.Entries[:1], "engine", "ember-1",
 		"--service", "ember-llm", "--model", "ember-1", "--data-centre", "dc-a")
 	if err != nil {
 		t.Fatal(err)
--- a/src/prover/input_test.go
+++ b/src/prover/input_test.go
@@ -33,14 +33,14 @@
 
 func writeSettings(t *testing.T, stage *stager.Stage, change func(*parser.Settings)) string {
 	t.Helper()
-	peers := stage.Address()
+	peers := stage.FreeAddress()
 	settings := &parser.Settings{
 		Name:             "c1",
 		DataCentre:       "dc-a",
 		DataFolder:       filepath.Join(stage.Folder, "data"),
 		Control:          []parser.ControlAddress{{Name: "c1", DataCentre: "dc-a", Address: peers}},
 		Peers:            parser.Listener{Listen: peers},
-		Operators:        parser.Listener{Listen: stage.Address()},
+		Operators:        parser.Listener{Listen: stage.FreeAddress()},
 		InsecureLoopback: true,
 	}
 	change(settings)
--- a/src/prover/main_test.go
+++ b/src/prover/main_test.go
@@ -96,7 +96,7 @@
 // running entry takes calls.
 func apply(t testing.TB, stage *stager.Stage, file string) {
 	t.Helper()
-	flags, err := stage.Flags(certifier.Identity{
+	flags, err := stage.TLSFlags(certifier.Identity{
 		Role: certifier.Operator,
 		Name: "alice",
 	})
--- a/src/prover/tls_test.go
+++ b/src/prover/tls_test.go
@@ -33,7 +33,7 @@
 func startSecured(t *testing.T, controls, entries int) *stager.Stage {
 	t.Helper()
 	stage := newStage(t)
-	stage.Secured = true
+	stage.TLS = true
 	startFleet(t, stage, controls, entries)
 	startEngine(t, stage)
 	apply(t, stage, exampleFile)
@@ -52,7 +52,7 @@
 
 func clientOf(t *testing.T, stage *stager.Stage, role certifier.Role, name string) *http.Client {
 	t.Helper()
-	client, err := stage.ClientOf(certifier.Identity{
+	client, err := stage.ClientFor(certifier.Identity{
 		Role: role,
 		Name: name,
 	})
@@ -82,7 +82,7 @@
 
 func dumpOf(t *testing.T, stage *stager.Stage, node *stager.Node) string {
 	t.Helper()
-	client, err := stage.Client()
+	client, err := stage.OperatorClient()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -123,7 +123,7 @@
 func TestUnknownOperatorChangesNothing(t *testing.T) {
 	stage := startSecured(t, 1, 1)
 	stranger := newStage(t)
-	stranger.Secured = true
+	stranger.TLS = true
 	document, err := os.ReadFile(exampleFile)
 	if err != nil {
 		t.Fatal(err)
@@ -169,7 +169,7 @@
 
 func statusText(t *testing.T, stage *stager.Stage) string {
 	t.Helper()
-	flags, err := stage.Flags(certifier.Identity{
+	flags, err := stage.TLSFlags(certifier.Identity{
 		Role: certifier.Operator,
 		Name: "bob",
 	})
@@ -281,7 +281,7 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = response.Body.Close() }()
-	if _, err := stage.Issue(certifier.Identity{Role: certifier.Entry, Name: "e1"}); err != nil {
+	if _, err := stage.IssueCertificate(certifier.Identity{Role: certifier.Entry, Name: "e1"}); err != nil {
 		t.Fatal(err)
 	}
 	await(t, "the new certificate shown", func() bool { return !bytes.Equal(leafOf(t, entry), before) })
@@ -310,8 +310,8 @@
 // word for the accepted configuration.
 func TestEntryCannotPlayControl(t *testing.T) {
 	stage := newStage(t)
-	stage.Secured = true
-	files, err := stage.Issue(certifier.Identity{Role: certifier.Entry, Name: "e1"})
+	stage.TLS = true
+	files, err := stage.IssueCertificate(certifier.Identity{Role: certifier.Entry, Name: "e1"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -328,13 +328,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := &connector.Server{Listener: listener, TLS: certificates.Peers()}
+	server := &connector.Server{Listener: listener, TLS: certificates.PeerConfig()}
 	connector.Handle(server, control.MethodStatus,
 		func(context.Context, connector.Peer, *messages.StatusRequest) (*messages.Status, error) {
 			return &messages.Status{}, nil
 		})
 	go func() { _ = server.Run(t.Context()) }()
-	client := connector.Client{TLS: certificates.ToPeers(), Check: certificates.CheckPeer}
+	client := connector.Client{TLS: certificates.PeerClientConfig(), VerifyServer: certificates.VerifyControlServer}
 	defer client.Close()
 	err = client.Call(t.Context(), listener.Addr().String(), control.MethodStatus, &messages.StatusRequest{}, &messages.Status{})
 	if want := "speaks in the name of"; err == nil || !strings.Contains(err.Error(), want) {
--- a/src/recorder/recorder.go
+++ b/src/recorder/recorder.go
@@ -67,13 +67,13 @@
 func (r *Recorder) Handle(server *connector.Server) {
 	r.initialize()
 	connector.Handle(server, MethodAsk, func(ctx context.Context, peer connector.Peer, request *messages.RecordRequest) (*messages.RecordResponse, error) {
-		if err := peer.Plays(certifier.Entry); err != nil {
+		if err := peer.RequireRole(certifier.Entry); err != nil {
 			return nil, err
 		}
 		return r.askLocal(ctx, request)
 	})
 	connector.Handle(server, MethodFill, func(ctx context.Context, peer connector.Peer, request *messages.FillRequest) (*messages.FillResponse, error) {
-		if err := peer.Plays(certifier.Entry); err != nil {
+		if err := peer.RequireRole(certifier.Entry); err != nil {
 			return nil, err
 		}
 		return post(ctx, r.events, func(reply chan *messages.FillResponse) OwnerEvent {
--- a/src/server/adoption.go
+++ b/src/server/adoption.go
@@ -20,8 +20,8 @@
 
 const lookupTimeout = 3 * time.Second
 
-// Looker looks up the outcome of an earlier call.
-type Looker interface {
+// RecordReader looks up the outcome of an earlier call.
+type RecordReader interface {
 	// Lookup returns the stored answer, or reports that the call is still running. With
 	// neither, the outcome of the call is unknown.
 	Lookup(ctx context.Context, account units.Account, key string) (answer *dispatcher.Answer, running bool, err error)
--- a/src/server/drain.go
+++ b/src/server/drain.go
@@ -104,11 +104,11 @@
 // shutDown stops the server without interrupting calls: it waits for the load balancer to
 // notice, then refuses new calls, then hands over the calls that do not end in time.
 func (s *Server) shutDown(ctx context.Context, server *http.Server) error {
-	end := time.Now().Add(s.Drain)
+	end := time.Now().Add(s.DrainTimeout)
 	s.drain.phase.Store(int32(phaseNotifying))
-	sleep(ctx, min(s.UnreadyFor, s.Drain/drainDivisor))
+	sleep(ctx, min(s.UnreadyPeriod, s.DrainTimeout/drainDivisor))
 	s.drain.phase.Store(int32(phaseRefusing))
-	for len(s.drain.activeCalls()) > 0 && time.Until(end) > s.Drain/drainDivisor {
+	for len(s.drain.activeCalls()) > 0 && time.Until(end) > s.DrainTimeout/drainDivisor {
 		sleep(ctx, drainPollInterval)
 	}
 	end = s.handOver(ctx, end)
--- a/src/server/server.go
+++ b/src/server/server.go
@@ -44,12 +44,12 @@
 	Dispatcher Dispatcher
 	// Ready reports whether the entry may accept new calls.
 	Ready func() bool
-	// Drain is how long a planned shutdown waits for calls to finish.
-	Drain time.Duration
-	// UnreadyFor is how long a planned shutdown still accepts calls while the entry
+	// DrainTimeout is how long a planned shutdown waits for calls to finish.
+	DrainTimeout time.Duration
+	// UnreadyPeriod is how long a planned shutdown still accepts calls while the entry
 	// reports itself unready, so that the load balancer can notice; a quarter of Drain at
 	// most.
-	UnreadyFor time.Duration
+	UnreadyPeriod time.Duration
 	// BodyTimeout bounds the reading of a whole request body, WriteTimeout each write to
 	// a caller; 0 stands for the default.
 	BodyTimeout  time.Duration
@@ -58,9 +58,9 @@
 	// Adopter hands over calls that do not end within the drain; it may be nil.
 	Adopter Adopter
 	// Records looks up the outcome of earlier calls.
-	Records Looker
+	Records RecordReader
 	// Explainer may be nil.
-	Explainer *explainer.Book
+	Explainer *explainer.TraceStore
 
 	metrics metrics
 	drain   drain
--- a/src/server/server_test.go
+++ b/src/server/server_test.go
@@ -72,7 +72,7 @@
 	server.Listener = listener
 	server.Log = zerolog.Nop()
 	server.Scope = tally.NoopScope
-	server.Drain = 400 * time.Millisecond
+	server.DrainTimeout = 400 * time.Millisecond
 	server.Snapshot = &atomic.Pointer[indexer.Snapshot]{}
 	server.Snapshot.Store(indexer.Build(testConfiguration(t), nil))
 	if server.Ready == nil {
--- a/src/server/trail.go
+++ b/src/server/trail.go
@@ -11,7 +11,7 @@
 	if s.Explainer == nil {
 		return
 	}
-	call.Trace = s.Explainer.Open(call.ID)
+	call.Trace = s.Explainer.Start(call.ID)
 	call.RecordStep(dispatcher.StepAccepted, "", fmt.Sprintf(
 		"account %s of brand %s, service %s, policy %s, repeatable %t, stream %t, prompt %d and at most %d tokens",
 		call.Account.Name, call.Brand, call.Service, call.Policy, call.Repeatable, call.Stream, call.PromptTokens, call.MaxOutput))
--- a/src/stager/secure.go
+++ b/src/stager/secure.go
@@ -25,7 +25,7 @@
 }
 
 func (s *Stage) scheme() string {
-	if s.Secured {
+	if s.TLS {
 		return "https://"
 	}
 	return "http://"
@@ -34,10 +34,10 @@
 // configureTLS issues a node's certificate and sets it on all of its listeners,
 // unless the node already has one or the stage runs without TLS.
 func (s *Stage) configureTLS(node *Node) error {
-	if !s.Secured || node.Settings.Peers.Certificate != "" {
+	if !s.TLS || node.Settings.Peers.Certificate != "" {
 		return nil
 	}
-	files, err := s.Issue(certifier.Identity{
+	files, err := s.IssueCertificate(certifier.Identity{
 		Role: certifier.Role(node.role),
 		Name: string(node.Settings.Name),
 	})
@@ -56,14 +56,14 @@
 	return nil
 }
 
-// Issue issues a certificate for an identity; the first call generates the stage's authority.
-func (s *Stage) Issue(identity certifier.Identity) (parser.Listener, error) {
+// IssueCertificate issues a certificate for an identity; the first call generates the stage's authority.
+func (s *Stage) IssueCertificate(identity certifier.Identity) (parser.Listener, error) {
 	if s.authority == nil {
 		issuer := &certifier.Authority{
 			Folder:   filepath.Join(s.Folder, "certificates"),
 			Lifetime: certificateLifetime,
 		}
-		if err := issuer.Make(); err != nil {
+		if err := issuer.Generate(); err != nil {
 			return parser.Listener{}, fmt.Errorf("generate the stage's certificate authority: %w", err)
 		}
 		s.authority = issuer
@@ -71,13 +71,13 @@
 	return s.authority.Issue(identity, loopbackAddress)
 }
 
-// Flags returns the command-line flags with which a program presents a
+// TLSFlags returns the command-line flags with which a program presents a
 // certificate for an identity, or none where the stage runs without TLS.
-func (s *Stage) Flags(identity certifier.Identity) ([]string, error) {
-	if !s.Secured {
+func (s *Stage) TLSFlags(identity certifier.Identity) ([]string, error) {
+	if !s.TLS {
 		return nil, nil
 	}
-	files, err := s.Issue(identity)
+	files, err := s.IssueCertificate(identity)
 	if err != nil {
 		return nil, err
 	}
@@ -85,7 +85,7 @@
 }
 
 func (s *Stage) upstreamFlags(name string) ([]string, error) {
-	return s.Flags(certifier.Identity{
+	return s.TLSFlags(certifier.Identity{
 		Role: certifier.Upstream,
 		Name: name,
 	})
@@ -97,20 +97,20 @@
 	}
 }
 
-// Client returns an HTTP client that presents the certificate of an operator.
-func (s *Stage) Client() (*http.Client, error) {
-	return s.ClientOf(certifier.Identity{
+// OperatorClient returns an HTTP client that presents the certificate of an operator.
+func (s *Stage) OperatorClient() (*http.Client, error) {
+	return s.ClientFor(certifier.Identity{
 		Role: certifier.Operator,
 		Name: operatorName,
 	})
 }
 
-// ClientOf returns an HTTP client that presents the certificate of an identity.
-func (s *Stage) ClientOf(identity certifier.Identity) (*http.Client, error) {
-	if !s.Secured {
+// ClientFor returns an HTTP client that presents the certificate of an identity.
+func (s *Stage) ClientFor(identity certifier.Identity) (*http.Client, error) {
+	if !s.TLS {
 		return http.DefaultClient, nil
 	}
-	files, err := s.Issue(identity)
+	files, err := s.IssueCertificate(identity)
 	if err != nil {
 		return nil, err
 	}
@@ -122,7 +122,7 @@
 	}
 	return &http.Client{
 		Transport: &http.Transport{
-			TLSClientConfig: source.Client(certifier.Control, certifier.Entry, certifier.Upstream),
+			TLSClientConfig: source.ClientConfig(certifier.Control, certifier.Entry, certifier.Upstream),
 		},
 	}, nil
 }
--- a/src/stager/stage.go
+++ b/src/stager/stage.go
@@ -42,8 +42,8 @@
 	Timing parser.Timing
 	// Voters is copied into every process's settings; 0 leaves the default.
 	Voters int
-	// Secured runs every process over TLS, with certificates made in Folder.
-	Secured bool
+	// TLS runs every process over TLS, with certificates made in Folder.
+	TLS bool
 
 	Controls []*Node
 	Entries  []*Node
@@ -72,8 +72,8 @@
 // CallerURL returns an entry's base URL for callers.
 func (n *Node) CallerURL() string { return baseURL(n.Settings.Callers) }
 
-// Address returns a free loopback address and locks its port for this stage.
-func (s *Stage) Address() string {
+// FreeAddress returns a free loopback address and locks its port for this stage.
+func (s *Stage) FreeAddress() string {
 	s.portsMu.Lock()
 	defer s.portsMu.Unlock()
 	if s.usedPorts == nil {
@@ -115,7 +115,7 @@
 		addresses = append(addresses, parser.ControlAddress{
 			Name:       units.Instance(fmt.Sprintf("c%d", i+1)),
 			DataCentre: dataCentres[i%len(dataCentres)],
-			Address:    s.Address(),
+			Address:    s.FreeAddress(),
 		})
 	}
 	for _, address := range addresses {
@@ -141,9 +141,9 @@
 				Name:       units.Instance(fmt.Sprintf("e%d", i+1)),
 				DataCentre: dataCentres[i%len(dataCentres)],
 				Control:    addresses,
-				Peers:      parser.Listener{Listen: s.Address()},
-				Callers:    parser.Listener{Listen: s.Address()},
-				Upstreams:  parser.Listener{Listen: s.Address()},
+				Peers:      parser.Listener{Listen: s.FreeAddress()},
+				Callers:    parser.Listener{Listen: s.FreeAddress()},
+				Upstreams:  parser.Listener{Listen: s.FreeAddress()},
 			},
 		}
 		if err := s.Start(node); err != nil {
@@ -157,12 +157,12 @@
 // Start starts a node, or restarts it with the settings that it had.
 func (s *Stage) Start(node *Node) error {
 	if node.Settings.Operators.Listen == "" {
-		node.Settings.Operators.Listen = s.Address()
+		node.Settings.Operators.Listen = s.FreeAddress()
 	}
 	if err := s.configureTLS(node); err != nil {
 		return err
 	}
-	node.Settings.InsecureLoopback = !s.Secured
+	node.Settings.InsecureLoopback = !s.TLS
 	node.Settings.Timing = s.Timing
 	node.Settings.Voters = s.Voters
 	node.settingsPath = filepath.Join(s.Folder, string(node.Settings.Name)+".yaml")
@@ -179,12 +179,12 @@
 
 // StartUpstream starts a stand-in that announces itself to every entry; kind is "engine" or "plain".
 func (s *Stage) StartUpstream(kind, name string, arguments ...string) (*Upstream, error) {
-	return s.StartUpstreamAt(s.Entries, kind, name, arguments...)
+	return s.StartUpstreamFor(s.Entries, kind, name, arguments...)
 }
 
-// StartUpstreamAt starts a stand-in that announces itself only to the given entries.
-func (s *Stage) StartUpstreamAt(announceTo []*Node, kind, name string, arguments ...string) (*Upstream, error) {
-	address := s.Address()
+// StartUpstreamFor starts a stand-in that announces itself only to the given entries.
+func (s *Stage) StartUpstreamFor(announceTo []*Node, kind, name string, arguments ...string) (*Upstream, error) {
+	address := s.FreeAddress()
 	entryURLs := make([]string, 0, len(announceTo))
 	for _, entry := range announceTo {
 		entryURLs = append(entryURLs, baseURL(entry.Settings.Upstreams))
@@ -210,7 +210,7 @@
 // StartCloud starts the stand-in for the platform's cloud API, whose instances
 // announce themselves to every entry.
 func (s *Stage) StartCloud(arguments ...string) (*Upstream, error) {
-	return s.StartUpstreamAt(s.Entries, "cloud", "cloud", arguments...)
+	return s.StartUpstreamFor(s.Entries, "cloud", "cloud", arguments...)
 }
 
 // Upstream is a stand-in process and its base URL.
@@ -248,7 +248,7 @@
 }
 
 func (s *Stage) awaitStatusOK(ctx context.Context, url string) error {
-	client, err := s.Client()
+	client, err := s.OperatorClient()
 	if err != nil {
 		return err
 	}
--- a/src/standin/host.go
+++ b/src/standin/host.go
@@ -78,10 +78,10 @@
 	listener := h.Listener
 	h.client = http.DefaultClient
 	if h.Source != nil {
-		listener = tls.NewListener(listener, h.Source.Server(tls.RequireAndVerifyClientCert))
+		listener = tls.NewListener(listener, h.Source.ServerConfig(tls.RequireAndVerifyClientCert))
 		h.client = &http.Client{
 			Transport: &http.Transport{
-				TLSClientConfig: h.Source.Client(certifier.Entry),
+				TLSClientConfig: h.Source.ClientConfig(certifier.Entry),
 			},
 		}
 	}
