--- a/src/injector/checker.go
+++ b/src/injector/checker.go
@@ -12,23 +12,24 @@
 	"github.com/rosecroft/rosecroft/src/standin"
 )
 
-// noWorkAfter is how long after its notice an upstream may still get new work.
-const noWorkAfter = 2 * time.Second
-
-// modelVersion is the version that every engine of the examples serves.
-const modelVersion = "1"
-
-// Truth is what the upstreams really did.
-type Truth struct {
-	// runs holds when each caller's call began to run, and where.
-	runs    map[string][]standin.Line
-	leaving map[string]time.Time
-	// Recomputed are the tokens that engines computed again for streams that went on.
+// newWorkGrace is how long after its notice an upstream may still receive new calls.
+const newWorkGrace = 2 * time.Second
+
+// exampleModelVersion is the model version that all engines of the example deployments serve.
+const exampleModelVersion = "1"
+
+// GroundTruth is what the upstreams actually did, according to their journals.
+type GroundTruth struct {
+	// runs holds the starts of each call, with the upstream, by the caller's reference.
+	runs map[string][]standin.Line
+	// noticedAt is when each upstream received its notice.
+	noticedAt map[string]time.Time
+	// Recomputed holds the events of tokens computed again for retried or resumed calls.
 	Recomputed []standin.Line
 }
 
-// RecomputedTokens returns how many tokens engines computed again.
-func (t *Truth) RecomputedTokens() int {
+// RecomputedTokens returns the total number of recomputed tokens.
+func (t *GroundTruth) RecomputedTokens() int {
 	total := 0
 	for _, line := range t.Recomputed {
 		total += line.Tokens
@@ -37,10 +38,10 @@
 }
 
 // ReadTruth reads every journal in a folder.
-func ReadTruth(folder string) (*Truth, error) {
-	truth := &Truth{
-		runs:    make(map[string][]standin.Line),
-		leaving: make(map[string]time.Time),
+func ReadTruth(folder string) (*GroundTruth, error) {
+	truth := &GroundTruth{
+		runs:      make(map[string][]standin.Line),
+		noticedAt: make(map[string]time.Time),
 	}
 	files, err := os.ReadDir(folder)
 	if err != nil {
@@ -59,40 +60,41 @@
 	return truth, nil
 }
 
-func (t *Truth) add(lines []standin.Line) {
+func (t *GroundTruth) add(lines []standin.Line) {
 	for _, line := range lines {
-		switch line.Happening {
-		case standin.Started:
+		switch line.Kind {
+		case standin.CallStarted:
 			t.runs[line.Reference] = append(t.runs[line.Reference], line)
-		case standin.Recomputed:
+		case standin.TokensRecomputed:
 			t.Recomputed = append(t.Recomputed, line)
-		case standin.LeavingBegan:
-			t.leaving[line.Upstream] = line.At
+		case standin.NoticeReceived:
+			t.noticedAt[line.Upstream] = line.At
 		}
 	}
 }
 
-// Verdict counts what was right and lists what was not.
+// Verdict counts the results of the calls and lists the violations.
 type Verdict struct {
 	Answered int
-	// NotRun are calls whose callers were told to come back and gave up.
-	NotRun  int
-	Unknown int
-	Lost    int
-	Doubled int
-	// Cut are streams that callers saw end early and asked for again. Only an
-	// entry that dies or freezes may cut one.
-	Cut    int
-	Faults []string
-	// Refused says what the callers without an answer were told.
+	// NotRun counts calls that were still refused as not run at their last attempt.
+	NotRun        int
+	Unknown       int
+	Lost          int
+	DuplicateRuns int
+	// CutStreams counts streams that ended early at the caller and were requested
+	// again. Only an entry that dies or freezes may cause one.
+	CutStreams int
+	Faults     []string
+	// Refused describes the last refusal of each call that was refused in the end.
 	Refused []string
 }
 
-// Check compares what callers were told with the truth, after a schedule.
-func Check(report *loader.Report, truth *Truth, schedule []Step) *Verdict {
+// Check compares the outcomes that callers observed under a schedule with what the
+// upstreams actually did.
+func Check(report *loader.Report, truth *GroundTruth, schedule []Step) *Verdict {
 	v := &Verdict{}
 	for _, outcome := range report.Outcomes {
-		v.count(outcome)
+		v.countOutcome(outcome)
 		v.checkRuns(outcome, truth.runs[outcome.Reference])
 	}
 	v.checkTexts(report)
@@ -101,88 +103,90 @@
 	return v
 }
 
-// checkCuts finds streams that ended early although no entry died or froze.
+// checkCuts reports streams that ended early although the schedule kills or
+// freezes no entry.
 func (v *Verdict) checkCuts(report *loader.Report, schedule []Step) {
 	if slices.ContainsFunc(schedule, func(s Step) bool { return s.Act == KillEntry || s.Act == FreezeEntry }) {
 		return
 	}
 	for _, outcome := range report.Outcomes {
 		if outcome.Cuts > 0 {
-			v.fault(outcome, "its stream ended early while no entry died: "+outcome.Detail)
+			v.addFault(outcome, "its stream ended early while no entry died: "+outcome.Detail)
 		}
 	}
 }
 
-func (v *Verdict) count(outcome *loader.Outcome) {
+func (v *Verdict) countOutcome(outcome *loader.Outcome) {
 	switch outcome.Result {
 	case loader.Answered:
 		v.Answered++
 	case loader.NotRun:
 		v.NotRun++
-		v.refused(outcome)
+		v.addRefusal(outcome)
 	case loader.Unknown:
 		v.Unknown++
-		v.refused(outcome)
+		v.addRefusal(outcome)
 	case loader.Lost:
 		v.Lost++
-		v.fault(outcome, "no final answer: "+outcome.Detail)
+		v.addFault(outcome, "no final answer: "+outcome.Detail)
 	case loader.Failed:
-		v.fault(outcome, "not a whole answer: "+outcome.Detail)
+		v.addFault(outcome, "not a whole answer: "+outcome.Detail)
 	}
-	v.Cut += outcome.Cuts
+	v.CutStreams += outcome.Cuts
 }
 
 func (v *Verdict) checkRuns(outcome *loader.Outcome, runs []standin.Line) {
 	if outcome.Result == loader.Answered && len(runs) == 0 {
-		v.fault(outcome, "answered without a run")
+		v.addFault(outcome, "answered without a run")
 	}
 	if outcome.Kind != loader.Once {
 		return
 	}
 	if len(runs) > 1 {
-		v.Doubled++
-		v.fault(outcome, fmt.Sprintf("ran %d times", len(runs)))
+		v.DuplicateRuns++
+		v.addFault(outcome, fmt.Sprintf("ran %d times", len(runs)))
 	}
 	if outcome.Result == loader.NotRun && len(runs) > 0 {
-		v.fault(outcome, "refused as not run, but ran at "+runs[0].Upstream)
+		v.addFault(outcome, "refused as not run, but ran at "+runs[0].Upstream)
 	}
 }
 
-// checkTexts compares the answers to equal prompts, which are equal on every engine.
+// checkTexts compares the text of each stream with the one that every engine
+// generates for its prompt and seed.
 func (v *Verdict) checkTexts(report *loader.Report) {
 	for _, outcome := range report.Outcomes {
 		if outcome.Kind != loader.Stream || outcome.Result != loader.Answered {
 			continue
 		}
-		if want := standin.Text(modelVersion, outcome.Prompt, outcome.Seed, outcome.Tokens); string(outcome.Answer) != want {
-			v.fault(outcome, "the stream's text is not the one that its prompt gives")
+		if want := standin.ExpectedText(exampleModelVersion, outcome.Prompt, outcome.Seed, outcome.Tokens); string(outcome.Answer) != want {
+			v.addFault(outcome, "the stream's text is not the one that its prompt gives")
 		}
 	}
 }
 
-func (v *Verdict) checkLeaving(truth *Truth) {
+func (v *Verdict) checkLeaving(truth *GroundTruth) {
 	for reference, runs := range truth.runs {
 		for _, run := range runs {
-			left, leaving := truth.leaving[run.Upstream]
-			if leaving && run.At.After(left.Add(noWorkAfter)) {
+			noticedAt, noticed := truth.noticedAt[run.Upstream]
+			if noticed && run.At.After(noticedAt.Add(newWorkGrace)) {
 				v.Faults = append(v.Faults, fmt.Sprintf("%s: new work at %s %s after its notice",
-					reference, run.Upstream, run.At.Sub(left)))
+					reference, run.Upstream, run.At.Sub(noticedAt)))
 			}
 		}
 	}
 }
 
-func (v *Verdict) refused(outcome *loader.Outcome) {
+func (v *Verdict) addRefusal(outcome *loader.Outcome) {
 	v.Refused = append(v.Refused, fmt.Sprintf("%s (%s) after %s and %d sends: %s",
-		outcome.Reference, outcome.Workload, outcome.Took.Round(time.Millisecond), outcome.Sends, outcome.Detail))
+		outcome.Reference, outcome.Workload, outcome.Latency.Round(time.Millisecond), outcome.Attempts, outcome.Detail))
 }
 
-func (v *Verdict) fault(outcome *loader.Outcome, what string) {
-	v.Faults = append(v.Faults, fmt.Sprintf("%s (%s, key %s): %s", outcome.Reference, outcome.Workload, outcome.Key, what))
+func (v *Verdict) addFault(outcome *loader.Outcome, detail string) {
+	v.Faults = append(v.Faults, fmt.Sprintf("%s (%s, key %s): %s", outcome.Reference, outcome.Workload, outcome.Key, detail))
 }
 
 // String returns the verdict's counts as one line.
 func (v *Verdict) String() string {
 	return fmt.Sprintf("answered=%d not-run=%d unknown=%d lost=%d doubled=%d cut=%d faults=%d",
-		v.Answered, v.NotRun, v.Unknown, v.Lost, v.Doubled, v.Cut, len(v.Faults))
+		v.Answered, v.NotRun, v.Unknown, v.Lost, v.DuplicateRuns, v.CutStreams, len(v.Faults))
 }
--- a/src/injector/doc.go
+++ b/src/injector/doc.go
@@ -1,3 +1,3 @@
 // Package injector injects a seeded schedule of faults into a running fleet and
-// compares what callers were told with what the upstreams really ran.
+// compares the answers that callers received with what the upstreams actually ran.
 package injector
--- a/src/injector/injector.go
+++ b/src/injector/injector.go
@@ -16,111 +16,111 @@
 	"github.com/rosecroft/rosecroft/src/stager"
 )
 
-// Injector carries out a schedule; its fields are set before Run.
+// Injector executes a schedule of faults; its fields are set before Run.
 type Injector struct {
 	Fleet    *deployer.Fleet
 	Schedule []Step
-	// Log gets a line for each step as it is carried out.
+	// Log receives a line for each step when it is executed.
 	Log io.Writer
 
 	mu sync.Mutex
-	// held are the nodes that a step has down or frozen.
-	held    map[*stager.Node]bool
-	version int
-	pending sync.WaitGroup
-	failed  error
+	// affected holds the nodes that a step keeps down or frozen.
+	affected    map[*stager.Node]bool
+	lastVersion int
+	pending     sync.WaitGroup
+	failure     error
 }
 
-// Run carries out the schedule and returns once every held process is back.
-func (w *Injector) Run(ctx context.Context) error {
-	w.held = make(map[*stager.Node]bool)
-	w.version = 1
+// Run executes the schedule and returns once every affected process runs again.
+func (inj *Injector) Run(ctx context.Context) error {
+	inj.affected = make(map[*stager.Node]bool)
+	inj.lastVersion = 1
 	began := time.Now()
-	for _, step := range w.Schedule {
+	for _, step := range inj.Schedule {
 		select {
 		case <-ctx.Done():
-			w.pending.Wait()
+			inj.pending.Wait()
 			return ctx.Err()
 		case <-time.After(time.Until(began.Add(step.At))):
 		}
-		_, _ = fmt.Fprintln(w.Log, step)
-		w.carryOut(ctx, step)
+		_, _ = fmt.Fprintln(inj.Log, step)
+		inj.execute(ctx, step)
 	}
-	w.pending.Wait()
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.failed
+	inj.pending.Wait()
+	inj.mu.Lock()
+	defer inj.mu.Unlock()
+	return inj.failure
 }
 
-func (w *Injector) carryOut(ctx context.Context, step Step) {
-	entries := w.Fleet.Stage.Entries
-	controls := w.Fleet.Stage.Controls
+func (inj *Injector) execute(ctx context.Context, step Step) {
+	entries := inj.Fleet.Stage.Entries
+	controls := inj.Fleet.Stage.Controls
 	switch step.Act {
 	case KillEntry:
-		w.hold(entries, step, w.killAndRestart)
+		inj.disruptNode(entries, step, inj.killAndRestart)
 	case StopEntry:
-		w.hold(entries, step, w.stopAndRestart)
+		inj.disruptNode(entries, step, inj.stopAndRestart)
 	case FreezeEntry:
-		w.hold(entries, step, freezeNode)
+		inj.disruptNode(entries, step, freezeNode)
 	case KillControl:
-		w.hold(controls, step, w.killAndRestart)
+		inj.disruptNode(controls, step, inj.killAndRestart)
 	case FreezeControl:
-		w.hold(controls, step, freezeNode)
+		inj.disruptNode(controls, step, freezeNode)
 	case LoseDisk:
-		w.hold(controls, step, w.loseDisk)
+		inj.disruptNode(controls, step, inj.deleteDisk)
 	case NoticeUpstream, KillUpstream, FreezeUpstream:
-		w.hitUpstream(step)
+		inj.disruptUpstream(step)
 	case Wave:
-		w.wave(step)
+		inj.reclaimDataCentre(step)
 	case RacingOperators:
-		w.pending.Go(func() { w.race(ctx, step) })
+		inj.pending.Go(func() { inj.submitConcurrently(ctx, step) })
 	}
 }
 
-// hold lets act loose on a free node of a group, and on no more than one of a
-// group at a time: what a second loss does is drawn as a step of its own once
-// the first is back.
-func (w *Injector) hold(group []*stager.Node, step Step, act func(*stager.Node, Step) error) {
-	w.mu.Lock()
+// disruptNode runs act on one node of a group, unless a node of the group is
+// already affected: at most one node of a group is down at a time, and a later
+// step may disrupt another one once the first runs again.
+func (inj *Injector) disruptNode(group []*stager.Node, step Step, act func(*stager.Node, Step) error) {
+	inj.mu.Lock()
 	for _, node := range group {
-		if w.held[node] {
-			w.mu.Unlock()
+		if inj.affected[node] {
+			inj.mu.Unlock()
 			return
 		}
 	}
 	node := group[step.Target%len(group)]
-	w.held[node] = true
-	w.mu.Unlock()
-	w.pending.Go(func() {
+	inj.affected[node] = true
+	inj.mu.Unlock()
+	inj.pending.Go(func() {
 		err := act(node, step)
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		delete(w.held, node)
-		if err != nil && w.failed == nil {
-			w.failed = err
+		inj.mu.Lock()
+		defer inj.mu.Unlock()
+		delete(inj.affected, node)
+		if err != nil && inj.failure == nil {
+			inj.failure = err
 		}
 	})
 }
 
-func (w *Injector) killAndRestart(node *stager.Node, step Step) error {
+func (inj *Injector) killAndRestart(node *stager.Node, step Step) error {
 	node.Kill()
 	time.Sleep(step.Lasts)
-	return w.Fleet.Stage.Start(node)
+	return inj.Fleet.Stage.Start(node)
 }
 
-func (w *Injector) stopAndRestart(node *stager.Node, step Step) error {
+func (inj *Injector) stopAndRestart(node *stager.Node, step Step) error {
 	node.Stop()
 	time.Sleep(step.Lasts)
-	return w.Fleet.Stage.Start(node)
+	return inj.Fleet.Stage.Start(node)
 }
 
-func (w *Injector) loseDisk(node *stager.Node, step Step) error {
+func (inj *Injector) deleteDisk(node *stager.Node, step Step) error {
 	node.Kill()
 	if err := os.RemoveAll(node.Settings.DataFolder); err != nil {
-		return fmt.Errorf("lose the disk of %s: %w", node.Settings.Name, err)
+		return fmt.Errorf("delete the disk of %s: %w", node.Settings.Name, err)
 	}
 	time.Sleep(step.Lasts)
-	return w.Fleet.Stage.Start(node)
+	return inj.Fleet.Stage.Start(node)
 }
 
 func freezeNode(node *stager.Node, step Step) error {
@@ -130,19 +130,19 @@
 	return nil
 }
 
-func (w *Injector) hitUpstream(step Step) {
-	running := w.running("engine")
+func (inj *Injector) disruptUpstream(step Step) {
+	running := inj.runningUpstreams("engine")
 	if len(running) == 0 {
 		return
 	}
 	member := running[step.Target%len(running)]
-	w.pending.Go(func() {
+	inj.pending.Go(func() {
 		switch step.Act {
 		case NoticeUpstream:
-			w.reclaim(member)
+			inj.reclaim(member)
 		case KillUpstream:
 			member.Kill()
-			w.replace(member)
+			inj.replace(member)
 		default:
 			member.Signal(syscall.SIGSTOP)
 			time.Sleep(step.Lasts)
@@ -151,36 +151,36 @@
 	})
 }
 
-// reclaim gives an upstream its notice and starts another in its place.
-func (w *Injector) reclaim(member *deployer.Member) {
+// reclaim gives an upstream its notice and launches a replacement.
+func (inj *Injector) reclaim(member *deployer.Member) {
 	member.Signal(syscall.SIGTERM)
-	w.replace(member)
+	inj.replace(member)
 }
 
-func (w *Injector) replace(member *deployer.Member) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (inj *Injector) replace(member *deployer.Member) {
+	inj.mu.Lock()
+	defer inj.mu.Unlock()
 	member.Stopped = time.Now()
-	if _, err := w.Fleet.Launch(member.Pool, member.DataCentre, member.Offer); err != nil && w.failed == nil {
-		w.failed = err
+	if _, err := inj.Fleet.Launch(member.Pool, member.DataCentre, member.Offer); err != nil && inj.failure == nil {
+		inj.failure = err
 	}
 }
 
-// wave reclaims every model engine of one data centre at once.
-func (w *Injector) wave(step Step) {
-	dataCentre := w.Fleet.DataCentres[step.Target%len(w.Fleet.DataCentres)]
-	for _, member := range w.running("engine") {
+// reclaimDataCentre reclaims all model engines of one data centre at once.
+func (inj *Injector) reclaimDataCentre(step Step) {
+	dataCentre := inj.Fleet.DataCentres[step.Target%len(inj.Fleet.DataCentres)]
+	for _, member := range inj.runningUpstreams("engine") {
 		if member.DataCentre == dataCentre {
-			w.pending.Go(func() { w.reclaim(member) })
+			inj.pending.Go(func() { inj.reclaim(member) })
 		}
 	}
 }
 
-func (w *Injector) running(kind string) []*deployer.Member {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (inj *Injector) runningUpstreams(kind string) []*deployer.Member {
+	inj.mu.Lock()
+	defer inj.mu.Unlock()
 	var running []*deployer.Member
-	for _, member := range w.Fleet.Upstreams {
+	for _, member := range inj.Fleet.Upstreams {
 		if member.Pool.Kind == kind && member.Stopped.IsZero() {
 			running = append(running, member)
 		}
@@ -188,40 +188,42 @@
 	return running
 }
 
-// race lets two operators submit other contents under one version; exactly one may win.
-func (w *Injector) race(ctx context.Context, step Step) {
-	w.mu.Lock()
-	w.version++
-	version := w.version
-	w.mu.Unlock()
+// submitConcurrently lets two operators submit different contents under the same
+// version; at most one may be accepted.
+func (inj *Injector) submitConcurrently(ctx context.Context, step Step) {
+	inj.mu.Lock()
+	inj.lastVersion++
+	version := inj.lastVersion
+	inj.mu.Unlock()
 	var operators sync.WaitGroup
 	accepted := make([]bool, 2)
 	for i := range accepted {
 		operators.Go(func() {
-			accepted[i] = w.submit(ctx, version, fmt.Sprintf("operator-%d-%d", step.Target, i))
+			accepted[i] = inj.submit(ctx, version, fmt.Sprintf("operator-%d-%d", step.Target, i))
 		})
 	}
 	operators.Wait()
 	if accepted[0] && accepted[1] {
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		w.failed = fmt.Errorf("version %d was accepted from two operators with other contents", version)
+		inj.mu.Lock()
+		defer inj.mu.Unlock()
+		inj.failure = fmt.Errorf("version %d was accepted from two operators with different contents", version)
 	}
 }
 
-// submit sends a configuration that differs by a comment, and reports whether it was accepted.
-func (w *Injector) submit(ctx context.Context, version int, operator string) bool {
-	content, err := os.ReadFile(w.Fleet.Configuration)
+// submit applies the configuration under a version, with the operator's name in a
+// comment so that contents differ, and reports whether it was accepted.
+func (inj *Injector) submit(ctx context.Context, version int, operator string) bool {
+	content, err := os.ReadFile(inj.Fleet.Configuration)
 	if err != nil {
 		return false
 	}
 	document := strings.Replace(string(content), "version: 1", fmt.Sprintf("version: %d # %s", version, operator), 1)
-	file := filepath.Join(w.Fleet.Stage.Folder, operator+".yaml")
+	file := filepath.Join(inj.Fleet.Stage.Folder, operator+".yaml")
 	if err := os.WriteFile(file, []byte(document), 0o600); err != nil {
 		return false
 	}
-	apply := exec.CommandContext(ctx, w.Fleet.Stage.Program, "apply", file, "--operator", operator,
-		"--control", w.Fleet.Stage.ControlURLs(), "--wait", "1ms")
+	apply := exec.CommandContext(ctx, inj.Fleet.Stage.Program, "apply", file, "--operator", operator,
+		"--control", inj.Fleet.Stage.ControlURLs(), "--wait", "1ms")
 	output, _ := apply.CombinedOutput()
 	return strings.Contains(string(output), fmt.Sprintf("version %d accepted", version))
 }
--- a/src/injector/run.go
+++ b/src/injector/run.go
@@ -11,7 +11,7 @@
 	"github.com/rosecroft/rosecroft/src/stager"
 )
 
-// Experiment is one run of a fleet under load and failures.
+// Experiment is one run of a fleet under load and injected faults.
 type Experiment struct {
 	Deployment *deployer.Deployment
 	Stage      *stager.Stage
@@ -22,7 +22,8 @@
 	Log        io.Writer
 }
 
-// Run starts the fleet, causes the failures under load and checks what callers were told.
+// Run starts the fleet, injects the faults under load and checks the outcomes that
+// callers observed.
 func (e *Experiment) Run(ctx context.Context) (*Verdict, *loader.Report, error) {
 	defer e.Stage.Stop()
 	fleet, err := e.Deployment.Start(ctx, e.Stage)
@@ -44,21 +45,21 @@
 		Schedule: e.Schedule,
 		Log:      e.Log,
 	}
-	watch := newWatch(fleet)
-	watching, stop := context.WithCancel(ctx)
+	watcher := newVersionWatcher(fleet)
+	watchCtx, stop := context.WithCancel(ctx)
 	defer stop()
-	go watch.run(watching)
-	wrecked := make(chan error, 1)
-	go func() { wrecked <- injector.Run(ctx) }()
+	go watcher.run(watchCtx)
+	injected := make(chan error, 1)
+	go func() { injected <- injector.Run(ctx) }()
 	report := load.Run(ctx)
-	if err := <-wrecked; err != nil {
-		return nil, report, fmt.Errorf("carry out the schedule: %w", err)
+	if err := <-injected; err != nil {
+		return nil, report, fmt.Errorf("execute the schedule: %w", err)
 	}
 	truth, err := ReadTruth(fleet.Journals)
 	if err != nil {
 		return nil, report, err
 	}
 	verdict := Check(report, truth, e.Schedule)
-	verdict.Faults = append(verdict.Faults, watch.faults()...)
+	verdict.Faults = append(verdict.Faults, watcher.faults()...)
 	return verdict, report, nil
 }
--- a/src/injector/watch.go
+++ b/src/injector/watch.go
@@ -16,28 +16,29 @@
 )
 
 const (
-	watchEvery   = 250 * time.Millisecond
-	watchTimeout = time.Second
+	watchInterval = 250 * time.Millisecond
+	watchTimeout  = time.Second
 )
 
-// watch reads the entries' dumps and notes a configuration that goes back.
-type watch struct {
+// versionWatcher polls the entries' dumps and records each entry whose
+// configuration version in force decreases.
+type versionWatcher struct {
 	fleet *deployer.Fleet
 
-	mu      sync.Mutex
-	highest map[units.Instance]units.Version
-	found   []string
+	mu          sync.Mutex
+	highest     map[units.Instance]units.Version
+	regressions []string
 }
 
-func newWatch(fleet *deployer.Fleet) *watch {
-	return &watch{
+func newVersionWatcher(fleet *deployer.Fleet) *versionWatcher {
+	return &versionWatcher{
 		fleet:   fleet,
 		highest: make(map[units.Instance]units.Version),
 	}
 }
 
-func (w *watch) run(ctx context.Context) {
-	ticker := time.NewTicker(watchEvery)
+func (w *versionWatcher) run(ctx context.Context) {
+	ticker := time.NewTicker(watchInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -47,15 +48,15 @@
 		}
 		var reads sync.WaitGroup
 		for _, entry := range w.fleet.Stage.Entries {
-			reads.Go(func() { w.read(ctx, entry) })
+			reads.Go(func() { w.check(ctx, entry) })
 		}
 		reads.Wait()
 	}
 }
 
-func (w *watch) read(ctx context.Context, entry *stager.Node) {
+func (w *versionWatcher) check(ctx context.Context, entry *stager.Node) {
 	version, ok := versionInForce(ctx, entry.OperatorURL())
-	// An entry that just started has no version yet and takes no calls.
+	// An entry that has just started has no version yet and accepts no calls.
 	if !ok || version == 0 {
 		return
 	}
@@ -63,15 +64,15 @@
 	defer w.mu.Unlock()
 	name := entry.Settings.Name
 	if version < w.highest[name] {
-		w.found = append(w.found, fmt.Sprintf("%s went back from version %d to %d", name, w.highest[name], version))
+		w.regressions = append(w.regressions, fmt.Sprintf("%s went back from version %d to %d", name, w.highest[name], version))
 	}
 	w.highest[name] = max(w.highest[name], version)
 }
 
-func (w *watch) faults() []string {
+func (w *versionWatcher) faults() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.found
+	return w.regressions
 }
 
 func versionInForce(ctx context.Context, operatorURL string) (units.Version, bool) {
--- a/src/loader/balancer.go
+++ b/src/loader/balancer.go
@@ -8,28 +8,29 @@
 )
 
 const (
-	probeEvery   = 200 * time.Millisecond
-	probeTimeout = 500 * time.Millisecond
+	probeInterval = 200 * time.Millisecond
+	probeTimeout  = 500 * time.Millisecond
 )
 
-// Balancer stands in for the platform's: it hands calls to the ready entries in turn.
+// Balancer simulates the platform's load balancer: it distributes calls over the
+// ready entries by round-robin.
 type Balancer struct {
 	// Entries are the base URLs of all entries.
 	Entries []string
 
-	mu    sync.Mutex
-	ready map[string]bool
-	next  int
+	mu         sync.Mutex
+	ready      map[string]bool
+	lastPicked int
 }
 
-// Run probes the entries until ctx ends.
+// Run probes the readiness of the entries until ctx ends.
 func (b *Balancer) Run(ctx context.Context) {
-	ticker := time.NewTicker(probeEvery)
+	ticker := time.NewTicker(probeInterval)
 	defer ticker.Stop()
 	for {
 		var probes sync.WaitGroup
 		for _, entry := range b.Entries {
-			probes.Go(func() { b.mark(entry, probe(ctx, entry)) })
+			probes.Go(func() { b.setReady(entry, probe(ctx, entry)) })
 		}
 		probes.Wait()
 		select {
@@ -40,22 +41,22 @@
 	}
 }
 
-// Pick returns the next ready entry, or the next of all where none is ready.
+// Pick returns the next ready entry, or the next entry if none is ready.
 func (b *Balancer) Pick() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for range b.Entries {
-		b.next++
-		entry := b.Entries[b.next%len(b.Entries)]
+		b.lastPicked++
+		entry := b.Entries[b.lastPicked%len(b.Entries)]
 		if b.ready[entry] {
 			return entry
 		}
 	}
-	b.next++
-	return b.Entries[b.next%len(b.Entries)]
+	b.lastPicked++
+	return b.Entries[b.lastPicked%len(b.Entries)]
 }
 
-func (b *Balancer) mark(entry string, ready bool) {
+func (b *Balancer) setReady(entry string, ready bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.ready == nil {
--- a/src/loader/caller.go
+++ b/src/loader/caller.go
@@ -14,87 +14,91 @@
 	"time"
 )
 
-// HeaderReference carries the load's own number of a call to the upstream's journal.
+// HeaderReference carries the load generator's identifier of a call to the
+// upstream's journal.
 const HeaderReference = "X-Reference"
 
 const headerCall = "Rosecroft-Call"
 
 const (
-	resendPause  = 50 * time.Millisecond
-	maxPause     = 2 * time.Second
-	maxEventLine = 1 << 20
+	minRetryDelay = 50 * time.Millisecond
+	maxRetryDelay = 2 * time.Second
+	maxEventLine  = 1 << 20
 )
 
-// caller makes one call and asks again as a patient client would.
+// caller makes one call and retries it until its deadline, like a client that
+// follows Retry-After.
 type caller struct {
 	client   *http.Client
 	balancer *Balancer
 	outcome  *Outcome
 	workload *Workload
 	body     string
-	// due is when the call was scheduled; latencies count from it.
-	due  time.Time
+	// due is the scheduled time of the call, from which latencies are measured.
+	due time.Time
+	// path is the path of the next attempt; it changes to the location of the
+	// answer where an entry returned one.
 	path string
-	// resend says whether refused calls are sent again.
-	resend bool
+	// retryRefused makes the caller retry calls that were refused as not run.
+	retryRefused bool
 }
 
-// reply is the end of one send.
-type reply struct {
+// attempt is the result of sending the call once.
+type attempt struct {
 	result Result
-	// again says that the caller may send the call once more.
-	again bool
-	pause time.Duration
+	// retry reports whether the call may be sent again, after retryDelay.
+	retry      bool
+	retryDelay time.Duration
 }
 
-// run sends the call until it has a final answer.
+// run sends the call until it has a final answer or its deadline has passed.
 func (c *caller) run(ctx context.Context) {
 	ctx, cancel := context.WithDeadline(ctx, c.due.Add(c.workload.Deadline))
 	defer cancel()
 	c.path = c.workload.Path
 	for {
-		c.outcome.Sends++
+		c.outcome.Attempts++
 		sent := time.Now()
-		end := c.send(ctx)
-		c.outcome.Result = end.result
-		c.outcome.Took = time.Since(c.due)
-		if end.result == NotRun {
-			c.outcome.RefusedIn = time.Since(sent)
+		last := c.send(ctx)
+		c.outcome.Result = last.result
+		c.outcome.Latency = time.Since(c.due)
+		if last.result == NotRun {
+			c.outcome.RefusalLatency = time.Since(sent)
 		}
-		if !end.again || (end.result == NotRun && !c.resend) {
+		if !last.retry || (last.result == NotRun && !c.retryRefused) {
 			return
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(end.pause):
+		case <-time.After(last.retryDelay):
 		}
 	}
 }
 
-func (c *caller) send(ctx context.Context) reply {
-	request, err := c.request(ctx)
+func (c *caller) send(ctx context.Context) attempt {
+	request, err := c.newRequest(ctx)
 	if err != nil {
-		return c.lost(err)
+		return c.lostAttempt(err)
 	}
 	response, err := c.client.Do(request)
 	if err != nil {
-		return c.lost(err)
+		return c.lostAttempt(err)
 	}
 	defer func() { _ = response.Body.Close() }()
 	c.outcome.Status = response.StatusCode
 	switch {
 	case response.StatusCode == http.StatusAccepted:
-		return c.collectLater(response)
+		return c.followLocation(response)
 	case response.StatusCode >= http.StatusBadRequest:
-		return c.refused(response)
+		return c.readRefusal(response)
 	case strings.HasPrefix(response.Header.Get("Content-Type"), "text/event-stream"):
 		return c.readStream(response.Body)
 	}
-	return c.readWhole(response.Body)
+	return c.readBody(response.Body)
 }
 
-func (c *caller) request(ctx context.Context) (*http.Request, error) {
+func (c *caller) newRequest(ctx context.Context) (*http.Request, error) {
 	method := http.MethodPost
 	if c.workload.Kind == Read || c.path != c.workload.Path {
 		method = http.MethodGet
@@ -107,8 +111,8 @@
 	request.Header.Set("Authorization", "Bearer "+c.workload.Key)
 	request.Header.Set("Content-Type", "application/json")
 	request.Header.Set(HeaderReference, c.outcome.Reference)
-	// An upstream that is called straight tells calls apart by this header; an
-	// entry replaces it.
+	// An upstream that is called without an entry identifies calls by this header;
+	// an entry replaces it.
 	request.Header.Set(headerCall, c.outcome.Reference)
 	if c.workload.Kind == Once {
 		request.Header["Idempotency-Key"] = []string{c.outcome.Key}
@@ -117,26 +121,28 @@
 	return request, nil
 }
 
-// lost is a send whose answer did not come; a key makes asking again safe.
-func (c *caller) lost(err error) reply {
+// lostAttempt returns the result of an attempt without a complete answer. It is
+// retried, which the idempotency key makes safe.
+func (c *caller) lostAttempt(err error) attempt {
 	c.outcome.Detail = err.Error()
-	return reply{
-		result: Lost,
-		again:  true,
-		pause:  resendPause,
+	return attempt{
+		result:     Lost,
+		retry:      true,
+		retryDelay: minRetryDelay,
 	}
 }
 
-// cut is a stream that ended early; the caller asks for all of it again.
-func (c *caller) cut(err error) reply {
+// cutAttempt returns the result of an attempt whose stream ended early; the retry
+// requests the whole stream again.
+func (c *caller) cutAttempt(err error) attempt {
 	c.outcome.Cuts++
-	return c.lost(err)
+	return c.lostAttempt(err)
 }
 
-func (c *caller) refused(response *http.Response) reply {
+func (c *caller) readRefusal(response *http.Response) attempt {
 	content, err := io.ReadAll(response.Body)
 	if err != nil {
-		return c.lost(err)
+		return c.lostAttempt(err)
 	}
 	var problem struct {
 		Title    string `json:"title"`
@@ -146,54 +152,55 @@
 	_ = json.Unmarshal(content, &problem)
 	c.outcome.Detail = problem.Title + ": " + problem.Detail
 	seconds, err := strconv.Atoi(response.Header.Get("Retry-After"))
-	// Asking again under the same key is how a caller learns what became of a
-	// call; an answer without Retry-After is the last.
-	end := reply{
-		result: Unknown,
-		again:  err == nil,
-		pause:  min(max(resendPause, time.Duration(seconds)*time.Second), maxPause),
+	// A retry with the same key returns the outcome of the call; an answer without
+	// Retry-After is final.
+	refusal := attempt{
+		result:     Unknown,
+		retry:      err == nil,
+		retryDelay: min(max(minRetryDelay, time.Duration(seconds)*time.Second), maxRetryDelay),
 	}
 	if problem.Executed == "no" {
-		end.result = NotRun
+		refusal.result = NotRun
 	}
-	return end
+	return refusal
 }
 
-// collectLater follows an entry's word where the whole answer can be had.
-func (c *caller) collectLater(response *http.Response) reply {
+// followLocation directs the next attempt to where the entry says that the answer
+// can be collected.
+func (c *caller) followLocation(response *http.Response) attempt {
 	c.path = response.Header.Get("Location")
 	seconds, _ := strconv.Atoi(response.Header.Get("Retry-After"))
-	return reply{
-		result: Lost,
-		again:  c.path != "",
-		pause:  max(resendPause, time.Duration(seconds)*time.Second),
+	return attempt{
+		result:     Lost,
+		retry:      c.path != "",
+		retryDelay: max(minRetryDelay, time.Duration(seconds)*time.Second),
 	}
 }
 
-func (c *caller) readWhole(body io.Reader) reply {
+func (c *caller) readBody(body io.Reader) attempt {
 	content, err := io.ReadAll(body)
 	if err != nil {
-		return c.lost(err)
+		return c.lostAttempt(err)
 	}
 	c.outcome.Answer = content
 	if !json.Valid(content) {
 		c.outcome.Detail = "the answer is not whole JSON"
-		return reply{result: Failed}
+		return attempt{result: Failed}
 	}
 	if c.workload.Kind == Whole {
 		c.outcome.Tokens = c.workload.OutputTokens
 	}
-	return reply{result: Answered}
+	return attempt{result: Answered}
 }
 
-// event is the part of a stream's event that callers read.
+// event holds the fields of a stream event that callers read.
 type event struct {
 	Choices []struct {
 		Text string `json:"text"`
 	} `json:"choices"`
 }
 
-func (c *caller) readStream(body io.Reader) reply {
+func (c *caller) readStream(body io.Reader) attempt {
 	var gaps []time.Duration
 	var text bytes.Buffer
 	tokens := 0
@@ -206,11 +213,11 @@
 			continue
 		}
 		if data == "[DONE]" {
-			return c.ended(tokens, gaps, text.Bytes())
+			return c.finishStream(tokens, gaps, text.Bytes())
 		}
 		parsed := &event{}
 		if err := json.Unmarshal([]byte(data), parsed); err != nil || len(parsed.Choices) == 0 {
-			return c.cut(fmt.Errorf("the stream ended with %.200s", data))
+			return c.cutAttempt(fmt.Errorf("the stream ended with %.200s", data))
 		}
 		now := time.Now()
 		if tokens == 0 {
@@ -222,16 +229,16 @@
 		tokens++
 		text.WriteString(parsed.Choices[0].Text)
 	}
-	return c.cut(errors.Join(errors.New("the stream has no final marker"), lines.Err()))
+	return c.cutAttempt(errors.Join(errors.New("the stream has no final marker"), lines.Err()))
 }
 
-func (c *caller) ended(tokens int, gaps []time.Duration, text []byte) reply {
+func (c *caller) finishStream(tokens int, gaps []time.Duration, text []byte) attempt {
 	c.outcome.Tokens = tokens
 	c.outcome.GapP95 = percentile(gaps, 0.95)
 	c.outcome.Answer = text
 	if tokens != c.workload.OutputTokens {
 		c.outcome.Detail = fmt.Sprintf("%d tokens of %d", tokens, c.workload.OutputTokens)
-		return reply{result: Failed}
+		return attempt{result: Failed}
 	}
-	return reply{result: Answered}
+	return attempt{result: Answered}
 }
--- a/src/loader/doc.go
+++ b/src/loader/doc.go
@@ -1,3 +1,3 @@
-// Package loader sends an open-loop load of calls to entries, as callers behind
-// the platform's balancer would, and keeps what each was told.
+// Package loader generates an open-loop load of calls to entries, like callers
+// behind the platform's load balancer, and records the outcome of each call.
 package loader
--- a/src/loader/loader.go
+++ b/src/loader/loader.go
@@ -9,45 +9,47 @@
 	"time"
 )
 
-// maxIdle keeps a connection for each call under way to an entry.
-const maxIdle = 512
+// maxIdleConnections is large enough to keep a connection for each concurrent call to an entry.
+const maxIdleConnections = 512
 
-// Loader makes calls at their due times, whether or not earlier ones have ended.
+// Loader makes calls at their scheduled times, whether or not earlier ones have ended.
 type Loader struct {
 	Balancer  *Balancer
 	Workloads []*Workload
-	Span      time.Duration
-	Seed      uint64
-	// Name sets the references of one load apart from another's.
+	// Span is how long new calls are made.
+	Span time.Duration
+	// Seed determines the arrivals and prompts.
+	Seed uint64
+	// Name is the prefix of the references, which distinguishes them from those of other loads.
 	Name string
-	// Resend makes callers send refused calls again after Retry-After.
+	// Resend makes callers retry refused calls after Retry-After.
 	Resend bool
 }
 
-// Run makes the calls and returns what became of each once all have ended.
+// Run makes the calls and returns their outcomes once all have ended.
 func (l *Loader) Run(ctx context.Context) *Report {
-	probing, stop := context.WithCancel(ctx)
+	probeCtx, stop := context.WithCancel(ctx)
 	defer stop()
-	go l.Balancer.Run(probing)
+	go l.Balancer.Run(probeCtx)
 	client := &http.Client{
 		Transport: &http.Transport{
-			MaxIdleConnsPerHost: maxIdle,
+			MaxIdleConnsPerHost: maxIdleConnections,
 		},
 	}
 	defer client.CloseIdleConnections()
-	arrivals := plan(l.Workloads, l.Span, l.Seed)
+	arrivals := drawArrivals(l.Workloads, l.Span, l.Seed)
 	report := &Report{
 		Outcomes: make([]*Outcome, 0, len(arrivals)),
 		Span:     l.Span,
 	}
-	began := time.Now()
+	start := time.Now()
 	var calls sync.WaitGroup
 	for _, next := range arrivals {
-		due := began.Add(next.at)
+		due := start.Add(next.at)
 		if !sleepUntil(ctx, due) {
 			break
 		}
-		c := l.caller(client, next, due)
+		c := l.newCaller(client, next, due)
 		report.Outcomes = append(report.Outcomes, c.outcome)
 		calls.Go(func() { c.run(ctx) })
 	}
@@ -55,15 +57,15 @@
 	return report
 }
 
-func (l *Loader) caller(client *http.Client, next arrival, due time.Time) *caller {
+func (l *Loader) newCaller(client *http.Client, next arrival, due time.Time) *caller {
 	reference := fmt.Sprintf("%s-%d", l.Name, next.sequence)
 	return &caller{
-		client:   client,
-		balancer: l.Balancer,
-		workload: next.workload,
-		body:     next.body(),
-		due:      due,
-		resend:   l.Resend,
+		client:       client,
+		balancer:     l.Balancer,
+		workload:     next.workload,
+		body:         next.body(),
+		due:          due,
+		retryRefused: l.Resend,
 		outcome: &Outcome{
 			Reference: reference,
 			Workload:  next.workload.Name,
--- a/src/loader/outcome.go
+++ b/src/loader/outcome.go
@@ -8,65 +8,66 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Result is what a caller knows in the end.
+// Result is the final result of a call as its caller knows it.
 type Result string
 
-// The ends of a call.
+// The results of a call.
 const (
 	Answered Result = "answered"
-	// NotRun is a refusal that says the call was not run.
+	// NotRun is a refusal that states that the call was not run.
 	NotRun Result = "not-run"
-	// Unknown is a refusal that leaves open whether the call ran.
+	// Unknown is a refusal that does not state whether the call ran.
 	Unknown Result = "unknown"
-	// Failed is an answer that is not whole or not the caller's own.
+	// Failed is an answer that is malformed or has the wrong number of tokens.
 	Failed Result = "failed"
-	// Lost is a call without any final answer before its deadline.
+	// Lost is a call without a final answer before its deadline.
 	Lost Result = "lost"
 )
 
-// Outcome is one call as its caller saw it.
+// Outcome is the outcome of one call as observed by its caller.
 type Outcome struct {
 	Reference string
 	Workload  string
 	Kind      Kind
 	Key       string
-	// Prompt is a model call's whole prompt.
+	// Prompt is the complete prompt of a model call.
 	Prompt string
-	// Seed is what the call asked the engine to draw with.
+	// Seed is the sampling seed of a model call.
 	Seed   string
 	Result Result
-	// Scheduled is when the call was due, from the start of the load.
+	// Scheduled is when the call was due, counted from the start of the load.
 	Scheduled time.Duration
-	// Took runs from then to the end of the answer, FirstToken to its first token.
-	Took       time.Duration
+	// Latency is the time from the scheduled time to the end of the answer, and
+	// FirstToken the time to its first token.
+	Latency    time.Duration
 	FirstToken time.Duration
 	// GapP95 is the 95th percentile of the time between tokens.
 	GapP95 time.Duration
 	Tokens int
-	// Sends is how often the caller sent the call, Cuts how many of its streams
-	// ended early.
-	Sends int
-	Cuts  int
-	// RefusedIn is how long the last refusal took.
-	RefusedIn time.Duration
-	Status    int
-	// Answer is the whole text or body that the caller received.
+	// Attempts is how often the caller sent the call, and Cuts how many of its
+	// streams ended early.
+	Attempts int
+	Cuts     int
+	// RefusalLatency is the time from the last attempt to its refusal as not run.
+	RefusalLatency time.Duration
+	Status         int
+	// Answer is the complete text of a stream or the body of another answer.
 	Answer []byte
 	Detail string
 }
 
-// Report is the sum of a load.
+// Report holds the outcomes of a load.
 type Report struct {
 	Outcomes []*Outcome
 	Span     time.Duration
 }
 
 const (
-	histogramMost   = int64(2 * time.Minute)
-	histogramDigits = 3
+	maxLatency        = int64(2 * time.Minute)
+	significantDigits = 3
 )
 
-// Count returns how many calls of a workload ended so; an empty name counts all.
+// Count returns how many calls of a workload had a result; an empty name means all workloads.
 func (r *Report) Count(workload string, result Result) int {
 	count := 0
 	for _, outcome := range r.Outcomes {
@@ -77,35 +78,35 @@
 	return count
 }
 
-// FirstTokens returns the times to the first token of the answered model calls.
+// FirstTokens returns the times to the first token of the answered streams.
 func (r *Report) FirstTokens() *hdrhistogram.Histogram {
 	return r.histogram(func(o *Outcome) (time.Duration, bool) {
 		return o.FirstToken, o.Kind == Stream && o.Result == Answered
 	})
 }
 
-// Gaps returns the 95th percentile gaps of the answered streams.
+// Gaps returns the 95th percentiles of the time between tokens of the answered streams.
 func (r *Report) Gaps() *hdrhistogram.Histogram {
 	return r.histogram(func(o *Outcome) (time.Duration, bool) {
 		return o.GapP95, o.Kind == Stream && o.Result == Answered
 	})
 }
 
-// Latencies returns how long the answered calls of a kind took.
+// Latencies returns the latencies of the answered calls of a kind.
 func (r *Report) Latencies(kind Kind) *hdrhistogram.Histogram {
 	return r.histogram(func(o *Outcome) (time.Duration, bool) {
-		return o.Took, o.Kind == kind && o.Result == Answered
+		return o.Latency, o.Kind == kind && o.Result == Answered
 	})
 }
 
-// Refusals returns how long the last refusals took.
+// Refusals returns the latencies of the final refusals of calls that were not run.
 func (r *Report) Refusals() *hdrhistogram.Histogram {
 	return r.histogram(func(o *Outcome) (time.Duration, bool) {
-		return o.RefusedIn, o.Result == NotRun
+		return o.RefusalLatency, o.Result == NotRun
 	})
 }
 
-// Within returns how many streams met both latency targets.
+// Within returns how many answered streams met both latency targets.
 func (r *Report) Within(firstToken, between time.Duration) int {
 	count := 0
 	for _, o := range r.Outcomes {
@@ -116,7 +117,7 @@
 	return count
 }
 
-// Tokens returns how many tokens callers received.
+// Tokens returns the total number of tokens that callers received.
 func (r *Report) Tokens() int {
 	count := 0
 	for _, o := range r.Outcomes {
@@ -125,26 +126,27 @@
 	return count
 }
 
-func (r *Report) histogram(value func(*Outcome) (time.Duration, bool)) *hdrhistogram.Histogram {
-	histogram := hdrhistogram.New(1, histogramMost, histogramDigits)
+func (r *Report) histogram(latency func(*Outcome) (time.Duration, bool)) *hdrhistogram.Histogram {
+	histogram := hdrhistogram.New(1, maxLatency, significantDigits)
 	for _, outcome := range r.Outcomes {
-		if taken, counts := value(outcome); counts {
-			_ = histogram.RecordValue(min(max(1, int64(taken)), histogramMost))
+		if value, included := latency(outcome); included {
+			_ = histogram.RecordValue(min(max(1, int64(value)), maxLatency))
 		}
 	}
 	return histogram
 }
 
-// percentile returns the value below which a share of the durations lies.
-func percentile(durations []time.Duration, share float64) time.Duration {
+// percentile returns the value below which a fraction of the durations lies. It
+// sorts the durations.
+func percentile(durations []time.Duration, fraction float64) time.Duration {
 	if len(durations) == 0 {
 		return 0
 	}
 	slices.Sort(durations)
-	return durations[min(len(durations)-1, int(share*float64(len(durations))))]
+	return durations[min(len(durations)-1, int(fraction*float64(len(durations))))]
 }
 
-func sortByTime(arrivals []arrival) []arrival {
+func sortAndNumber(arrivals []arrival) []arrival {
 	slices.SortStableFunc(arrivals, func(a, b arrival) int { return cmp.Compare(a.at, b.at) })
 	for i := range arrivals {
 		arrivals[i].sequence = i
--- a/src/loader/workload.go
+++ b/src/loader/workload.go
@@ -15,76 +15,79 @@
 const (
 	// Stream is a streamed model call.
 	Stream Kind = "stream"
-	// Whole is a model call with one whole answer.
+	// Whole is a model call that is not streamed.
 	Whole Kind = "whole"
-	// Read is a call to a plain service that may be repeated.
+	// Read is a repeatable call to a plain service.
 	Read Kind = "read"
-	// Once is a call to a plain service that must not run twice.
+	// Once is a call to a plain service that must not run more than once.
 	Once Kind = "once"
 )
 
-// Workload is a stream of similar calls from one client account.
+// Workload describes similar calls from one client account.
 type Workload struct {
 	Name string
 	Kind Kind
-	// Host and Key identify brand and account.
+	// Host and Key identify the brand and the client account.
 	Host string
 	Key  string
-	// Rate is the mean of calls per second.
+	// Rate is the mean number of calls per second.
 	Rate float64
 	Path string
-	// Model and the fields below it are for model calls.
+	// Model and the fields up to OutputTokens apply to model calls only.
 	Model string
-	// Prefixes is how many different beginnings the prompts share.
-	Prefixes     int
+	// Prefixes is the number of distinct prompt prefixes.
+	Prefixes int
+	// PrefixBytes is the size of a prompt prefix, and PromptBytes that of the unique
+	// rest of a prompt.
 	PrefixBytes  int
 	PromptBytes  int
 	OutputTokens int
-	// Deadline is how long the caller goes on asking.
+	// Deadline is how long the caller waits and retries, counted from the scheduled time.
 	Deadline time.Duration
 }
 
-// arrival is one call to be made.
+// arrival is one scheduled call.
 type arrival struct {
 	workload *Workload
+	// at is the scheduled time, counted from the start of the load.
 	at       time.Duration
 	sequence int
 	prompt   string
 }
 
-// plan draws the arrivals of all workloads within a span, in the order of time.
-func plan(workloads []*Workload, span time.Duration, seed uint64) []arrival {
+// drawArrivals draws the arrivals of all workloads within a span and sorts them by time.
+func drawArrivals(workloads []*Workload, span time.Duration, seed uint64) []arrival {
 	var arrivals []arrival
 	for i, workload := range workloads {
 		random := rand.New(rand.NewPCG(seed, uint64(i)))
-		at := gap(random, workload.Rate)
+		at := interarrivalTime(random, workload.Rate)
 		for at < span {
 			arrivals = append(arrivals, arrival{
 				workload: workload,
 				at:       at,
 				prompt:   workload.prompt(random),
 			})
-			at += gap(random, workload.Rate)
+			at += interarrivalTime(random, workload.Rate)
 		}
 	}
-	return sortByTime(arrivals)
+	return sortAndNumber(arrivals)
 }
 
-// gap draws the time to the next call of a Poisson process.
-func gap(random *rand.Rand, rate float64) time.Duration {
+// interarrivalTime draws the time until the next arrival of a Poisson process.
+func interarrivalTime(random *rand.Rand, rate float64) time.Duration {
 	if rate <= 0 {
 		return time.Duration(1<<63 - 1)
 	}
 	return time.Duration(random.ExpFloat64() / rate * float64(time.Second))
 }
 
-// prompt draws a prompt that shares its beginning with others of the workload.
+// prompt draws a prompt whose prefix other prompts of the workload share.
 func (w *Workload) prompt(random *rand.Rand) string {
 	if w.Kind != Stream && w.Kind != Whole {
 		return ""
 	}
-	prefix := filler(fmt.Sprintf("%s-%d", w.Name, random.IntN(max(1, w.Prefixes))), w.PrefixBytes)
-	return prefix + filler(strconv.FormatUint(random.Uint64(), 36), w.PromptBytes)
+	prefix := fillerText(fmt.Sprintf("%s-%d", w.Name, random.IntN(max(1, w.Prefixes))), w.PrefixBytes)
+	return prefix + fillerText(strconv.FormatUint(random.Uint64(), 36), w.PromptBytes)
 }
 
 func (a *arrival) body() string {
@@ -99,8 +102,8 @@
 		a.workload.Model, a.workload.Kind == Stream, a.sequence, a.workload.OutputTokens, a.prompt)
 }
 
-// filler returns size bytes of text that depend on word alone.
-func filler(word string, size int) string {
+// fillerText returns size bytes of text that depend only on word.
+func fillerText(word string, size int) string {
 	text := strings.Repeat(word+" ", size/(len(word)+1)+1)
 	return text[:size]
 }
--- a/src/prover/adoption_test.go
+++ b/src/prover/adoption_test.go
@@ -19,53 +19,53 @@
 	firstKey   = "strath-sweeps.example-secret"
 )
 
-// whole is a response that was read to its end.
-type whole struct {
+// fullResponse is a response whose body was read to its end.
+type fullResponse struct {
 	status int
 	header http.Header
 	body   string
 }
 
-// requestWhole sends one request; status 0 means that no whole response came.
-func requestWhole(ctx context.Context, method, url, apiKey, body string) whole {
+// requestFull sends one request; status 0 means that no complete response was received.
+func requestFull(ctx context.Context, method, url, apiKey, body string) fullResponse {
 	request, err := http.NewRequestWithContext(ctx, method, url, strings.NewReader(body))
 	if err != nil {
-		return whole{}
+		return fullResponse{}
 	}
 	request.Header.Set("Authorization", "Bearer "+apiKey)
 	request.Header.Set("Content-Type", "application/json")
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return whole{}
+		return fullResponse{}
 	}
 	defer func() { _ = response.Body.Close() }()
 	content, err := io.ReadAll(response.Body)
 	if err != nil {
-		return whole{}
+		return fullResponse{}
 	}
-	return whole{
+	return fullResponse{
 		status: response.StatusCode,
 		header: response.Header,
 		body:   string(content),
 	}
 }
 
-// collect waits until an entry has the answer to a call.
-func collect(t *testing.T, entry *stager.Node, location string) string {
+// awaitAnswer waits until an entry returns the answer to a call.
+func awaitAnswer(t *testing.T, entry *stager.Node, location string) string {
 	t.Helper()
 	var answer string
 	await(t, "the answer at "+location, func() bool {
-		response := requestWhole(t.Context(), http.MethodGet, entry.CallerURL()+location, firstKey, "")
+		response := requestFull(t.Context(), http.MethodGet, entry.CallerURL()+location, firstKey, "")
 		answer = response.body
 		return response.status == http.StatusOK
 	})
 	return answer
 }
 
-// An entry is told to stop while a booking runs that takes longer than the
-// drain. Its caller is told where to collect the answer; the booking runs on
-// once, and any other entry gives the answer to that client account alone.
-func TestPlannedStopTellsWhereToCollectABooking(t *testing.T) {
+// An entry stops while a booking runs that takes longer than the drain timeout.
+// Its caller must get the location of the answer. The booking must continue and run
+// only once, and any other entry must return the answer to that client account only.
+func TestStoppingEntryRedirectsBookingCaller(t *testing.T) {
 	stage, diary := startDiary(t, 4, 3*time.Second, hearthline)
 	stage.Entries[3].Kill()
 	stage.Timing.Drain = shortDrain
@@ -76,41 +76,41 @@
 		t.Fatal(err)
 	}
 	await(t, "the diary at the entry", func() bool { return len(entryDump(t, stage.Entries[3]).Upstreams) > 0 })
-	replies := make(chan whole, 1)
+	replies := make(chan fullResponse, 1)
 	go func() {
-		replies <- requestWhole(context.WithoutCancel(t.Context()), http.MethodPost,
+		replies <- requestFull(context.WithoutCancel(t.Context()), http.MethodPost,
 			stage.Entries[3].CallerURL()+"/diary/bookings", firstKey, `{"flue":1}`)
 	}()
-	await(t, "the run", func() bool { return runs(t, diary) == 1 })
+	await(t, "the run", func() bool { return countDiaryRuns(t, diary) == 1 })
 	stage.Entries[3].Signal(syscall.SIGTERM)
-	told := <-replies
-	if got, want := told.status, http.StatusAccepted; got != want {
+	accepted := <-replies
+	if got, want := accepted.status, http.StatusAccepted; got != want {
 		t.Fatalf("status: got %d, want %d", got, want)
 	}
-	location := told.header.Get("Location")
-	if got, want := location, "/v1/calls/"+told.header.Get("Idempotency-Key"); got != want {
+	location := accepted.header.Get("Location")
+	if got, want := location, "/v1/calls/"+accepted.header.Get("Idempotency-Key"); got != want {
 		t.Errorf("location: got %q, want %q", got, want)
 	}
-	response := requestWhole(t.Context(), http.MethodGet, stage.Entries[0].CallerURL()+location, firstKey, "")
+	response := requestFull(t.Context(), http.MethodGet, stage.Entries[0].CallerURL()+location, firstKey, "")
 	if got, want := response.status, http.StatusAccepted; got != want {
 		t.Errorf("status while the booking runs: got %d, want %d", got, want)
 	}
-	if got, want := collect(t, stage.Entries[0], location), `"flue":1`; !strings.Contains(got, want) {
+	if got, want := awaitAnswer(t, stage.Entries[0], location), `"flue":1`; !strings.Contains(got, want) {
 		t.Errorf("collected answer: got %s, want %s in it", got, want)
 	}
-	response = requestWhole(t.Context(), http.MethodGet, stage.Entries[1].CallerURL()+location, otherKey, "")
+	response = requestFull(t.Context(), http.MethodGet, stage.Entries[1].CallerURL()+location, otherKey, "")
 	if got, want := response.status, http.StatusNotFound; got != want {
 		t.Errorf("status for another client account: got %d, want %d", got, want)
 	}
-	if got, want := runs(t, diary), 1; got != want {
+	if got, want := countDiaryRuns(t, diary), 1; got != want {
 		t.Errorf("runs: got %d, want %d", got, want)
 	}
 }
 
-// An entry is told to stop while a stream runs that takes longer than the drain.
-// The stream ends with an event that names where the whole answer will be, and
-// without the final marker; another entry has taken the call and gives it whole.
-func TestPlannedStopHandsAStreamOver(t *testing.T) {
+// An entry stops while a stream runs that takes longer than the drain timeout. The
+// stream must end with an event that names the location of the complete answer, and
+// without the final marker; another entry takes over the call and returns all of it.
+func TestStoppingEntryHandsOverStream(t *testing.T) {
 	const tokens = 1500
 	stage := newStage(t)
 	stage.Timing.Drain = shortDrain
@@ -129,21 +129,21 @@
 	body := fmt.Sprintf(`{"model":"ember-1","stream":true,"max_tokens":%d,"prompt":"a long summary"}`, tokens)
 	contents := make(chan string, 1)
 	go func() {
-		contents <- requestWhole(context.WithoutCancel(t.Context()), http.MethodPost,
+		contents <- requestFull(context.WithoutCancel(t.Context()), http.MethodPost,
 			stage.Entries[0].CallerURL()+"/v1/completions", firstKey, body).body
 	}()
 	await(t, "the stream at the entry", func() bool { return entryDump(t, stage.Entries[0]).Upstreams[0].InFlight > 0 })
 	stage.Entries[0].Signal(syscall.SIGTERM)
 	content := <-contents
 	if got, want := content, "[DONE]"; strings.Contains(got, want) {
-		t.Fatalf("the stream's end: got its final marker, want none")
+		t.Fatalf("end of the stream: got its final marker, want none")
 	}
 	_, event, found := strings.Cut(content, "event: moved\ndata: {\"location\":\"")
 	location, _, _ := strings.Cut(event, `"`)
 	if got, want := found, true; got != want {
 		t.Fatalf("a moved event: got %t, want %t; the end is %q", got, want, content[max(0, len(content)-200):])
 	}
-	answer := collect(t, stage.Entries[1], location)
+	answer := awaitAnswer(t, stage.Entries[1], location)
 	if got, want := answer, fmt.Sprintf(`"completion_tokens":%d`, tokens); !strings.Contains(got, want) {
 		t.Errorf("collected answer: got %.200s, want %s in it", got, want)
 	}
--- a/src/prover/certificates_test.go
+++ b/src/prover/certificates_test.go
@@ -12,9 +12,9 @@
 	"github.com/rosecroft/rosecroft/src/stager"
 )
 
-var quietLog = zerolog.Nop()
+var discardLog = zerolog.Nop()
 
-func poolOf(t *testing.T, file string) *x509.CertPool {
+func readCertPool(t *testing.T, file string) *x509.CertPool {
 	t.Helper()
 	content, err := os.ReadFile(file)
 	if err != nil {
@@ -25,7 +25,8 @@
 	return pool
 }
 
-// peerConfig returns the TLS configuration of a process with an identity of the stage's authority.
+// peerConfig returns the client TLS configuration of a process whose certificate the
+// stage's authority issued.
 func peerConfig(t *testing.T, stage *stager.Stage, role certifier.Role, name string) *tls.Config {
 	t.Helper()
 	files, err := stage.IssueCertificate(certifier.Identity{
--- a/src/prover/control_test.go
+++ b/src/prover/control_test.go
@@ -22,13 +22,13 @@
 )
 
 const (
-	// askTimeout bounds one request to a control instance.
-	askTimeout = 8 * time.Second
-	// watchTime is how long a test watches that something does not happen.
-	watchTime = 2500 * time.Millisecond
+	// requestTimeout bounds one request to a control instance.
+	requestTimeout = 8 * time.Second
+	// neverPeriod is how long a test checks that something does not happen.
+	neverPeriod = 2500 * time.Millisecond
 )
 
-// newControlStage returns a stage that replaces a voter soon after it is gone.
+// newControlStage returns a stage that replaces a lost voter after one second.
 func newControlStage(t *testing.T) *stager.Stage {
 	t.Helper()
 	stage := newStage(t)
@@ -38,19 +38,20 @@
 	return stage
 }
 
-// document returns the example configuration under a version; a mark makes its content differ.
-func document(t *testing.T, version int, mark string) string {
+// exampleDocument returns the example configuration under a version; the comment
+// makes the contents of two operators differ.
+func exampleDocument(t *testing.T, version int, comment string) string {
 	t.Helper()
 	content, err := os.ReadFile("../../examples/hearthline.yaml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	return strings.Replace(string(content), "\nversion: 1\n", fmt.Sprintf("\nversion: %d\n", version), 1) + "# " + mark + "\n"
+	return strings.Replace(string(content), "\nversion: 1\n", fmt.Sprintf("\nversion: %d\n", version), 1) + "# " + comment + "\n"
 }
 
-// submit sends a configuration to one control instance; the result is nil where it got no answer.
+// submit sends a configuration to one control instance; the result is nil if it got no answer.
 func submit(ctx context.Context, node *stager.Node, content, operator string) *messages.SubmissionResult {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodPut, node.OperatorURL()+"/v1/configuration", strings.NewReader(content))
 	if err != nil {
@@ -59,29 +60,30 @@
 	request.Header.Set("Content-Type", "application/yaml")
 	request.Header.Set("Rosecroft-Operator", operator)
 	result := &messages.SubmissionResult{}
-	if !exchange(request, result) {
+	if !doProto(request, result) {
 		return nil
 	}
 	return result
 }
 
-// statusOf returns what one control instance says of the fleet, nil where it says nothing.
-func statusOf(ctx context.Context, node *stager.Node) *messages.Status {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+// readStatus returns the fleet's status from one control instance, nil if it got no answer.
+func readStatus(ctx context.Context, node *stager.Node) *messages.Status {
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, node.OperatorURL()+"/v1/status", nil)
 	if err != nil {
 		return nil
 	}
 	status := &messages.Status{}
-	if !exchange(request, status) {
+	if !doProto(request, status) {
 		return nil
 	}
 	return status
 }
 
-// exchange fills answer and reports whether the instance answered for the fleet.
-func exchange(request *http.Request, answer proto.Message) bool {
+// doProto sends a request, decodes the answer and reports whether there was one; 503
+// counts as none, since the instance cannot answer for the fleet then.
+func doProto(request *http.Request, answer proto.Message) bool {
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
 		return false
@@ -91,15 +93,15 @@
 	return err == nil && response.StatusCode != http.StatusServiceUnavailable && protojson.Unmarshal(content, answer) == nil
 }
 
-// never watches a condition over several elections and wants it to stay false.
-func never(t *testing.T, what string, holds func() bool) {
+// never fails the test if the condition holds within a period of several elections.
+func never(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(t.Context(), watchTime)
+	ctx, cancel := context.WithTimeout(t.Context(), neverPeriod)
 	defer cancel()
 	ticker := time.NewTicker(50 * time.Millisecond)
 	defer ticker.Stop()
 	for {
-		if holds() {
+		if condition() {
 			t.Fatalf("%s: got yes, want never", what)
 		}
 		select {
@@ -110,10 +112,11 @@
 	}
 }
 
-// accept submits until the change has its answer, and wants it accepted.
-func accept(t *testing.T, nodes []*stager.Node, version int) {
+// awaitAccepted submits a version until it gets an answer, and fails the test unless
+// the version is accepted.
+func awaitAccepted(t *testing.T, nodes []*stager.Node, version int) {
 	t.Helper()
-	content := document(t, version, "change")
+	content := exampleDocument(t, version, "change")
 	await(t, fmt.Sprintf("version %d accepted", version), func() bool {
 		for _, node := range nodes {
 			if !node.Running() {
@@ -139,8 +142,8 @@
 	return dump
 }
 
-// leaderOf waits for the leader of the newest term among the nodes.
-func leaderOf(t *testing.T, nodes []*stager.Node) *stager.Node {
+// awaitLeader waits until one of the nodes leads, and returns the leader of the newest term.
+func awaitLeader(t *testing.T, nodes []*stager.Node) *stager.Node {
 	t.Helper()
 	var leader *stager.Node
 	await(t, "leader", func() bool {
@@ -155,15 +158,15 @@
 	return leader
 }
 
-// without returns the nodes but for some.
-func without(nodes []*stager.Node, left ...*stager.Node) []*stager.Node {
+// excluding returns the nodes without the excluded ones.
+func excluding(nodes []*stager.Node, excluded ...*stager.Node) []*stager.Node {
 	return slices.DeleteFunc(slices.Clone(nodes), func(node *stager.Node) bool {
-		return slices.Contains(left, node)
+		return slices.Contains(excluded, node)
 	})
 }
 
-// votersOf returns the identities of the voters as a node knows them.
-func votersOf(dump *control.Dump) []string {
+// voterIDs returns the identities of the voters that a node knows.
+func voterIDs(dump *control.Dump) []string {
 	var voters []string
 	for _, member := range dump.Members {
 		if !member.Learner {
@@ -173,17 +176,17 @@
 	return voters
 }
 
-// The leader dies without notice. The next one accepts a change, and the operator
-// who sends an earlier one again learns that it was accepted.
-func TestKilledLeaderLosesNoChange(t *testing.T) {
+// The leader is killed. The next leader must accept a change, and an operator who
+// resends an earlier change must get the answer that it was accepted.
+func TestLeaderKillLosesNoChange(t *testing.T) {
 	stage := newControlStage(t)
 	startFleet(t, stage, 3, 0)
-	accept(t, stage.Controls, 1)
-	leader := leaderOf(t, stage.Controls)
+	awaitAccepted(t, stage.Controls, 1)
+	leader := awaitLeader(t, stage.Controls)
 	leader.Kill()
-	rest := without(stage.Controls, leader)
-	accept(t, rest, 2)
-	accept(t, rest, 1)
+	rest := excluding(stage.Controls, leader)
+	awaitAccepted(t, rest, 2)
+	awaitAccepted(t, rest, 1)
 	if err := stage.Start(leader); err != nil {
 		t.Fatal(err)
 	}
@@ -192,52 +195,53 @@
 	})
 }
 
-// The leader freezes with a submission under way, longer than its lease, while
-// another operator's content takes the same version. When it wakes in the middle
-// of its work it may not accept the first content, nor tell an old version.
-func TestFrozenLeaderClaimsNothing(t *testing.T) {
+// The leader freezes for longer than its lease while it handles a submission, and
+// another operator's content is accepted under the same version. When the leader
+// resumes in the middle of its work, it must not accept the first content, nor
+// report an outdated version.
+func TestResumedLeaderAcceptsNothingStale(t *testing.T) {
 	stage := newControlStage(t)
 	startFleet(t, stage, 3, 0)
-	accept(t, stage.Controls, 1)
-	leader := leaderOf(t, stage.Controls)
-	rest := without(stage.Controls, leader)
+	awaitAccepted(t, stage.Controls, 1)
+	leader := awaitLeader(t, stage.Controls)
+	rest := excluding(stage.Controls, leader)
 	leader.Signal(syscall.SIGSTOP)
-	late := make(chan *messages.SubmissionResult, 1)
-	lost := document(t, 2, "of the frozen leader")
-	go func() { late <- submit(t.Context(), leader, lost, "bob") }()
-	accept(t, rest, 2)
+	lateResult := make(chan *messages.SubmissionResult, 1)
+	lostContent := exampleDocument(t, 2, "of the frozen leader")
+	go func() { lateResult <- submit(t.Context(), leader, lostContent, "bob") }()
+	awaitAccepted(t, rest, 2)
 	leader.Signal(syscall.SIGCONT)
 	for range 20 {
-		status := statusOf(t.Context(), leader)
+		status := readStatus(t.Context(), leader)
 		if status != nil && status.GetAcceptedVersion() < 2 {
-			t.Fatalf("accepted version at the woken leader: got %d, want 2 or no answer", status.GetAcceptedVersion())
+			t.Fatalf("accepted version at the resumed leader: got %d, want 2 or no answer", status.GetAcceptedVersion())
 		}
 	}
-	result := <-late
+	result := <-lateResult
 	if result.GetOutcome() == messages.Outcome_OUTCOME_ACCEPTED {
 		t.Fatalf("submission at the frozen leader: got %s, want a conflict or no answer", result.GetOutcome())
 	}
-	again := submit(t.Context(), leader, lost, "bob")
-	if got, want := again.GetOutcome(), messages.Outcome_OUTCOME_CONFLICT; got != want {
-		t.Errorf("resend after the wake: got %s, want %s", got, want)
+	resent := submit(t.Context(), leader, lostContent, "bob")
+	if got, want := resent.GetOutcome(), messages.Outcome_OUTCOME_CONFLICT; got != want {
+		t.Errorf("resend after the leader resumed: got %s, want %s", got, want)
 	}
-	if got, want := again.GetWinner(), "alice"; got != want {
-		t.Errorf("winner told to the loser: got %q, want %q", got, want)
+	if got, want := resent.GetWinner(), "alice"; got != want {
+		t.Errorf("winner reported to the loser: got %q, want %q", got, want)
 	}
 }
 
-// Two operators send different content under one version to different instances
-// at the same moment. One is accepted; the other learns who was.
-func TestRaceUnderOneVersionHasOneWinner(t *testing.T) {
+// Three operators concurrently submit different contents under one version to
+// different instances. Exactly one may be accepted, and the others must be told whose.
+func TestConcurrentSubmissionsHaveOneWinner(t *testing.T) {
 	stage := newControlStage(t)
 	startFleet(t, stage, 3, 0)
-	accept(t, stage.Controls, 1)
+	awaitAccepted(t, stage.Controls, 1)
 	for version := 2; version < 8; version++ {
 		operators := []string{"alice", "bob", "carol"}
 		results := make([]*messages.SubmissionResult, len(operators))
 		ended := make(chan struct{})
 		for i, operator := range operators {
-			content := document(t, version, operator)
+			content := exampleDocument(t, version, operator)
 			go func() {
 				results[i] = submit(t.Context(), stage.Controls[i], content, operator)
 				ended <- struct{}{}
@@ -257,26 +261,26 @@
 		}
 		for i, result := range results {
 			if got, want := result.GetWinner(), winner; got != want {
-				t.Errorf("version %d: winner told to %s: got %q, want %q", version, operators[i], got, want)
+				t.Errorf("version %d: winner reported to %s: got %q, want %q", version, operators[i], got, want)
 			}
 		}
 	}
 }
 
-// A process is down while hundreds of changes pass it by, more than the log keeps.
-// It must catch up by a snapshot, and the first change's outcome must still be
-// known there, also when it leads.
-func TestRestartFiveHundredChangesBehind(t *testing.T) {
+// A voter and an entry are down while 500 changes are accepted, more than the log
+// keeps. The voter must catch up by a snapshot. Once the leader is killed, the
+// outcome of the first change must still be known, also if this voter leads.
+func TestRestartCatchesUpWith500Changes(t *testing.T) {
 	stage := newControlStage(t)
 	stage.Timing.Repair = time.Minute
 	startFleet(t, stage, 3, 1)
-	accept(t, stage.Controls, 1)
-	leader := leaderOf(t, stage.Controls)
-	behind := without(stage.Controls, leader)[0]
+	awaitAccepted(t, stage.Controls, 1)
+	leader := awaitLeader(t, stage.Controls)
+	behind := excluding(stage.Controls, leader)[0]
 	behind.Kill()
 	stage.Entries[0].Kill()
 	for version := 2; version <= 501; version++ {
-		result := submit(t.Context(), leader, document(t, version, "change"), "alice")
+		result := submit(t.Context(), leader, exampleDocument(t, version, "change"), "alice")
 		if got, want := result.GetOutcome(), messages.Outcome_OUTCOME_ACCEPTED; got != want {
 			t.Fatalf("version %d: got %s, want %s", version, got, want)
 		}
@@ -302,11 +306,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got, most := info.Size(), int64(400*len(document(t, 501, "change"))); got > most {
-			t.Errorf("bytes of the records of %s: got %d, want at most %d", node.Settings.Name, got, most)
+		if got, maxSize := info.Size(), int64(400*len(exampleDocument(t, 501, "change"))); got > maxSize {
+			t.Errorf("size of the records of %s in bytes: got %d, want at most %d", node.Settings.Name, got, maxSize)
 		}
 	}
 	leader.Kill()
-	accept(t, without(stage.Controls, leader), 1)
-	accept(t, without(stage.Controls, leader), 502)
+	awaitAccepted(t, excluding(stage.Controls, leader), 1)
+	awaitAccepted(t, excluding(stage.Controls, leader), 502)
 }
--- a/src/prover/controldisk_test.go
+++ b/src/prover/controldisk_test.go
@@ -13,8 +13,8 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// logOf returns what a process has printed in all its lives.
-func logOf(t *testing.T, stage *stager.Stage, node *stager.Node) string {
+// readLog returns the output of all runs of a node's process.
+func readLog(t *testing.T, stage *stager.Stage, node *stager.Node) string {
 	t.Helper()
 	content, err := os.ReadFile(filepath.Join(stage.Folder, string(node.Settings.Name)+".log"))
 	if err != nil {
@@ -23,13 +23,13 @@
 	return string(content)
 }
 
-// awaitVoters waits until the leader counts three voters with these identities' instances and no learner.
+// awaitVoters waits until the leader has exactly one voter on each of these instances and no learner.
 func awaitVoters(t *testing.T, nodes []*stager.Node, instances ...units.Instance) {
 	t.Helper()
 	await(t, "three voters on the instances wanted", func() bool {
-		dump := controlDump(t, leaderOf(t, nodes))
+		dump := controlDump(t, awaitLeader(t, nodes))
 		var found []units.Instance
-		for _, voter := range votersOf(dump) {
+		for _, voter := range voterIDs(dump) {
 			found = append(found, units.VoterID(voter).Instance())
 		}
 		slices.Sort(found)
@@ -37,55 +37,55 @@
 	})
 }
 
-// A voter loses its disk and starts again. Its old identity must not count any
-// more, since what it acknowledged is gone; the instance joins as another voter.
-// Then a second instance is lost, and changes must still be accepted.
-func TestSecondLossAfterALostDisk(t *testing.T) {
+// A voter loses its disk and restarts. Its old identity must no longer count, since
+// the changes that it acknowledged are lost; the instance must join as another voter.
+// Then a second instance is killed, and changes must still be accepted.
+func TestSecondVoterLossAfterDiskLoss(t *testing.T) {
 	stage := newControlStage(t)
 	startFleet(t, stage, 3, 0)
-	accept(t, stage.Controls, 1)
-	leader := leaderOf(t, stage.Controls)
-	rest := without(stage.Controls, leader)
+	awaitAccepted(t, stage.Controls, 1)
+	leader := awaitLeader(t, stage.Controls)
+	rest := excluding(stage.Controls, leader)
 	before := controlDump(t, rest[0]).Voter
 	rest[0].Kill()
 	if err := os.RemoveAll(rest[0].Settings.DataFolder); err != nil {
 		t.Fatal(err)
 	}
-	accept(t, []*stager.Node{leader, rest[1]}, 2)
+	awaitAccepted(t, []*stager.Node{leader, rest[1]}, 2)
 	if err := stage.Start(rest[0]); err != nil {
 		t.Fatal(err)
 	}
 	await(t, "instance votes under another identity", func() bool {
 		dump := controlDump(t, rest[0])
-		voters := votersOf(controlDump(t, leaderOf(t, stage.Controls)))
+		voters := voterIDs(controlDump(t, awaitLeader(t, stage.Controls)))
 		return dump.Voter != before && slices.Contains(voters, string(dump.Voter)) && len(voters) == 3
 	})
 	rest[1].Kill()
-	accept(t, without(stage.Controls, rest[1]), 3)
+	awaitAccepted(t, excluding(stage.Controls, rest[1]), 3)
 }
 
-// A voter is gone for good and a spare instance stands by in another data centre.
-// The spare takes its place without anyone's help; then a second voter is lost,
-// and changes must still be accepted.
-func TestSpareReplacesALostVoter(t *testing.T) {
+// A voter is lost permanently while a spare instance runs in another data centre.
+// The spare must replace it without an operator. Then a second voter is killed, and
+// changes must still be accepted.
+func TestSpareReplacesLostVoter(t *testing.T) {
 	stage := newControlStage(t)
 	startFleet(t, stage, 4, 0)
-	accept(t, stage.Controls, 1)
+	awaitAccepted(t, stage.Controls, 1)
 	awaitVoters(t, stage.Controls, "c1", "c2", "c3")
 	stage.Controls[0].Kill()
 	rest := stage.Controls[1:]
 	awaitVoters(t, rest, "c2", "c3", "c4")
-	accept(t, rest, 2)
+	awaitAccepted(t, rest, 2)
 	stage.Controls[1].Kill()
-	accept(t, rest[1:], 3)
+	awaitAccepted(t, rest[1:], 3)
 }
 
-// Both other voters lose their disks while one keeps its own. Nothing may be
-// accepted: the two must not begin an empty log beside the survivor.
-func TestLostMajorityBeginsNoSecondLog(t *testing.T) {
+// Two of three voters lose their disks. Nothing may be accepted: the two must not
+// start an empty log next to the survivor's.
+func TestLostMajorityStartsNoSecondLog(t *testing.T) {
 	stage := newControlStage(t)
 	startFleet(t, stage, 3, 0)
-	accept(t, stage.Controls, 1)
+	awaitAccepted(t, stage.Controls, 1)
 	survivor := stage.Controls[2]
 	survivor.Kill()
 	for _, node := range stage.Controls[:2] {
@@ -100,7 +100,7 @@
 	if err := stage.Start(survivor); err != nil {
 		t.Fatal(err)
 	}
-	content := document(t, 1, "of another operator")
+	content := exampleDocument(t, 1, "of another operator")
 	never(t, "a submission answered", func() bool {
 		return slices.ContainsFunc(stage.Controls, func(node *stager.Node) bool {
 			return submit(t.Context(), node, content, "bob") != nil
@@ -113,14 +113,15 @@
 	}
 }
 
-// A disk is full, or a folder is a copy, another's or in use. The process says
-// so with the remedy and stops, and the other voters go on.
-func TestUnusableFolderStopsTheInstanceAlone(t *testing.T) {
+// The disk of an instance is full, or its data folder is a copy, belongs to another
+// instance or is in use. The process must log the reason, with the remedy for the full
+// disk, and stop, and the other voters must continue.
+func TestUnusableFolderStopsOnlyItsInstance(t *testing.T) {
 	stage := newControlStage(t)
 	startFleet(t, stage, 3, 0)
-	accept(t, stage.Controls, 1)
-	leader := leaderOf(t, stage.Controls)
-	rest := without(stage.Controls, leader)
+	awaitAccepted(t, stage.Controls, 1)
+	leader := awaitLeader(t, stage.Controls)
+	rest := excluding(stage.Controls, leader)
 	full := rest[0]
 	if err := os.Symlink("/dev/full", filepath.Join(full.Settings.DataFolder, "state.next")); err != nil {
 		t.Fatal(err)
@@ -129,27 +130,28 @@
 	leader.Signal(syscall.SIGSTOP)
 	await(t, "instance with the full disk ended", func() bool { return !full.Running() })
 	leader.Signal(syscall.SIGCONT)
-	if got, want := logOf(t, stage, full), "no space left on device; free or replace the disk"; !strings.Contains(got, want) {
+	if got, want := readLog(t, stage, full), "no space left on device; free or replace the disk"; !strings.Contains(got, want) {
 		t.Errorf("log of %s: got %s, want %q", full.Settings.Name, got, want)
 	}
-	accept(t, without(stage.Controls, full), 2)
-	checkRefused(t, stage, full, func(folder string) {
+	awaitAccepted(t, excluding(stage.Controls, full), 2)
+	expectStartRefused(t, stage, full, func(folder string) {
 		copyFolder(t, leader.Settings.DataFolder, folder)
 	}, "belongs to")
 	own := full.Settings.DataFolder
-	checkRefused(t, stage, full, func(folder string) {
+	expectStartRefused(t, stage, full, func(folder string) {
 		copyFolder(t, own, folder)
 	}, "is a copy")
-	checkRefused(t, stage, full, func(folder string) {
+	expectStartRefused(t, stage, full, func(folder string) {
 		if err := os.Symlink(leader.Settings.DataFolder, folder); err != nil {
 			t.Fatal(err)
 		}
 	}, "is in use by another process")
-	accept(t, without(stage.Controls, full), 3)
+	awaitAccepted(t, excluding(stage.Controls, full), 3)
 }
 
-// checkRefused starts the instance on a folder that is prepared, and wants it to end with a reason.
-func checkRefused(t *testing.T, stage *stager.Stage, node *stager.Node, prepare func(folder string), reason string) {
+// expectStartRefused starts the instance on a prepared folder, and fails the test
+// unless the process ends and logs the reason.
+func expectStartRefused(t *testing.T, stage *stager.Stage, node *stager.Node, prepare func(folder string), reason string) {
 	t.Helper()
 	own := node.Settings.DataFolder
 	node.Settings.DataFolder = filepath.Join(t.TempDir(), "data")
@@ -158,7 +160,7 @@
 		t.Fatal(err)
 	}
 	await(t, "refused instance ended", func() bool { return !node.Running() })
-	if got := logOf(t, stage, node); !strings.Contains(got, reason) {
+	if got := readLog(t, stage, node); !strings.Contains(got, reason) {
 		t.Errorf("log of %s: got %s, want %q", node.Settings.Name, got, reason)
 	}
 	node.Settings.DataFolder = own
@@ -171,17 +173,17 @@
 	}
 }
 
-// A majority of the voters loses its disks for ever, and a person lets one voter
-// go on alone. The command must refuse a slip: another log, a minority, or an
-// instance that still runs. Then the others join again, and what was accepted
-// still stands.
-func TestRecoveryAfterALostMajority(t *testing.T) {
+// A majority of the voters loses its disks permanently, and an operator recovers
+// control from the remaining voter. The command must refuse mistakes: another log's
+// id, a remaining majority, or an instance that still runs. Then the others must
+// join again, and what was accepted must still be in place.
+func TestRecoveryAfterMajorityLoss(t *testing.T) {
 	stage := newControlStage(t)
 	startFleet(t, stage, 3, 0)
-	accept(t, stage.Controls, 1)
-	survivor := leaderOf(t, stage.Controls)
+	awaitAccepted(t, stage.Controls, 1)
+	survivor := awaitLeader(t, stage.Controls)
 	logID := controlDump(t, survivor).Log
-	lost := without(stage.Controls, survivor)
+	lost := excluding(stage.Controls, survivor)
 	survivor.Kill()
 	lost[0].Kill()
 	names := string(lost[0].Settings.Name) + "," + string(lost[1].Settings.Name)
@@ -214,7 +216,7 @@
 			t.Fatal(err)
 		}
 	}
-	accept(t, stage.Controls, 1)
+	awaitAccepted(t, stage.Controls, 1)
 	awaitVoters(t, stage.Controls, "c1", "c2", "c3")
-	accept(t, stage.Controls, 2)
+	awaitAccepted(t, stage.Controls, 2)
 }
--- a/src/prover/controlcut_test.go
+++ b/src/prover/controlpartition_test.go
@@ -20,54 +20,55 @@
 	"github.com/rosecroft/rosecroft/src/stager"
 )
 
-// cutter passes connections on to one address until it is told to go silent:
-// what is sent is then swallowed, and nothing says that the other end is gone.
-type cutter struct {
+// blackholeProxy forwards connections to one address. While it drops traffic, it
+// reads and discards what is sent and keeps the connections open, so that neither
+// end is notified.
+type blackholeProxy struct {
 	listener net.Listener
 	target   string
 
-	mu     sync.Mutex
-	silent bool
+	mu       sync.Mutex
+	dropping bool
 }
 
-// newCutter returns a cutter that ends with the test.
-func newCutter(t *testing.T, target string) *cutter {
+// newBlackholeProxy returns a proxy that stops with the test.
+func newBlackholeProxy(t *testing.T, target string) *blackholeProxy {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &cutter{
+	c := &blackholeProxy{
 		listener: listener,
 		target:   target,
 	}
 	t.Cleanup(func() { _ = listener.Close() })
-	go c.accept()
+	go c.serve()
 	return c
 }
 
-func (c *cutter) accept() {
+func (c *blackholeProxy) serve() {
 	for {
 		conn, err := c.listener.Accept()
 		if err != nil {
 			return
 		}
-		go c.join(conn)
+		go c.forward(conn)
 	}
 }
 
-func (c *cutter) join(conn net.Conn) {
+func (c *blackholeProxy) forward(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	other, err := net.Dial("tcp", c.target)
 	if err != nil {
 		return
 	}
 	defer func() { _ = other.Close() }()
-	go c.pass(conn, other)
-	c.pass(other, conn)
+	go c.copyBytes(conn, other)
+	c.copyBytes(other, conn)
 }
 
-func (c *cutter) pass(from, to net.Conn) {
+func (c *blackholeProxy) copyBytes(from, to net.Conn) {
 	buffer := make([]byte, 64<<10)
 	for {
 		count, err := from.Read(buffer)
@@ -75,7 +76,7 @@
 			_ = to.Close()
 			return
 		}
-		if c.isSilent() {
+		if c.isDropping() {
 			continue
 		}
 		if _, err := to.Write(buffer[:count]); err != nil {
@@ -84,26 +85,27 @@
 	}
 }
 
-func (c *cutter) isSilent() bool {
+func (c *blackholeProxy) isDropping() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.silent
+	return c.dropping
 }
 
-func (c *cutter) set(silent bool) {
+func (c *blackholeProxy) setDropping(dropping bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.silent = silent
+	c.dropping = dropping
 }
 
-// cuttable starts a node again with every control instance behind a cutter of its own.
-func cuttable(t *testing.T, stage *stager.Stage, node *stager.Node) []*cutter {
+// restartBehindProxies restarts a node so that it reaches each other control
+// instance through a separate proxy.
+func restartBehindProxies(t *testing.T, stage *stager.Stage, node *stager.Node) []*blackholeProxy {
 	t.Helper()
-	var cutters []*cutter
+	var cutters []*blackholeProxy
 	var addresses []parser.ControlAddress
 	for _, address := range node.Settings.Control {
 		if address.Name != node.Settings.Name {
-			c := newCutter(t, address.Address)
+			c := newBlackholeProxy(t, address.Address)
 			cutters = append(cutters, c)
 			address.Address = c.listener.Addr().String()
 		}
@@ -117,14 +119,14 @@
 	return cutters
 }
 
-func setAll(cutters []*cutter, silent bool) {
+func setAllDropping(cutters []*blackholeProxy, dropping bool) {
 	for _, c := range cutters {
-		c.set(silent)
+		c.setDropping(dropping)
 	}
 }
 
-// configured starts a fleet with the example configuration in force everywhere.
-func configured(t *testing.T) *stager.Stage {
+// startConfigured starts a fleet with the example configuration in force at every entry.
+func startConfigured(t *testing.T) *stager.Stage {
 	t.Helper()
 	stage := newControlStage(t)
 	stage.Timing.Fence = 2 * time.Second
@@ -136,7 +138,7 @@
 func applyVersion(t *testing.T, stage *stager.Stage, version int) {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), fmt.Sprintf("%d.yaml", version))
-	if err := os.WriteFile(file, []byte(document(t, version, "change")), 0o600); err != nil {
+	if err := os.WriteFile(file, []byte(exampleDocument(t, version, "change")), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	apply(t, stage, file)
@@ -144,58 +146,58 @@
 
 func isReady(t *testing.T, node *stager.Node) bool {
 	t.Helper()
-	return get(t.Context(), node.CallerURL()+"/readyz") == http.StatusOK
+	return getStatusCode(t.Context(), node.CallerURL()+"/readyz") == http.StatusOK
 }
 
-// A silent cut isolates one control instance in both directions, then the leader
-// falls to the others. The isolated one must accept nothing and tell no status,
-// and once the cut ends it must hold what the others accepted.
-func TestIsolatedControlClaimsNothing(t *testing.T) {
+// A silent partition isolates one control instance in both directions, and the
+// others elect a leader. The isolated instance must accept nothing and report no
+// status, and once the partition ends it must hold what the others accepted.
+func TestIsolatedControlAnswersNothing(t *testing.T) {
 	stage := newControlStage(t)
 	startFleet(t, stage, 3, 0)
-	accept(t, stage.Controls, 1)
-	isolated := leaderOf(t, stage.Controls)
-	rest := without(stage.Controls, isolated)
-	var cutters []*cutter
-	cutters = append(cutters, cuttable(t, stage, isolated)...)
+	awaitAccepted(t, stage.Controls, 1)
+	isolated := awaitLeader(t, stage.Controls)
+	rest := excluding(stage.Controls, isolated)
+	var cutters []*blackholeProxy
+	cutters = append(cutters, restartBehindProxies(t, stage, isolated)...)
 	for _, node := range rest {
-		all := cuttable(t, stage, node)
-		at := slices.IndexFunc(without(stage.Controls, node), func(other *stager.Node) bool { return other == isolated })
-		cutters = append(cutters, all[at])
+		proxies := restartBehindProxies(t, stage, node)
+		index := slices.IndexFunc(excluding(stage.Controls, node), func(other *stager.Node) bool { return other == isolated })
+		cutters = append(cutters, proxies[index])
 	}
-	accept(t, stage.Controls, 2)
-	setAll(cutters, true)
-	accept(t, rest, 3)
+	awaitAccepted(t, stage.Controls, 2)
+	setAllDropping(cutters, true)
+	awaitAccepted(t, rest, 3)
 	never(t, "an answer of the isolated instance", func() bool {
-		result := submit(t.Context(), isolated, document(t, 4, "isolated"), "bob")
-		return result != nil || statusOf(t.Context(), isolated) != nil
+		result := submit(t.Context(), isolated, exampleDocument(t, 4, "isolated"), "bob")
+		return result != nil || readStatus(t.Context(), isolated) != nil
 	})
-	setAll(cutters, false)
+	setAllDropping(cutters, false)
 	await(t, "isolated instance holds version 3", func() bool {
 		return controlDump(t, isolated).AcceptedVersion == 3
 	})
-	accept(t, []*stager.Node{isolated}, 4)
+	awaitAccepted(t, []*stager.Node{isolated}, 4)
 }
 
-// All control instances are killed while callers go on. The entries see each
-// other and must go on serving, for longer than the fence; when control is back,
-// the next change must come into force everywhere.
-func TestLossOfAllControlStopsNoTraffic(t *testing.T) {
-	stage := configured(t)
+// All control instances are killed while callers continue. The entries reach each
+// other and must continue to serve, for longer than the fence time. When control is
+// back, the next change must come into force at every entry.
+func TestTrafficContinuesWithoutControl(t *testing.T) {
+	stage := startConfigured(t)
 	if _, err := stage.StartUpstream("plain", "diary-1", "--service", "diary-app", "--data-centre", "dc-a"); err != nil {
 		t.Fatal(err)
 	}
-	await(t, "a booking answered", func() bool { return bookAt(t, stage.Entries[0]) == http.StatusOK })
+	await(t, "a booking answered", func() bool { return postBooking(t, stage.Entries[0]) == http.StatusOK })
 	await(t, "view with three entries at each", func() bool {
-		return viewInForce(t, stage, stage.Entries) == 3
+		return viewSizeInForce(t, stage, stage.Entries) == 3
 	})
 	for _, node := range stage.Controls {
 		node.Kill()
 	}
-	ends := time.Now().Add(2 * fenceOf(stage))
+	ends := time.Now().Add(2 * fenceTime(stage))
 	for round := 0; time.Now().Before(ends); round++ {
 		entry := stage.Entries[round%len(stage.Entries)]
-		if got, want := bookAt(t, entry), http.StatusOK; got != want {
+		if got, want := postBooking(t, entry), http.StatusOK; got != want {
 			t.Fatalf("booking %d at %s without control: got %d, want %d", round, entry.Settings.Name, got, want)
 		}
 	}
@@ -207,14 +209,15 @@
 	applyVersion(t, stage, 2)
 }
 
-func fenceOf(stage *stager.Stage) time.Duration {
+func fenceTime(stage *stager.Stage) time.Duration {
 	settings := &parser.Settings{Timing: stage.Timing}
 	settings.FillDefaults()
 	return settings.Timing.Fence
 }
 
-// bookAt makes one call that must not run twice, and returns its status.
-func bookAt(t *testing.T, entry *stager.Node) int {
+// postBooking makes one call that must not run twice, and returns its status code, 0
+// if there was no answer.
+func postBooking(t *testing.T, entry *stager.Node) int {
 	t.Helper()
 	request, err := http.NewRequestWithContext(t.Context(), http.MethodPost, entry.CallerURL()+"/diary/bookings", strings.NewReader(`{"flue":1}`))
 	if err != nil {
@@ -231,21 +234,21 @@
 	return response.StatusCode
 }
 
-// An entry loses control and its only peers die. It cannot learn of a change any
-// more, so it must turn unready and refuse as not run; the operator learns who is
-// missing and that it has stopped. When the cut ends it serves the new version.
-func TestEntryWithoutControlAndPeersFences(t *testing.T) {
-	stage := configured(t)
-	lonely := stage.Entries[2]
-	cutters := cuttable(t, stage, lonely)
-	await(t, "entry ready behind its cutters", func() bool { return isReady(t, lonely) })
+// An entry is partitioned from control and its only peers are killed. It can no
+// longer receive changes, so it must become unready and refuse calls as not run.
+// When the partition ends, it must serve the new version.
+func TestIsolatedEntryFencesItself(t *testing.T) {
+	stage := startConfigured(t)
+	isolated := stage.Entries[2]
+	cutters := restartBehindProxies(t, stage, isolated)
+	await(t, "entry ready behind its proxies", func() bool { return isReady(t, isolated) })
 	applyVersion(t, stage, 2)
-	setAll(cutters, true)
+	setAllDropping(cutters, true)
 	for _, node := range stage.Entries[:2] {
 		node.Kill()
 	}
-	await(t, "lonely entry unready", func() bool { return !isReady(t, lonely) })
-	if got, want := bookAt(t, lonely), http.StatusServiceUnavailable; got != want {
+	await(t, "isolated entry unready", func() bool { return !isReady(t, isolated) })
+	if got, want := postBooking(t, isolated), http.StatusServiceUnavailable; got != want {
 		t.Errorf("booking at the fenced entry: got %d, want %d", got, want)
 	}
 	for _, node := range stage.Entries[:2] {
@@ -253,45 +256,45 @@
 			t.Fatal(err)
 		}
 	}
-	setAll(cutters, false)
+	setAllDropping(cutters, false)
 	applyVersion(t, stage, 3)
 	await(t, "entry ready again with version 3", func() bool {
-		return isReady(t, lonely) && entryDump(t, lonely).VersionInForce == 3
+		return isReady(t, isolated) && entryDump(t, isolated).VersionInForce == 3
 	})
 }
 
-// An entry cannot reach control and sees its peers. It must get a change from
-// them and go on serving, so that the change is in force everywhere.
-func TestEntryCutFromControlLearnsFromPeers(t *testing.T) {
-	stage := configured(t)
-	cut := stage.Entries[2]
-	cutters := cuttable(t, stage, cut)
-	await(t, "entry ready behind its cutters", func() bool { return isReady(t, cut) })
+// An entry is partitioned from control but reaches its peers. It must get a change
+// from them and continue to serve, so that the change is in force at every entry.
+func TestEntryWithoutControlGetsChangesFromPeers(t *testing.T) {
+	stage := startConfigured(t)
+	isolated := stage.Entries[2]
+	cutters := restartBehindProxies(t, stage, isolated)
+	await(t, "entry ready behind its proxies", func() bool { return isReady(t, isolated) })
 	await(t, "view with three entries at each", func() bool {
-		return viewInForce(t, stage, stage.Entries) == 3
+		return viewSizeInForce(t, stage, stage.Entries) == 3
 	})
-	setAll(cutters, true)
-	accept(t, stage.Controls, 2)
-	await(t, "change in force at the entry that is cut off", func() bool {
-		return entryDump(t, cut).VersionInForce == 2
+	setAllDropping(cutters, true)
+	awaitAccepted(t, stage.Controls, 2)
+	await(t, "change in force at the partitioned entry", func() bool {
+		return entryDump(t, isolated).VersionInForce == 2
 	})
-	never(t, "the entry unready", func() bool { return !isReady(t, cut) })
+	never(t, "the entry unready", func() bool { return !isReady(t, isolated) })
 }
 
-// An entry is cut off from control and frozen, while a change is accepted. The
-// status must name it, say why, and count it only once it must have stopped.
-func TestStatusNamesTheMissingEntry(t *testing.T) {
-	stage := configured(t)
+// An entry is frozen while a change is accepted. The status must name it with the
+// reason, and count it as fenced only once it must have stopped serving.
+func TestStatusNamesMissingEntry(t *testing.T) {
+	stage := startConfigured(t)
 	frozen := stage.Entries[2]
 	await(t, "view with three entries at each", func() bool {
-		return viewInForce(t, stage, stage.Entries) == 3
+		return viewSizeInForce(t, stage, stage.Entries) == 3
 	})
 	frozen.Signal(syscall.SIGSTOP)
 	began := time.Now()
-	accept(t, stage.Controls, 2)
+	awaitAccepted(t, stage.Controls, 2)
 	var missing *messages.EntryStatus
 	await(t, "frozen entry counted as fenced", func() bool {
-		status := statusOf(t.Context(), stage.Controls[0])
+		status := readStatus(t.Context(), stage.Controls[0])
 		if len(status.GetMissing()) > 0 {
 			missing = status.GetMissing()[0]
 		}
@@ -303,8 +306,8 @@
 		}
 		return true
 	})
-	if got, least := time.Since(began), fenceOf(stage); got < least {
-		t.Errorf("counted as fenced after %s, want at least %s", got, least)
+	if got, minElapsed := time.Since(began), fenceTime(stage); got < minElapsed {
+		t.Errorf("counted as fenced after %s, want at least %s", got, minElapsed)
 	}
 	if got, want := missing.GetEntry(), string(frozen.Settings.Name); got != want {
 		t.Errorf("missing entry: got %s, want %s", got, want)
@@ -313,20 +316,20 @@
 		t.Errorf("reason: got %q, want %q in it", got, want)
 	}
 	frozen.Signal(syscall.SIGCONT)
-	await(t, "woken entry has version 2", func() bool {
+	await(t, "resumed entry has version 2", func() bool {
 		return entryDump(t, frozen).VersionInForce == 2
 	})
 }
 
-// Entries of one data centre report through a relay, which freezes: its
-// connections stay open and carry nothing. The others must not be fenced with it,
+// Entries of one data centre report through a relay, which freezes: its connections
+// stay open and carry no data. The other entries must not be fenced because of it,
 // and must have the next change in force.
-func TestFrozenRelayTakesNobodyAlong(t *testing.T) {
+func TestFrozenRelayDoesNotFenceOthers(t *testing.T) {
 	stage := newControlStage(t)
 	startFleet(t, stage, 3, 8)
 	apply(t, stage, "../../examples/hearthline.yaml")
 	await(t, "view with eight entries at each", func() bool {
-		return viewInForce(t, stage, stage.Entries) == 8
+		return viewSizeInForce(t, stage, stage.Entries) == 8
 	})
 	view := &messages.EntryView{}
 	for _, node := range stage.Entries {
@@ -341,8 +344,8 @@
 	if got, want := len(leaves), 4; got != want {
 		t.Fatalf("entries behind a relay: got %d, want %d", got, want)
 	}
-	leader := leaderOf(t, stage.Controls)
-	await(t, "leader hears half of the entries through relays", func() bool {
+	leader := awaitLeader(t, stage.Controls)
+	await(t, "half of the entries report through relays", func() bool {
 		direct := 0
 		for _, entry := range controlDump(t, leader).Entries {
 			if entry.Direct {
@@ -358,7 +361,7 @@
 			node.Signal(syscall.SIGSTOP)
 		}
 	}
-	accept(t, stage.Controls, 2)
+	awaitAccepted(t, stage.Controls, 2)
 	await(t, "change in force behind the frozen relay", func() bool {
 		return entryDump(t, leaf).VersionInForce == 2
 	})
--- a/src/prover/doc.go
+++ b/src/prover/doc.go
@@ -1,2 +1,2 @@
-// Package prover holds the tests that cause failures in real processes on loopback.
+// Package prover holds the end-to-end tests, which cause failures in real processes on loopback.
 package prover
--- a/src/prover/explain_test.go
+++ b/src/prover/explain_test.go
@@ -10,8 +10,8 @@
 	"github.com/rosecroft/rosecroft/src/stager"
 )
 
-// askModel makes a model call and returns its id and status.
-func askModel(t *testing.T, entry *stager.Node, body string) (string, int) {
+// callModel makes a model call and returns its id and status code.
+func callModel(t *testing.T, entry *stager.Node, body string) (string, int) {
 	t.Helper()
 	request, err := http.NewRequestWithContext(t.Context(), http.MethodPost, entry.CallerURL()+"/v1/chat/completions", strings.NewReader(body))
 	if err != nil {
@@ -27,17 +27,17 @@
 	return response.Header.Get("Rosecroft-Call-Id"), response.StatusCode
 }
 
-// An operator asks why a call went where it did, without knowing which entry
-// took it. The decisions must be there in their order: what the call is, that it
-// was admitted, who could take it, who got it, how that ended, and the outcome.
-func TestExplainTellsTheDecisionsInOrder(t *testing.T) {
+// An operator asks for the explanation of a call without knowing which entry served
+// it. The decisions must be printed in order: the call, its admission, the
+// candidates, the attempt with its upstream and result, and the outcome.
+func TestExplainPrintsDecisionsInOrder(t *testing.T) {
 	stage := newStage(t)
 	startFleet(t, stage, 1, 2)
 	startEngine(t, stage)
 	apply(t, stage, exampleFile)
 	id := ""
 	await(t, "an answer", func() bool {
-		call, status := askModel(t, stage.Entries[1], modelBody)
+		call, status := callModel(t, stage.Entries[1], modelBody)
 		id = call
 		return status == http.StatusOK
 	})
@@ -52,7 +52,7 @@
 	} {
 		_, after, found := strings.Cut(rest, want)
 		if !found {
-			t.Fatalf("explanation: got %s, want %q after what stands before", output, want)
+			t.Fatalf("explanation: got %s, want %q after the preceding parts", output, want)
 		}
 		rest = after
 	}
@@ -62,16 +62,16 @@
 	}
 }
 
-// A call is refused by its account's limit; the operator must read which one.
-func TestExplainTellsTheLimit(t *testing.T) {
+// A call is refused by a limit of its client account; the explanation must name the limit.
+func TestExplainPrintsExceededLimit(t *testing.T) {
 	stage := newStage(t)
 	startFleet(t, stage, 1, 1)
 	startEngine(t, stage)
-	apply(t, stage, nextVersion(t, "1", "requests-per-second: 400", "requests-per-second: 1"))
+	apply(t, stage, writeExample(t, "1", "requests-per-second: 400", "requests-per-second: 1"))
 	entry := stage.Entries[0]
 	id := ""
 	await(t, "a refusal by the limit", func() bool {
-		call, status := askModel(t, entry, modelBody)
+		call, status := callModel(t, entry, modelBody)
 		id = call
 		return status == http.StatusTooManyRequests
 	})
--- a/src/prover/failures_test.go
+++ b/src/prover/failures_test.go
@@ -9,11 +9,12 @@
 	"github.com/rosecroft/rosecroft/src/injector"
 )
 
-// Callers book, read and stream while an entry stops, another dies, a control
-// instance dies, an engine gets its notice, another freezes, a data centre's
-// engines are taken back and two operators race. Each call must end with one
-// whole answer or a true refusal, as the upstreams' journals tell: whatever
-// dies, another process holds the call's record or can go on with its stream.
+// Callers book, read and stream while an entry stops, another is killed, a control
+// instance is killed, an engine gets its notice, another freezes, a data centre's
+// engines are reclaimed and two operators submit concurrently. Each call must end
+// with one complete answer or a refusal that is true according to the upstreams'
+// journals: whichever process fails, another one holds the call's record or can
+// continue its stream.
 func TestShortFailureRun(t *testing.T) {
 	experiment := &injector.Experiment{
 		Deployment: deployer.Hearthline(filepath.Join("..", "..")),
--- a/src/prover/fleet_orders_test.go
+++ b/src/prover/fleet_orders_test.go
@@ -14,17 +14,18 @@
 	"github.com/rosecroft/rosecroft/src/standin"
 )
 
-// ordered is what the configuration of a fleet under orders adds to the example.
-const ordered = `
+// orderSettings is added to the service of the example configuration so that its
+// engines receive orders.
+const orderSettings = `
     next-version: "%s"
     fleet: {orders: true, floor: 3, most: %d, slots: %d}
 `
 
-// Four engines get a new version while three must stay in service, and the
-// leader is killed in the middle. Its successor must go on without taking a
-// second engine out, and no engine may carry out an order of the old leader
-// after one of the new.
-func TestChangeOfVersionSurvivesItsLeader(t *testing.T) {
+// Four engines load a new model version while three must stay in service, and the
+// leader is killed half-way. Its successor must continue without taking a second
+// engine out of service, and no engine may execute an order of the old leader after
+// one of the new leader.
+func TestModelRolloutSurvivesLeaderLoss(t *testing.T) {
 	stage := newStage(t)
 	startFleet(t, stage, 3, 2)
 	for i := range 4 {
@@ -35,8 +36,8 @@
 		}
 	}
 	await(t, "four engines known", func() bool { return len(entryDump(t, stage.Entries[0]).Upstreams) == 4 })
-	apply(t, stage, orderedConfiguration(t, "2", 0, 0, ""))
-	least, killed := 4, false
+	apply(t, stage, writeOrderConfiguration(t, "2", 0, 0, ""))
+	minInService, killed := 4, false
 	await(t, "four engines with the new version", func() bool {
 		inService, changed := 0, 0
 		for _, upstream := range entryDump(t, stage.Entries[0]).Upstreams {
@@ -47,15 +48,15 @@
 				changed++
 			}
 		}
-		least = min(least, inService)
+		minInService = min(minInService, inService)
 		if changed > 0 && !killed {
-			leader(t, stage).Kill()
+			findLeader(t, stage).Kill()
 			killed = true
 		}
 		return changed == 4
 	})
-	if got, want := least, 3; got < want {
-		t.Errorf("engines in service at the worst moment: got %d, want at least %d", got, want)
+	if got, want := minInService, 3; got < want {
+		t.Errorf("minimum of engines in service: got %d, want at least %d", got, want)
 	}
 	for _, upstream := range entryDump(t, stage.Entries[0]).Upstreams {
 		log := &standin.OrderLog{}
@@ -66,8 +67,8 @@
 	}
 }
 
-// leader returns the control instance that leads.
-func leader(t *testing.T, stage *stager.Stage) *stager.Node {
+// findLeader waits until a control instance leads and returns it.
+func findLeader(t *testing.T, stage *stager.Stage) *stager.Node {
 	t.Helper()
 	var found *stager.Node
 	await(t, "a leader", func() bool {
@@ -86,15 +87,16 @@
 	return found
 }
 
-// orderedConfiguration writes the example with orders for its engines.
-func orderedConfiguration(t *testing.T, next string, most, slots int, fleet string) string {
+// writeOrderConfiguration writes the example configuration with orders for its
+// engines, followed by the fleet's settings.
+func writeOrderConfiguration(t *testing.T, next string, most, slots int, fleet string) string {
 	t.Helper()
 	content, err := os.ReadFile("../../examples/hearthline.yaml")
 	if err != nil {
 		t.Fatal(err)
 	}
 	document := strings.Replace(string(content), "  - name: ember-llm\n",
-		"  - name: ember-llm"+fmt.Sprintf(ordered, next, most, slots), 1) + fleet
+		"  - name: ember-llm"+fmt.Sprintf(orderSettings, next, most, slots), 1) + fleet
 	path := filepath.Join(t.TempDir(), "ordered.yaml")
 	if err := os.WriteFile(path, []byte(document), 0o600); err != nil {
 		t.Fatal(err)
@@ -102,7 +104,7 @@
 	return path
 }
 
-// getJSON fills answer from a URL.
+// getJSON decodes the JSON at a URL into answer.
 func getJSON(t *testing.T, url string, answer any) {
 	t.Helper()
 	request, err := http.NewRequestWithContext(t.Context(), http.MethodGet, url, nil)
--- a/src/prover/fleet_purchases_test.go
+++ b/src/prover/fleet_purchases_test.go
@@ -11,9 +11,10 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// bought is a platform with three data centres at different prices; 32 slots
-// must be left without the largest, which takes three instances of 16.
-const bought = `
+// cloudSettings configures a platform with three data centres at different prices.
+// 32 slots must remain when the largest data centre is lost, which takes three
+// instances of 16.
+const cloudSettings = `
 fleet:
   cloud: %s
   weight-store: {bytes-per-second: 2000000, loads-at-once: 2}
@@ -25,60 +26,60 @@
     - {name: dc-c, region: r, offers: [{class: small, price: 0.5, reclaims-per-hour: 0.1}]}
 `
 
-// The fleet is bought while its leader is killed, then a data centre is taken
-// back while another refuses replacements. Each purchase must be made once; the
-// replacements must come from what is left, and the weight store must never
-// refuse a load.
-func TestPurchasesSurviveTheirLeaderAndAReclaim(t *testing.T) {
+// The fleet purchases instances while its leader is killed; then the instances of a
+// data centre are reclaimed, which refuses replacements. Each purchase must be made
+// once, the replacements must come from the other data centres, and the weight store
+// must never have to refuse a load.
+func TestPurchasesSurviveLeaderLossAndReclaim(t *testing.T) {
 	stage := newStage(t)
 	startFleet(t, stage, 3, 2)
 	cloud, err := stage.StartCloud("--notice", "8s")
 	if err != nil {
 		t.Fatal(err)
 	}
-	await(t, "the platform", func() bool { return get(t.Context(), cloud.URL+"/faults/counts") == http.StatusOK })
-	apply(t, stage, orderedConfiguration(t, "2", 8, 32, fmt.Sprintf(bought, cloud.URL)))
-	await(t, "the first launch", func() bool { return counts(t, cloud).Launched > 0 })
-	leader(t, stage).Kill()
-	await(t, "three engines in service", func() bool { return len(inService(t, stage)) == 3 })
-	if got, want := counts(t, cloud).Launched, 3; got != want {
+	await(t, "the platform", func() bool { return getStatusCode(t.Context(), cloud.URL+"/faults/counts") == http.StatusOK })
+	apply(t, stage, writeOrderConfiguration(t, "2", 8, 32, fmt.Sprintf(cloudSettings, cloud.URL)))
+	await(t, "the first launch", func() bool { return cloudCounts(t, cloud).Launched > 0 })
+	findLeader(t, stage).Kill()
+	await(t, "three engines in service", func() bool { return len(enginesInService(t, stage)) == 3 })
+	if got, want := cloudCounts(t, cloud).Launched, 3; got != want {
 		t.Errorf("instances launched over two leaders: got %d, want %d", got, want)
 	}
-	put(t, cloud.URL+"/faults/refusals?data-centre=dc-a")
-	put(t, cloud.URL+"/faults/reclaims?data-centre=dc-a")
-	await(t, "capacity without the data centre that was taken back", func() bool {
-		serving := inService(t, stage)
+	sendPut(t, cloud.URL+"/faults/refusals?data-centre=dc-a")
+	sendPut(t, cloud.URL+"/faults/reclaims?data-centre=dc-a")
+	await(t, "capacity without the reclaimed data centre", func() bool {
+		serving := enginesInService(t, stage)
 		return serving["dc-a"] == 0 && serving["dc-b"] >= 2 && serving["dc-c"] >= 2
 	})
-	if got, want := counts(t, cloud).LoadsRefused, 0; got != want {
+	if got, want := cloudCounts(t, cloud).LoadsRefused, 0; got != want {
 		t.Errorf("loads that the weight store refused: got %d, want %d", got, want)
 	}
 }
 
-// inService counts the engines with a model by their data centre.
-func inService(t *testing.T, stage *stager.Stage) map[units.DataCentre]int {
+// enginesInService counts the engines that serve a model, by data centre.
+func enginesInService(t *testing.T, stage *stager.Stage) map[units.DataCentre]int {
 	t.Helper()
 	serving := make(map[units.DataCentre]int)
 	for _, upstream := range entryDump(t, stage.Entries[0]).Upstreams {
-		if serves(upstream) {
+		if isServing(upstream) {
 			serving[upstream.DataCentre]++
 		}
 	}
 	return serving
 }
 
-func serves(u entry.UpstreamDump) bool {
+func isServing(u entry.UpstreamDump) bool {
 	return u.ModelVersion != "" && u.Loading == "" && !u.Leaving
 }
 
-func counts(t *testing.T, cloud *stager.Upstream) *standin.CloudCounts {
+func cloudCounts(t *testing.T, cloud *stager.Upstream) *standin.CloudCounts {
 	t.Helper()
 	answer := &standin.CloudCounts{}
 	getJSON(t, cloud.URL+"/faults/counts", answer)
 	return answer
 }
 
-func put(t *testing.T, url string) {
+func sendPut(t *testing.T, url string) {
 	t.Helper()
 	request, err := http.NewRequestWithContext(t.Context(), http.MethodPut, url, nil)
 	if err != nil {
--- a/src/prover/fleet_test.go
+++ b/src/prover/fleet_test.go
@@ -15,35 +15,36 @@
 	"github.com/rosecroft/rosecroft/src/stager"
 )
 
-// One entry of three is killed and its caller records die with it; then it
-// starts again. The view must first name two entries and then the third with a
-// new incarnation, and every entry must learn each view, since the owners of
-// call records are chosen by it.
-func TestEntryViewFollowsDeathAndRestart(t *testing.T) {
+// One entry of three is killed, which loses its call records, and then restarts. The
+// view must first contain two entries and then the third again with a new
+// incarnation, and every entry must receive each view, since it determines the
+// owners of call records.
+func TestEntryViewFollowsKillAndRestart(t *testing.T) {
 	stage := newStage(t)
 	startFleet(t, stage, 3, 3)
 	apply(t, stage, "../../examples/hearthline.yaml")
 	await(t, "view with three entries at each", func() bool {
-		return viewInForce(t, stage, stage.Entries) == 3
+		return viewSizeInForce(t, stage, stage.Entries) == 3
 	})
 	before := entryDump(t, stage.Entries[0]).View
 	stage.Entries[2].Kill()
 	await(t, "view with two entries", func() bool {
-		return viewInForce(t, stage, stage.Entries[:2]) == 2
+		return viewSizeInForce(t, stage, stage.Entries[:2]) == 2
 	})
 	if err := stage.Start(stage.Entries[2]); err != nil {
 		t.Fatal(err)
 	}
 	await(t, "view with three entries again", func() bool {
-		return viewInForce(t, stage, stage.Entries) == 3
+		return viewSizeInForce(t, stage, stage.Entries) == 3
 	})
 	if got, want := entryDump(t, stage.Entries[0]).View, before+2; got != want {
 		t.Errorf("view number: got %d, want %d", got, want)
 	}
 }
 
-// viewInForce returns how many members the newest view has, 0 unless the entries hold it.
-func viewInForce(t *testing.T, stage *stager.Stage, entries []*stager.Node) int {
+// viewSizeInForce returns the number of members of the newest view, 0 unless all
+// these entries hold it.
+func viewSizeInForce(t *testing.T, stage *stager.Stage, entries []*stager.Node) int {
 	t.Helper()
 	newest := control.ViewDump{}
 	for _, node := range stage.Controls {
@@ -68,7 +69,7 @@
 	return dump
 }
 
-// readDump fills state from a running node's dump; it stays empty where the node does not answer.
+// readDump decodes a running node's dump into state, which stays empty if the node does not answer.
 func readDump(t testing.TB, node *stager.Node, state any) {
 	t.Helper()
 	output, err := exec.CommandContext(t.Context(), programs+"/rosecroft", "dump", node.OperatorURL()).Output()
@@ -80,16 +81,16 @@
 	}
 }
 
-// An upstream announces itself to one entry of five alone; callers of every
-// entry must reach it. Then it says to that entry that it leaves, and the entry
-// is killed as soon as it has answered. Each other entry would send work to a
-// machine that is taken back, if the mark had died with the one that heard it.
-func TestLeavingMarkOutlivesTheEntryThatHeardIt(t *testing.T) {
+// An upstream announces itself to only one entry of five; callers of every entry must
+// reach it. Then it announces to that entry that it is leaving, and the entry is
+// killed as soon as it has answered. If the leaving state were lost with that entry,
+// the others would send calls to an instance that is being reclaimed.
+func TestLeavingStateOutlivesEntryThatReceivedIt(t *testing.T) {
 	stage := newStage(t)
 	startFleet(t, stage, 3, 5)
 	apply(t, stage, "../../examples/hearthline.yaml")
 	await(t, "view with five entries at each", func() bool {
-		return viewInForce(t, stage, stage.Entries) == 5
+		return viewSizeInForce(t, stage, stage.Entries) == 5
 	})
 	upstream, err := stage.StartUpstreamFor(stage.Entries[:1], "engine", "ember-1",
 		"--service", "ember-llm", "--model", "ember-1", "--data-centre", "dc-a", "--notice", "60s")
@@ -97,29 +98,29 @@
 		t.Fatal(err)
 	}
 	await(t, "upstream known to every entry", func() bool {
-		return countEntries(t, stage.Entries, func(u entry.UpstreamDump) bool { return !u.Leaving }) == 5
+		return countEntriesWith(t, stage.Entries, func(u entry.UpstreamDump) bool { return !u.Leaving }) == 5
 	})
-	mark := fmt.Sprintf(`{"upstream":"ember-1","service":"ember-llm","address":%q,"incarnation":"%d",`+
+	announcement := fmt.Sprintf(`{"upstream":"ember-1","service":"ember-llm","address":%q,"incarnation":"%d",`+
 		`"sequence":"1000000","leaving":true,"leavingWithinMs":"60000"}`, upstream.URL, entryDump(t, stage.Entries[0]).Upstreams[0].Incarnation)
-	await(t, "mark taken", func() bool {
-		return announceTo(t, "http://"+stage.Entries[0].Settings.Upstreams.Listen+"/v1/announcements", mark) == http.StatusNoContent
+	await(t, "leaving announcement accepted", func() bool {
+		return postJSON(t, "http://"+stage.Entries[0].Settings.Upstreams.Listen+"/v1/announcements", announcement) == http.StatusNoContent
 	})
 	stage.Entries[0].Kill()
-	await(t, "mark at every other entry", func() bool {
-		return countEntries(t, stage.Entries[1:], func(u entry.UpstreamDump) bool { return u.Leaving }) == 4
+	await(t, "leaving state at every other entry", func() bool {
+		return countEntriesWith(t, stage.Entries[1:], func(u entry.UpstreamDump) bool { return u.Leaving }) == 4
 	})
 }
 
-// An upstream is frozen: it keeps its connections open and answers nothing, so
-// that calls sent to it would hang. The entry that hears it must suspect it and
-// then give it up, and tell the others. When it wakes and goes on announcing
-// itself, it must come back everywhere.
-func TestFrozenUpstreamIsGivenUpAndComesBack(t *testing.T) {
+// An upstream is frozen: it keeps its connections open and answers nothing, so that
+// calls sent to it would hang. The entry that receives its announcements must suspect
+// it, then drop it and notify the other entries. When the upstream resumes and
+// announces itself again, it must return at every entry.
+func TestFrozenUpstreamExpiresAndReturns(t *testing.T) {
 	stage := newStage(t)
 	startFleet(t, stage, 1, 3)
 	apply(t, stage, "../../examples/hearthline.yaml")
 	await(t, "view with three entries at each", func() bool {
-		return viewInForce(t, stage, stage.Entries) == 3
+		return viewSizeInForce(t, stage, stage.Entries) == 3
 	})
 	upstream, err := stage.StartUpstreamFor(stage.Entries[:1], "engine", "ember-1",
 		"--service", "ember-llm", "--model", "ember-1", "--data-centre", "dc-a")
@@ -127,19 +128,19 @@
 		t.Fatal(err)
 	}
 	known := func() int {
-		return countEntries(t, stage.Entries, func(u entry.UpstreamDump) bool { return !u.Suspected })
+		return countEntriesWith(t, stage.Entries, func(u entry.UpstreamDump) bool { return !u.Suspected })
 	}
 	await(t, "upstream known to every entry", func() bool { return known() == 3 })
 	upstream.Signal(syscall.SIGSTOP)
-	await(t, "upstream given up by every entry", func() bool {
-		return countEntries(t, stage.Entries, func(entry.UpstreamDump) bool { return true }) == 0
+	await(t, "upstream dropped by every entry", func() bool {
+		return countEntriesWith(t, stage.Entries, func(entry.UpstreamDump) bool { return true }) == 0
 	})
 	upstream.Signal(syscall.SIGCONT)
 	await(t, "upstream known to every entry again", func() bool { return known() == 3 })
 }
 
-// countEntries returns how many entries hold a matching upstream called ember-1.
-func countEntries(t *testing.T, nodes []*stager.Node, matches func(entry.UpstreamDump) bool) int {
+// countEntriesWith returns how many entries have the upstream ember-1 in a matching state.
+func countEntriesWith(t *testing.T, nodes []*stager.Node, matches func(entry.UpstreamDump) bool) int {
 	t.Helper()
 	count := 0
 	for _, node := range nodes {
@@ -152,8 +153,8 @@
 	return count
 }
 
-// announceTo returns the status code of a request with a JSON body, 0 for none.
-func announceTo(t *testing.T, url, body string) int {
+// postJSON sends a JSON body and returns the status code, 0 if there was no answer.
+func postJSON(t *testing.T, url, body string) int {
 	t.Helper()
 	request, err := http.NewRequestWithContext(t.Context(), http.MethodPost, url, strings.NewReader(body))
 	if err != nil {
--- a/src/prover/input_test.go
+++ b/src/prover/input_test.go
@@ -17,7 +17,7 @@
 	"github.com/rosecroft/rosecroft/src/stager"
 )
 
-// runProgram returns the exit code and all output of a command line.
+// runProgram runs a command line and returns its exit code and combined output.
 func runProgram(t *testing.T, stage *stager.Stage, arguments ...string) (launcher.ExitCode, string) {
 	t.Helper()
 	output, err := exec.CommandContext(t.Context(), stage.Program, arguments...).CombinedOutput()
@@ -55,22 +55,22 @@
 	return file
 }
 
-// A process cannot start as its settings say. The operator's shell must learn
-// which kind of fault it is from the exit code, and the message the remedy.
-func TestStartsThatCannotBe(t *testing.T) {
+// A process cannot start with its settings. The exit code must identify the kind of
+// fault for scripts, and the message must name the remedy.
+func TestStartWithUnusableSettingsFails(t *testing.T) {
 	stage := newStage(t)
-	taken, err := net.Listen("tcp", "127.0.0.1:0")
+	occupied, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = taken.Close() }()
+	defer func() { _ = occupied.Close() }()
 	cases := map[string]struct {
 		change func(*parser.Settings)
 		want   launcher.ExitCode
 		remedy string
 	}{
 		"port in use": {
-			change: func(s *parser.Settings) { s.Operators.Listen = taken.Addr().String() },
+			change: func(s *parser.Settings) { s.Operators.Listen = occupied.Addr().String() },
 			want:   launcher.ExitPortInUse, remedy: "choose a free port",
 		},
 		"folder under a file": {
@@ -102,13 +102,13 @@
 	}
 }
 
-// A configuration has several faults. Offline and at control, the operator sees
-// all of them at once, and nothing of it is applied.
-func TestBadConfigurationIsRefusedWhole(t *testing.T) {
+// A configuration has several faults. Both the offline check and control must report
+// all of them at once, and nothing of it may be applied.
+func TestInvalidConfigurationIsRefusedEntirely(t *testing.T) {
 	stage := newStage(t)
 	startFleet(t, stage, 1, 1)
 	apply(t, stage, exampleFile)
-	bad := nextVersion(t, "2", "policy: least-loaded", "policy: luck", "deadline: 60s", "deadline: 60",
+	bad := writeExample(t, "2", "policy: least-loaded", "policy: luck", "deadline: 60s", "deadline: 60",
 		"brand: fluewise", "brand: flue")
 	faults := []string{`"luck" is not allowed`, `"60" is not allowed: a duration`, `"flue" is not allowed: a brand listed`}
 	for name, arguments := range map[string][]string{
@@ -132,10 +132,10 @@
 	}
 }
 
-// Callers send their keys, right and wrong ones, and operators read logs and
-// dumps. Neither the secrets nor the hashes that they are checked by may stand
-// in either: whoever reads logs could call in the callers' names.
-func TestSecretsStayOutOfLogsAndDumps(t *testing.T) {
+// Callers send valid and invalid API keys, and operators read logs and dumps. Neither
+// the secrets nor the hashes that verify them may appear in either: whoever reads
+// logs could otherwise impersonate callers.
+func TestLogsAndDumpsHoldNoSecrets(t *testing.T) {
 	stage := newStage(t)
 	startFleet(t, stage, 1, 1)
 	startEngine(t, stage)
@@ -158,8 +158,8 @@
 	}
 	_ = response.Body.Close()
 	texts := map[string]string{
-		"entry's dump":   dumpOf(t, stage, entry),
-		"control's dump": dumpOf(t, stage, stage.Controls[0]),
+		"entry's dump":   readDumpText(t, stage, entry),
+		"control's dump": readDumpText(t, stage, stage.Controls[0]),
 	}
 	logs, err := filepath.Glob(filepath.Join(stage.Folder, "*.log"))
 	if err != nil || len(logs) < 3 {
@@ -189,9 +189,9 @@
 	}
 }
 
-// Operators watch the latencies that callers see; each must be there as a
-// histogram in the Prometheus format once a stream has run.
-func TestMetricsHoldLatencies(t *testing.T) {
+// Operators monitor the latencies that callers observe; once a stream has run, each
+// must be exported as a histogram in the Prometheus format.
+func TestMetricsContainLatencies(t *testing.T) {
 	stage := newStage(t)
 	startFleet(t, stage, 1, 1)
 	startEngine(t, stage)
--- a/src/prover/limit_test.go
+++ b/src/prover/limit_test.go
@@ -13,16 +13,17 @@
 	"github.com/rosecroft/rosecroft/src/stager"
 )
 
-// flood sends plain calls to the entries in turn from several callers until ctx
-// ends, and counts the answered ones; wait returns once the callers have ended.
-func flood(ctx context.Context, entries []*stager.Node, callers int) (answered *atomic.Int64, wait func()) {
+// startCallers starts several callers, each of which calls the entries in turn
+// without pause until ctx ends. answered counts the successful calls; wait returns
+// once the callers have ended.
+func startCallers(ctx context.Context, entries []*stager.Node, callers int) (answered *atomic.Int64, wait func()) {
 	answered = &atomic.Int64{}
 	running := &sync.WaitGroup{}
 	for i := range callers {
 		running.Go(func() {
 			for round := i; ctx.Err() == nil; round++ {
 				entry := entries[round%len(entries)]
-				if callDiary(ctx, entry) == http.StatusOK {
+				if getBookings(ctx, entry) == http.StatusOK {
 					answered.Add(1)
 				}
 			}
@@ -31,7 +32,7 @@
 	return answered, running.Wait
 }
 
-func callDiary(ctx context.Context, entry *stager.Node) int {
+func getBookings(ctx context.Context, entry *stager.Node) int {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, entry.CallerURL()+"/diary/bookings", nil)
 	if err != nil {
 		return 0
@@ -46,21 +47,21 @@
 	return response.StatusCode
 }
 
-// An account may call 40 times a second, and calls three entries as fast as it
-// can; then one entry, which must borrow what the others don't use. An entry
-// that counted for itself would admit the whole limit, the three together three
-// times as much. What is answered must stay within the limit and its burst, and
-// reach the most of it.
-func TestAccountsLimitHoldsOverAllEntries(t *testing.T) {
+// A client account is limited to 40 calls per second and calls three entries as fast
+// as it can, or one entry, which must borrow what the others don't use. If each entry
+// counted on its own, it would admit the whole limit, and the three together three
+// times the limit. The answered calls must stay within the limit and its burst, and
+// must reach four seconds' worth of the limit.
+func TestAccountLimitHoldsAcrossEntries(t *testing.T) {
 	const rate = 40
 	stage := newStage(t)
 	startFleet(t, stage, 1, 3)
 	if _, err := stage.StartUpstream("plain", "diary-1", "--service", "diary-app", "--data-centre", "dc-a", "--work", "1ms"); err != nil {
 		t.Fatal(err)
 	}
-	apply(t, stage, nextVersion(t, "2", "requests-per-second: 400", "requests-per-second: 40"))
+	apply(t, stage, writeExample(t, "2", "requests-per-second: 400", "requests-per-second: 40"))
 	for _, entry := range stage.Entries {
-		await(t, "an answer from the diary", func() bool { return callDiary(t.Context(), entry) == http.StatusOK })
+		await(t, "an answer from the diary", func() bool { return getBookings(t.Context(), entry) == http.StatusOK })
 	}
 	all := stage.Entries
 	for name, entries := range map[string][]*stager.Node{"three entries": all, "one entry": all[:1]} {
@@ -68,12 +69,12 @@
 			began := time.Now()
 			ctx, stop := context.WithCancel(t.Context())
 			defer stop()
-			answered, wait := flood(ctx, entries, 3)
+			answered, wait := startCallers(ctx, entries, 3)
 			await(t, "enough answers", func() bool { return answered.Load() >= 4*rate })
 			stop()
 			wait()
 			elapsed := time.Since(began)
-			// The burst is two seconds' worth and one call for each entry.
+			// The burst is two seconds' worth of the limit, plus one call for each entry.
 			want := rate*(elapsed.Seconds()+2) + float64(len(all))
 			if got := float64(answered.Load()); got > want {
 				t.Errorf("answered in %s: got %.0f, want at most %.0f", elapsed, got, want)
@@ -82,17 +83,17 @@
 	}
 }
 
-// A service's engines run 16 calls at once and more than 60 come. Those beyond
-// what can run soon are refused as not run, with when to ask again; the others
-// are answered whole.
-func TestOverloadIsRefusedTruthfully(t *testing.T) {
+// A service's engine runs 16 calls at once and 64 arrive. Those that cannot run soon
+// must be refused as not run, with the time after which to retry; the others must be
+// answered completely.
+func TestOverloadIsRefusedAsNotRun(t *testing.T) {
 	const callers = 64
 	stage := newStage(t)
 	startFleet(t, stage, 1, 1)
 	startEngine(t, stage)
 	apply(t, stage, exampleFile)
 	entry := stage.Entries[0]
-	await(t, "ember-1 known", func() bool { return strings.Contains(dumpOf(t, stage, entry), "name: ember-1") })
+	await(t, "ember-1 known", func() bool { return strings.Contains(readDumpText(t, stage, entry), "name: ember-1") })
 	body := strings.Replace(modelBody, `"max_tokens":8`, `"max_tokens":200`, 1)
 	var answered, refused atomic.Int64
 	var running sync.WaitGroup
@@ -106,7 +107,7 @@
 			case strings.Contains(content, `"executed":"no"`) && strings.Contains(content, `"retry-after":`):
 				refused.Add(1)
 			default:
-				t.Errorf("answer: got %d %s, want a whole one or a truthful refusal", status, content)
+				t.Errorf("answer: got %d %s, want a complete one or a refusal as not run", status, content)
 			}
 		})
 	}
--- a/src/prover/main_test.go
+++ b/src/prover/main_test.go
@@ -16,17 +16,18 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// awaitLimit bounds every wait for a state; no test asserts on speed.
-const awaitLimit = 30 * time.Second
+// awaitTimeout bounds every wait for a condition; no test asserts on speed.
+const awaitTimeout = 30 * time.Second
 
-// shownLog is how many bytes of each process's log a failed test prints.
-const shownLog = 2000
+// logTailBytes is how many bytes from the end of each process's log a failed test prints.
+const logTailBytes = 2000
 
-// programs is the folder of the built programs.
+// programs is the folder that contains the built programs.
 var programs string
 
-// beside holds the tests that run beside others already.
-var beside sync.Map
+// parallelTests holds the tests that were already marked as parallel, since a second
+// call of T.Parallel panics.
+var parallelTests sync.Map
 
 func TestMain(m *testing.M) {
 	os.Exit(buildAndRun(m))
@@ -49,12 +50,12 @@
 	return m.Run()
 }
 
-// newStage returns a stage whose processes end with the test. A test that has
-// one spends most of its time waiting, so that it runs beside others.
+// newStage returns a stage whose processes end with the test. It marks the test as
+// parallel, since a test with a stage spends most of its time waiting.
 func newStage(t testing.TB) *stager.Stage {
 	t.Helper()
-	_, again := beside.LoadOrStore(t, true)
-	if test, runs := t.(*testing.T); runs && !again {
+	_, marked := parallelTests.LoadOrStore(t, true)
+	if test, runs := t.(*testing.T); runs && !marked {
 		test.Parallel()
 	}
 	stage := &stager.Stage{
@@ -76,11 +77,11 @@
 	files, _ := filepath.Glob(filepath.Join(folder, "*.log"))
 	for _, file := range files {
 		content, _ := os.ReadFile(file)
-		t.Logf("%s ends with:\n%s", filepath.Base(file), content[max(0, len(content)-shownLog):])
+		t.Logf("%s ends with:\n%s", filepath.Base(file), content[max(0, len(content)-logTailBytes):])
 	}
 }
 
-// startFleet starts a fleet over the data centres and waits until it answers.
+// startFleet starts a fleet across four data centres and waits until it is healthy.
 func startFleet(t testing.TB, stage *stager.Stage, controls, entries int) {
 	t.Helper()
 	dataCentres := []units.DataCentre{"dc-a", "dc-b", "dc-c", "dc-d"}
@@ -93,7 +94,7 @@
 }
 
 // apply submits a configuration file and waits until it is in force and every
-// running entry takes calls.
+// running entry is ready.
 func apply(t testing.TB, stage *stager.Stage, file string) {
 	t.Helper()
 	flags, err := stage.TLSFlags(certifier.Identity{
@@ -104,7 +105,7 @@
 		t.Fatal(err)
 	}
 	arguments := append([]string{
-		"apply", file, "--control", stage.ControlURLs(), "--wait", awaitLimit.String(),
+		"apply", file, "--control", stage.ControlURLs(), "--wait", awaitTimeout.String(),
 	}, flags...)
 	command := exec.CommandContext(t.Context(), stage.Program, arguments...)
 	output, err := command.CombinedOutput()
@@ -116,24 +117,24 @@
 	}
 }
 
-// await waits until the condition holds.
-func await(t testing.TB, what string, holds func() bool) {
+// await waits until the condition holds, and fails the test after awaitTimeout.
+func await(t testing.TB, what string, condition func() bool) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(t.Context(), awaitLimit)
+	ctx, cancel := context.WithTimeout(t.Context(), awaitTimeout)
 	defer cancel()
 	ticker := time.NewTicker(20 * time.Millisecond)
 	defer ticker.Stop()
-	for !holds() {
+	for !condition() {
 		select {
 		case <-ctx.Done():
-			t.Fatalf("%s: got no, want yes within %s", what, awaitLimit)
+			t.Fatalf("%s: got no, want yes within %s", what, awaitTimeout)
 		case <-ticker.C:
 		}
 	}
 }
 
-// get returns the status code of a request without a body.
-func get(ctx context.Context, url string) int {
+// getStatusCode returns the status code of a GET request, 0 if there was no answer.
+func getStatusCode(ctx context.Context, url string) int {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return 0
--- a/src/prover/path_test.go
+++ b/src/prover/path_test.go
@@ -7,26 +7,26 @@
 	"testing"
 )
 
-// An entry that has no configuration yet must not take calls: the balancer
-// sends it callers as soon as it is ready, and each would be refused. It turns
-// ready once the accepted configuration is in force.
-func TestEntryTurnsReadyWithItsConfiguration(t *testing.T) {
+// An entry without a configuration must not be ready: the load balancer would send it
+// calls, and each would be refused. It must become ready once the accepted
+// configuration is in force.
+func TestEntryIsReadyOnceConfigured(t *testing.T) {
 	stage := newStage(t)
 	startFleet(t, stage, 1, 1)
 	ready := stage.Entries[0].CallerURL() + "/readyz"
-	if got, want := get(t.Context(), ready), http.StatusServiceUnavailable; got != want {
+	if got, want := getStatusCode(t.Context(), ready), http.StatusServiceUnavailable; got != want {
 		t.Errorf("status before a configuration: got %d, want %d", got, want)
 	}
 	apply(t, stage, "../../examples/hearthline.yaml")
-	if got, want := get(t.Context(), ready), http.StatusOK; got != want {
+	if got, want := getStatusCode(t.Context(), ready), http.StatusOK; got != want {
 		t.Errorf("status with a configuration: got %d, want %d", got, want)
 	}
 }
 
-// An operator was told that version 1 is accepted; then every control instance
-// is killed at once and started again. The version must still stand, since a
-// majority had it synced to disk before the answer.
-func TestConfigurationSurvivesRestartOfAllControl(t *testing.T) {
+// Version 1 is reported to the operator as accepted; then all control instances are
+// killed and restarted. The version must still be accepted, since a majority synced
+// it to disk before the answer.
+func TestConfigurationSurvivesControlRestart(t *testing.T) {
 	stage := newStage(t)
 	startFleet(t, stage, 3, 1)
 	apply(t, stage, "../../examples/hearthline.yaml")
--- a/src/prover/recordcost_test.go
+++ b/src/prover/recordcost_test.go
@@ -11,8 +11,9 @@
 	"time"
 )
 
-// BenchmarkRecord measures a booking at an entry that may be repeated, which has
-// no record, one that may not, and one that may not and bears the caller's key.
+// BenchmarkRecord measures the latency of a booking at an entry: a repeatable one,
+// which has no record, one that is not repeatable, and one that is not repeatable and
+// has an idempotency key of the caller.
 func BenchmarkRecord(b *testing.B) {
 	for _, c := range []struct {
 		name       string
@@ -35,7 +36,7 @@
 				b.Fatal(err)
 			}
 			stage, _ := startDiary(b, 4, 0, file)
-			var took []time.Duration
+			var latencies []time.Duration
 			for i := 0; b.Loop(); i++ {
 				key := c.key
 				if key != "" {
@@ -43,14 +44,14 @@
 				}
 				began := time.Now()
 				got := sendBooking(b.Context(), stage.Entries[0], key, `{"flue":1}`)
-				took = append(took, time.Since(began))
+				latencies = append(latencies, time.Since(began))
 				if want := http.StatusOK; got.status != want {
 					b.Fatalf("status: got %d (%s), want %d", got.status, got.body, want)
 				}
 			}
-			slices.Sort(took)
-			b.ReportMetric(float64(took[len(took)/2].Microseconds()), "p50-µs")
-			b.ReportMetric(float64(took[len(took)*99/100].Microseconds()), "p99-µs")
+			slices.Sort(latencies)
+			b.ReportMetric(float64(latencies[len(latencies)/2].Microseconds()), "p50-µs")
+			b.ReportMetric(float64(latencies[len(latencies)*99/100].Microseconds()), "p99-µs")
 		})
 	}
 }
--- a/src/prover/stream_test.go
+++ b/src/prover/stream_test.go
@@ -18,34 +18,34 @@
 )
 
 const (
-	callerKey   = "strath-sweeps.example-secret"
-	streamSeed  = 7
-	longStream  = 600
-	fastStep    = "2ms"
-	streamLimit = 25 * time.Second
+	callerKey        = "strath-sweeps.example-secret"
+	streamSeed       = 7
+	longStreamTokens = 600
+	engineStep       = "2ms"
+	streamTimeout    = 25 * time.Second
 )
 
-// ask is one streamed request of these tests.
-type ask struct {
+// streamRequest is a streamed model call.
+type streamRequest struct {
 	entry  *stager.Node
 	prompt string
 	tokens int
 }
 
-// stream makes a streamed call and returns the text that the caller has got; at is
-// called with the count of tokens after each.
-func (a ask) stream(ctx context.Context, at func(tokens int)) (string, error) {
+// stream makes the call and returns the text that the caller received; onToken is
+// called after each token with the number of tokens so far.
+func (a streamRequest) stream(ctx context.Context, onToken func(tokens int)) (string, error) {
 	body := fmt.Sprintf(`{"model":"ember-1","stream":true,"seed":%d,"max_tokens":%d,"messages":[{"role":"user","content":%q}]}`,
 		streamSeed, a.tokens, a.prompt)
-	return readStream(ctx, a.entry.CallerURL(), body, at)
+	return readStream(ctx, a.entry.CallerURL(), body, onToken)
 }
 
-// directStream makes the call at an engine without any entry between.
-func directStream(ctx context.Context, engine *stager.Upstream, a ask, at func(tokens int)) (string, error) {
-	return readStream(ctx, engine.URL, fmt.Sprintf(`{"model":"ember-1","stream":true,"max_tokens":%d,"prompt":%q}`, a.tokens, a.prompt), at)
+// directStream makes a streamed call directly at an engine, without an entry.
+func directStream(ctx context.Context, engine *stager.Upstream, a streamRequest, onToken func(tokens int)) (string, error) {
+	return readStream(ctx, engine.URL, fmt.Sprintf(`{"model":"ember-1","stream":true,"max_tokens":%d,"prompt":%q}`, a.tokens, a.prompt), onToken)
 }
 
-func readStream(ctx context.Context, url, body string, at func(tokens int)) (string, error) {
+func readStream(ctx context.Context, url, body string, onToken func(tokens int)) (string, error) {
 	response, err := post(ctx, url+"/v1/chat/completions", body, "")
 	if err != nil {
 		return "", err
@@ -74,8 +74,8 @@
 		}
 		text.WriteString(event.Choices[0].Delta.Content)
 		count++
-		if at != nil {
-			at(count)
+		if onToken != nil {
+			onToken(count)
 		}
 	}
 	return text.String(), errors.Join(errors.New("the stream has no final marker"), lines.Err())
@@ -94,13 +94,13 @@
 	return http.DefaultClient.Do(request)
 }
 
-// startEngines starts engines in the data centres given, one each.
+// startEngines starts one engine in each of the data centres.
 func startEngines(t *testing.T, stage *stager.Stage, dataCentres []string, arguments ...string) []*stager.Upstream {
 	t.Helper()
 	var engines []*stager.Upstream
 	for i, dataCentre := range dataCentres {
 		all := append([]string{
-			"--service", "ember-llm", "--model", "ember-1", "--step", fastStep, "--data-centre", dataCentre,
+			"--service", "ember-llm", "--model", "ember-1", "--step", engineStep, "--data-centre", dataCentre,
 		}, arguments...)
 		engine, err := stage.StartUpstream("engine", fmt.Sprintf("ember-%d", i+1), all...)
 		if err != nil {
@@ -111,17 +111,17 @@
 	return engines
 }
 
-// awaitUpstreams waits until each entry knows so many usable upstreams.
+// awaitUpstreams waits until each entry knows at least count engines.
 func awaitUpstreams(t *testing.T, stage *stager.Stage, count int) {
 	t.Helper()
 	for _, entry := range stage.Entries {
 		await(t, "the entry knows its upstreams", func() bool {
-			return strings.Count(dump(t, entry), "service: ember-llm") >= count
+			return strings.Count(readPlainDump(t, entry), "service: ember-llm") >= count
 		})
 	}
 }
 
-func dump(t *testing.T, entry *stager.Node) string {
+func readPlainDump(t *testing.T, entry *stager.Node) string {
 	t.Helper()
 	content, err := fetch(t.Context(), entry.OperatorURL()+"/dump")
 	if err != nil {
@@ -130,7 +130,8 @@
 	return string(content)
 }
 
-// engineWork is what an engine counted.
+// engineWork holds an engine's counts of its work, in tokens except for Cancelled,
+// which counts calls.
 type engineWork struct {
 	Prefilled  int `json:"prefilled"`
 	Recomputed int `json:"recomputed"`
@@ -139,15 +140,15 @@
 	Cancelled  int `json:"cancelled"`
 }
 
-func workOf(t *testing.T, engine *stager.Upstream) engineWork {
+func readWork(t *testing.T, engine *stager.Upstream) engineWork {
 	t.Helper()
 	work := engineWork{}
 	fetchJSON(t, engine.URL+"/work", &work)
 	return work
 }
 
-// runsAt returns how many runs began at an upstream.
-func runsAt(t *testing.T, upstream *stager.Upstream) int {
+// countRuns returns how many runs started at an upstream.
+func countRuns(t *testing.T, upstream *stager.Upstream) int {
 	t.Helper()
 	runs := make(map[string]int)
 	fetchJSON(t, upstream.URL+"/ledger", &runs)
@@ -169,8 +170,8 @@
 	}
 }
 
-// inject puts a fault in force at a stand-in, over a connection of its own.
-func inject(t *testing.T, upstream *stager.Upstream, fault string) {
+// setFault sets a fault at a simulated upstream, over a separate connection.
+func setFault(t *testing.T, upstream *stager.Upstream, fault string) {
 	t.Helper()
 	request, err := http.NewRequestWithContext(t.Context(), http.MethodPut, upstream.URL+"/faults", strings.NewReader(fault))
 	if err != nil {
@@ -188,11 +189,11 @@
 	}
 }
 
-// busiest returns the engine that runs the one stream of a test.
-func busiest(t *testing.T, engines []*stager.Upstream) *stager.Upstream {
+// engineWithRun returns the engine that runs the only stream of a test.
+func engineWithRun(t *testing.T, engines []*stager.Upstream) *stager.Upstream {
 	t.Helper()
 	for _, engine := range engines {
-		if runsAt(t, engine) > 0 {
+		if countRuns(t, engine) > 0 {
 			return engine
 		}
 	}
@@ -200,35 +201,36 @@
 	return nil
 }
 
-// startStreams starts a fleet with engines, and returns the text of an undisturbed run.
-func startStreams(t *testing.T, engines int, arguments ...string) ([]*stager.Upstream, ask, string) {
+// startStreamTest starts a fleet with engines, and returns them with a call and the
+// text that it must generate.
+func startStreamTest(t *testing.T, engines int, arguments ...string) ([]*stager.Upstream, streamRequest, string) {
 	t.Helper()
 	stage := newStage(t)
 	startFleet(t, stage, 1, 1)
-	places := []string{"dc-a", "dc-b", "dc-c", "dc-d"}
-	started := startEngines(t, stage, places[:engines], arguments...)
+	dataCentres := []string{"dc-a", "dc-b", "dc-c", "dc-d"}
+	started := startEngines(t, stage, dataCentres[:engines], arguments...)
 	apply(t, stage, "../../examples/hearthline.yaml")
 	awaitUpstreams(t, stage, engines)
-	call := ask{
+	call := streamRequest{
 		entry:  stage.Entries[0],
 		prompt: "summary of the flue inspection " + strings.Repeat("soot ", 100),
-		tokens: longStream,
+		tokens: longStreamTokens,
 	}
-	text, err := directText(t.Context(), undisturbed(t), call)
+	text, err := referenceText(t.Context(), startReferenceEngine(t), call)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return started, call, text
 }
 
-// undisturbed returns a fast engine that no entry knows.
-func undisturbed(t *testing.T) *stager.Upstream {
+// startReferenceEngine starts a fast engine that no entry knows.
+func startReferenceEngine(t *testing.T) *stager.Upstream {
 	t.Helper()
 	return startEngines(t, newStage(t), []string{"dc-a"}, "--entries", "http://127.0.0.1:1", "--step", "200us")[0]
 }
 
-// directText returns what an engine gives to a call without any entry between.
-func directText(ctx context.Context, engine *stager.Upstream, call ask) (string, error) {
+// referenceText returns an engine's answer to a call that is made directly, without an entry.
+func referenceText(ctx context.Context, engine *stager.Upstream, call streamRequest) (string, error) {
 	body := fmt.Sprintf(`{"model":"ember-1","seed":%d,"max_tokens":%d,"messages":[{"role":"user","content":%q}]}`,
 		streamSeed, call.tokens, call.prompt)
 	url := engine.URL + "/v1/chat/completions"
@@ -256,14 +258,14 @@
 	}
 }
 
-// A caller reads a stream of which two thirds are still to come when what
-// serves it fails: the engine dies, freezes, its connections go silent, or it
-// drops the stream again and again. The caller must get the whole text, equal to
-// that of an undisturbed run, and nobody may run the call twice at one engine.
-func TestStreamIsWholeThroughFaults(t *testing.T) {
+// A caller has read a third of a stream when its engine fails: it is killed, freezes,
+// its open connections become silent, or it repeatedly ends the stream early. The
+// caller must receive the complete text, equal to that of a run without faults, and
+// the call must not run twice on the engines that still answer.
+func TestStreamIsCompleteDespiteFaults(t *testing.T) {
 	cases := map[string]struct {
 		fault func(t *testing.T, engine *stager.Upstream)
-		// wantRuns is over all engines that still answer.
+		// wantRuns is the total over all engines that still answer.
 		wantRuns int
 	}{
 		"engine killed": {
@@ -275,28 +277,28 @@
 			wantRuns: 1,
 		},
 		"open connections silent": {
-			fault:    func(t *testing.T, engine *stager.Upstream) { inject(t, engine, `{"silence":true}`) },
+			fault:    func(t *testing.T, engine *stager.Upstream) { setFault(t, engine, `{"silence":true}`) },
 			wantRuns: 1,
 		},
 		"stream cut every 50 tokens": {
-			fault:    func(t *testing.T, engine *stager.Upstream) { inject(t, engine, `{"cut-after":50}`) },
+			fault:    func(t *testing.T, engine *stager.Upstream) { setFault(t, engine, `{"cut-after":50}`) },
 			wantRuns: 1,
 		},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			engines, call, want := startStreams(t, 2)
-			ctx, cancel := context.WithTimeout(t.Context(), streamLimit)
+			engines, call, want := startStreamTest(t, 2)
+			ctx, cancel := context.WithTimeout(t.Context(), streamTimeout)
 			defer cancel()
 			var failed *stager.Upstream
 			got, err := call.stream(ctx, func(tokens int) {
-				if tokens == longStream/3 {
-					failed = busiest(t, engines)
+				if tokens == longStreamTokens/3 {
+					failed = engineWithRun(t, engines)
 					c.fault(t, failed)
 				}
 			})
 			if err != nil {
-				t.Fatalf("the stream: got %v, want it whole", err)
+				t.Fatalf("stream: got error %v, want it complete", err)
 			}
 			if got != want {
 				t.Errorf("text: got %.60q..., want %.60q...", got, want)
@@ -304,7 +306,7 @@
 			runs := 0
 			for _, engine := range engines {
 				if engine != failed || strings.Contains(name, "connections") || strings.Contains(name, "cut") {
-					runs += runsAt(t, engine)
+					runs += countRuns(t, engine)
 				}
 			}
 			if got, want := runs, c.wantRuns; got != want {
@@ -314,10 +316,10 @@
 	}
 }
 
-// A caller who hangs up must cost no more tokens: the engine would generate to
-// the end for nobody, in a slot that others wait for.
-func TestCallerWhoHangsUpCancelsTheUpstreamsWork(t *testing.T) {
-	engines, call, _ := startStreams(t, 1)
+// When a caller disconnects, its call must be cancelled at the engine, which would
+// otherwise generate all tokens for no one, in a slot that other calls wait for.
+func TestCallerDisconnectCancelsUpstreamWork(t *testing.T) {
+	engines, call, _ := startStreamTest(t, 1)
 	call.tokens = 20000
 	ctx, cancel := context.WithCancel(t.Context())
 	_, err := call.stream(ctx, func(tokens int) {
@@ -326,18 +328,18 @@
 		}
 	})
 	if err == nil {
-		t.Fatal("the stream: got its end, want a cancelled call")
+		t.Fatal("stream: got it complete, want a cancelled call")
 	}
-	await(t, "the engine cancelled the call", func() bool { return workOf(t, engines[0]).Cancelled == 1 })
-	if got, most := workOf(t, engines[0]).Generated, call.tokens/2; got > most {
-		t.Errorf("generated tokens: got %d, want at most %d", got, most)
+	await(t, "the engine cancelled the call", func() bool { return readWork(t, engines[0]).Cancelled == 1 })
+	if got, maxGenerated := readWork(t, engines[0]).Generated, call.tokens/2; got > maxGenerated {
+		t.Errorf("generated tokens: got %d, want at most %d", got, maxGenerated)
 	}
 }
 
-// A booking's upstream takes it and its connection goes silent for good. Nobody
-// knows whether the booking stands, so the caller must hear `unknown`, and no
-// other upstream may book it a second time.
-func TestSilentBookingIsUnknownAndRunsOnce(t *testing.T) {
+// An upstream accepts a booking and then does not answer, answers with another call's
+// id, or sends a truncated answer. It is not known whether the booking was made, so
+// the caller must be answered `unknown`, and no other upstream may run it again.
+func TestUnansweredBookingIsUnknownAndRunsOnce(t *testing.T) {
 	cases := map[string]string{
 		"silent":    `{"delay-ms":60000}`,
 		"crossed":   `{"cross":true}`,
@@ -364,21 +366,21 @@
 	}
 	apply(t, stage, file)
 	await(t, "the entry knows both diaries", func() bool {
-		return strings.Count(dump(t, stage.Entries[0]), "service: diary-app") == len(diaries)
+		return strings.Count(readPlainDump(t, stage.Entries[0]), "service: diary-app") == len(diaries)
 	})
 	before := 0
 	for name, fault := range cases {
 		for _, diary := range diaries {
-			inject(t, diary, fault)
+			setFault(t, diary, fault)
 		}
-		status, answer := book(t, stage.Entries[0], name)
+		status, answer := bookWithKey(t, stage.Entries[0], name)
 		if got, want := status, http.StatusBadGateway; got != want {
 			t.Errorf("%s: got status %d, want %d", name, got, want)
 		}
 		if got, want := answer, `"executed":"unknown"`; !strings.Contains(got, want) {
 			t.Errorf("%s: got %s, want %s in it", name, got, want)
 		}
-		runs := runsAt(t, diaries[0]) + runsAt(t, diaries[1])
+		runs := countRuns(t, diaries[0]) + countRuns(t, diaries[1])
 		if got, want := runs-before, 1; got != want {
 			t.Errorf("%s: got %d runs, want %d", name, got, want)
 		}
@@ -386,7 +388,7 @@
 	}
 }
 
-func book(t *testing.T, entry *stager.Node, key string) (int, string) {
+func bookWithKey(t *testing.T, entry *stager.Node, key string) (int, string) {
 	t.Helper()
 	response, err := post(t.Context(), entry.CallerURL()+"/diary/bookings", `{"flue":"`+key+`"}`, key)
 	if err != nil {
@@ -401,7 +403,7 @@
 	return response.StatusCode, answer.String()
 }
 
-// fetch returns the body of an answer with status 200.
+// fetch returns the body of an answer, with each line ended by a newline.
 func fetch(ctx context.Context, url string) ([]byte, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
--- a/src/prover/tls_test.go
+++ b/src/prover/tls_test.go
@@ -29,8 +29,8 @@
 	modelBody   = `{"model":"ember-1","max_tokens":8,"messages":[{"role":"user","content":"hello"}]}`
 )
 
-// startSecured starts a fleet over TLS with one engine and the example configuration.
-func startSecured(t *testing.T, controls, entries int) *stager.Stage {
+// startTLSFleet starts a fleet over TLS with one engine and the example configuration.
+func startTLSFleet(t *testing.T, controls, entries int) *stager.Stage {
 	t.Helper()
 	stage := newStage(t)
 	stage.TLS = true
@@ -50,7 +50,7 @@
 	}
 }
 
-func clientOf(t *testing.T, stage *stager.Stage, role certifier.Role, name string) *http.Client {
+func clientWithIdentity(t *testing.T, stage *stager.Stage, role certifier.Role, name string) *http.Client {
 	t.Helper()
 	client, err := stage.ClientFor(certifier.Identity{
 		Role: role,
@@ -62,7 +62,7 @@
 	return client
 }
 
-// send returns the status and body of a request, or 0 where the connection failed.
+// send returns the status code and body of the answer, or 0 and the error if there was none.
 func send(ctx context.Context, t *testing.T, client *http.Client, method, url, contentType, body string) (int, string) {
 	t.Helper()
 	request, err := http.NewRequestWithContext(ctx, method, url, strings.NewReader(body))
@@ -80,7 +80,7 @@
 	return response.StatusCode, string(content)
 }
 
-func dumpOf(t *testing.T, stage *stager.Stage, node *stager.Node) string {
+func readDumpText(t *testing.T, stage *stager.Stage, node *stager.Node) string {
 	t.Helper()
 	client, err := stage.OperatorClient()
 	if err != nil {
@@ -90,13 +90,13 @@
 	return content
 }
 
-// Every connection of the fleet runs over TLS: operators, peers, announcements,
-// exchanges with the engine, and the caller, who verifies the entry by its
-// address as any HTTPS client does. A call must still get its answer.
+// All connections of the fleet use TLS: those of operators, between peers, for
+// announcements, to the engine, and of the caller, who verifies the entry by its
+// address like any HTTPS client. A call must still be answered.
 func TestFleetServesOverTLS(t *testing.T) {
-	stage := startSecured(t, 3, 2)
-	apply(t, stage, nextVersion(t, "2"))
-	caller := callerOf(t, stage)
+	stage := startTLSFleet(t, 3, 2)
+	apply(t, stage, writeExample(t, "2"))
+	caller := callerClient(t, stage)
 	for _, entry := range stage.Entries {
 		await(t, "an answer over TLS", func() bool {
 			status, _ := send(t.Context(), t, caller, http.MethodPost,
@@ -106,10 +106,10 @@
 	}
 }
 
-// callerOf returns a client that trusts the fleet's authority and shows no certificate.
-func callerOf(t *testing.T, stage *stager.Stage) *http.Client {
+// callerClient returns a client that trusts the fleet's authority and presents no certificate.
+func callerClient(t *testing.T, stage *stager.Stage) *http.Client {
 	t.Helper()
-	pool := poolOf(t, stage.Entries[0].Settings.Peers.Authorities)
+	pool := readCertPool(t, stage.Entries[0].Settings.Peers.Authorities)
 	return &http.Client{
 		Transport: &http.Transport{
 			TLSClientConfig: &tls.Config{RootCAs: pool},
@@ -117,13 +117,13 @@
 	}
 }
 
-// Someone without a certificate of the fleet's authority, or with one of
-// another role, submits a configuration or reads a dump. Each is refused and
-// the accepted version stays what it was.
-func TestUnknownOperatorChangesNothing(t *testing.T) {
-	stage := startSecured(t, 1, 1)
-	stranger := newStage(t)
-	stranger.TLS = true
+// A client without a certificate of the fleet's authority, or with one for another
+// role, submits a configuration or reads a dump. Each request must be refused, and
+// the accepted version must not change.
+func TestUnauthorizedOperatorChangesNothing(t *testing.T) {
+	stage := startTLSFleet(t, 1, 1)
+	otherStage := newStage(t)
+	otherStage.TLS = true
 	document, err := os.ReadFile(exampleFile)
 	if err != nil {
 		t.Fatal(err)
@@ -133,10 +133,10 @@
 		client *http.Client
 		want   int
 	}{
-		"no certificate":             {client: callerOf(t, stage), want: http.StatusForbidden},
-		"certificate of an upstream": {client: clientOf(t, stage, certifier.Upstream, "ember-1"), want: http.StatusForbidden},
-		"certificate of an entry":    {client: clientOf(t, stage, certifier.Entry, "e1"), want: http.StatusForbidden},
-		"another authority":          {client: insecure(clientOf(t, stranger, certifier.Operator, "alice")), want: 0},
+		"no certificate":             {client: callerClient(t, stage), want: http.StatusForbidden},
+		"certificate of an upstream": {client: clientWithIdentity(t, stage, certifier.Upstream, "ember-1"), want: http.StatusForbidden},
+		"certificate of an entry":    {client: clientWithIdentity(t, stage, certifier.Entry, "e1"), want: http.StatusForbidden},
+		"another authority":          {client: skipServerCheck(clientWithIdentity(t, otherStage, certifier.Operator, "alice")), want: 0},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -158,8 +158,9 @@
 	}
 }
 
-// insecure makes a client skip its own check, so that the server's is the one tested.
-func insecure(client *http.Client) *http.Client {
+// skipServerCheck disables the client's verification of the server, so that the test
+// covers the server's verification of the client.
+func skipServerCheck(client *http.Client) *http.Client {
 	transport, ok := client.Transport.(*http.Transport)
 	if ok {
 		transport.TLSClientConfig.VerifyConnection = nil
@@ -184,21 +185,21 @@
 	return string(output)
 }
 
-// The engine ember-2 announces itself as ember-1, to draw that one's calls or to
-// take it out of use by a leaving mark; so does somebody with no certificate.
-// The announcement is refused, and ember-1 stays in use.
-func TestAnnouncementInAnothersNameIsRefused(t *testing.T) {
-	stage := startSecured(t, 1, 1)
+// The engine ember-2, an operator or a client without a certificate sends an
+// announcement in the name of ember-1, to attract its calls or to mark it as leaving.
+// The announcement must be refused, and ember-1 must stay in use.
+func TestForgedAnnouncementIsRefused(t *testing.T) {
+	stage := startTLSFleet(t, 1, 1)
 	entry := stage.Entries[0]
-	await(t, "ember-1 known", func() bool { return strings.Contains(dumpOf(t, stage, entry), "name: ember-1") })
+	await(t, "ember-1 known", func() bool { return strings.Contains(readDumpText(t, stage, entry), "name: ember-1") })
 	forged := `{"upstream":"ember-1","service":"ember-llm","address":"https://127.0.0.1:1","incarnation":"18446744073709551615","sequence":"1","leaving":true}`
 	cases := map[string]struct {
 		client *http.Client
 		want   int
 	}{
-		"another upstream": {client: clientOf(t, stage, certifier.Upstream, "ember-2"), want: http.StatusForbidden},
-		"an operator":      {client: clientOf(t, stage, certifier.Operator, "ember-1"), want: http.StatusForbidden},
-		"no certificate":   {client: callerOf(t, stage), want: 0},
+		"another upstream": {client: clientWithIdentity(t, stage, certifier.Upstream, "ember-2"), want: http.StatusForbidden},
+		"an operator":      {client: clientWithIdentity(t, stage, certifier.Operator, "ember-1"), want: http.StatusForbidden},
+		"no certificate":   {client: callerClient(t, stage), want: 0},
 	}
 	url := "https://" + entry.Settings.Upstreams.Listen + "/v1/announcements"
 	for name, c := range cases {
@@ -209,18 +210,18 @@
 			}
 		})
 	}
-	dump := dumpOf(t, stage, entry)
+	dump := readDumpText(t, stage, entry)
 	if strings.Contains(dump, "leaving: true") || !strings.Contains(dump, "name: ember-1") {
 		t.Errorf("upstreams: got %s, want ember-1 still in use", dump)
 	}
 }
 
-// A holder of some certificate of the fleet speaks to control as if it were
-// another process: a vote in another voter's name would make two leaders, a
-// heartbeat in another entry's name would report a version in force that is
-// not. Each is refused.
-func TestPeerInAnothersNameIsRefused(t *testing.T) {
-	stage := startSecured(t, 1, 1)
+// A process with a valid certificate of the fleet calls control in the name of another
+// process: a vote in another voter's name could elect two leaders, and a heartbeat in
+// another entry's name could report a version as in force that is not. Each call must
+// be refused.
+func TestForgedPeerIdentityIsRefused(t *testing.T) {
+	stage := startTLSFleet(t, 1, 1)
 	address := stage.Controls[0].Settings.Peers.Listen
 	cases := map[string]struct {
 		role   certifier.Role
@@ -262,21 +263,21 @@
 	}
 }
 
-// A stream runs while the entry's certificate is replaced on disk. New
-// connections must see the new certificate without a restart, and the stream
-// must end whole on its old connection.
-func TestCertificateIsReloadedUnderAStream(t *testing.T) {
-	stage := startSecured(t, 1, 1)
+// A stream runs while the entry's certificate is replaced on disk. New connections
+// must get the new certificate without a restart, and the stream must complete on its
+// existing connection.
+func TestCertificateReloadKeepsStream(t *testing.T) {
+	stage := startTLSFleet(t, 1, 1)
 	entry := stage.Entries[0]
-	before := leafOf(t, entry)
+	before := callerCertificate(t, entry)
 	request, err := http.NewRequestWithContext(t.Context(), http.MethodPost, entry.CallerURL()+"/v1/chat/completions",
 		strings.NewReader(strings.Replace(modelBody, `"max_tokens":8`, `"max_tokens":1500,"stream":true`, 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	request.Header.Set("Authorization", exampleKey)
-	await(t, "ember-1 known", func() bool { return strings.Contains(dumpOf(t, stage, entry), "name: ember-1") })
-	response, err := callerOf(t, stage).Do(request)
+	await(t, "ember-1 known", func() bool { return strings.Contains(readDumpText(t, stage, entry), "name: ember-1") })
+	response, err := callerClient(t, stage).Do(request)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -284,18 +285,18 @@
 	if _, err := stage.IssueCertificate(certifier.Identity{Role: certifier.Entry, Name: "e1"}); err != nil {
 		t.Fatal(err)
 	}
-	await(t, "the new certificate shown", func() bool { return !bytes.Equal(leafOf(t, entry), before) })
+	await(t, "the new certificate shown", func() bool { return !bytes.Equal(callerCertificate(t, entry), before) })
 	content, err := io.ReadAll(response.Body)
 	if err != nil || !strings.HasSuffix(string(content), "data: [DONE]\n\n") {
-		t.Errorf("stream's end: got %v after %d bytes, want its final marker", err, len(content))
+		t.Errorf("end of the stream: got error %v after %d bytes, want its final marker", err, len(content))
 	}
 }
 
-// leafOf returns the certificate that a node shows to callers.
-func leafOf(t *testing.T, node *stager.Node) []byte {
+// callerCertificate returns the certificate that a node presents to callers.
+func callerCertificate(t *testing.T, node *stager.Node) []byte {
 	t.Helper()
 	dialer := &tls.Dialer{
-		Config: &tls.Config{RootCAs: poolOf(t, node.Settings.Peers.Authorities)},
+		Config: &tls.Config{RootCAs: readCertPool(t, node.Settings.Peers.Authorities)},
 	}
 	conn, err := dialer.DialContext(t.Context(), "tcp", node.Settings.Callers.Listen)
 	if err != nil {
@@ -305,10 +306,10 @@
 	return conn.(*tls.Conn).ConnectionState().PeerCertificates[0].Raw
 }
 
-// A control instance's address answers with the certificate of an entry, which
-// the same authority signed. A client that believed it would take that entry's
-// word for the accepted configuration.
-func TestEntryCannotPlayControl(t *testing.T) {
+// A server at a control instance's address presents the certificate of an entry, which
+// the same authority signed. The client must refuse it, since it would otherwise accept
+// a configuration from that entry.
+func TestEntryCannotImpersonateControl(t *testing.T) {
 	stage := newStage(t)
 	stage.TLS = true
 	files, err := stage.IssueCertificate(certifier.Identity{Role: certifier.Entry, Name: "e1"})
@@ -324,7 +325,7 @@
 		Peers:   files,
 		Control: []parser.ControlAddress{{Name: "c1", Address: listener.Addr().String()}},
 	}
-	certificates, err := certifier.New(settings, parser.Entry, quietLog)
+	certificates, err := certifier.New(settings, parser.Entry, discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -342,8 +343,9 @@
 	}
 }
 
-// nextVersion writes the example configuration under a higher version, changed by edits.
-func nextVersion(t *testing.T, version string, edits ...string) string {
+// writeExample writes the example configuration under a version, with edits as pairs
+// of old and new text.
+func writeExample(t *testing.T, version string, edits ...string) string {
 	t.Helper()
 	document, err := os.ReadFile(exampleFile)
 	if err != nil {
--- a/src/standin/cache.go
+++ b/src/standin/cache.go
@@ -10,22 +10,23 @@
 const (
 	bytesPerToken = 4
 	blockBytes    = 256
-	// maxEvents bounds a message; what does not fit is a gap.
-	maxEvents = 512
+	// maxCacheEvents bounds the events of each kind in one message; older ones are
+	// dropped, which leaves a gap.
+	maxCacheEvents = 512
 )
 
-// prefixCache holds the most recently used prompt blocks and what changed
-// since it was last asked.
+// prefixCache is an LRU cache of prompt blocks. It records the blocks that were
+// added and removed since the last takeChanges.
 type prefixCache struct {
-	most    int
-	blocks  map[uint64]*list.Element
-	recent  list.List
-	added   []uint64
-	removed []uint64
+	maxBlocks int
+	blocks    map[uint64]*list.Element
+	lru       list.List
+	added     []uint64
+	removed   []uint64
 }
 
-// hit returns how many leading blocks are cached, and marks them as used.
-func (c *prefixCache) hit(blocks []uint64) int {
+// lookup returns how many leading blocks are cached, and marks these as recently used.
+func (c *prefixCache) lookup(blocks []uint64) int {
 	for i, block := range blocks {
 		if c.blocks[block] == nil {
 			return i
@@ -46,30 +47,31 @@
 		c.blocks = make(map[uint64]*list.Element)
 	}
 	if element := c.blocks[block]; element != nil {
-		c.recent.MoveToFront(element)
+		c.lru.MoveToFront(element)
 		return
 	}
-	c.blocks[block] = c.recent.PushFront(block)
+	c.blocks[block] = c.lru.PushFront(block)
 	c.added = append(c.added, block)
-	if c.recent.Len() <= c.most {
+	if c.lru.Len() <= c.maxBlocks {
 		return
 	}
-	oldest := c.recent.Back()
-	gone, _ := c.recent.Remove(oldest).(uint64)
-	delete(c.blocks, gone)
-	c.removed = append(c.removed, gone)
+	oldest := c.lru.Back()
+	evicted, _ := c.lru.Remove(oldest).(uint64)
+	delete(c.blocks, evicted)
+	c.removed = append(c.removed, evicted)
 }
 
-// changes returns what came and went since the last call, the latest at most.
-func (c *prefixCache) changes() (added, removed []uint64) {
-	added = c.added[max(0, len(c.added)-maxEvents):]
-	removed = c.removed[max(0, len(c.removed)-maxEvents):]
+// takeChanges returns the latest blocks that were added and removed since the
+// last call, at most maxCacheEvents of each, and forgets the others.
+func (c *prefixCache) takeChanges() (added, removed []uint64) {
+	added = c.added[max(0, len(c.added)-maxCacheEvents):]
+	removed = c.removed[max(0, len(c.removed)-maxCacheEvents):]
 	c.added = nil
 	c.removed = nil
 	return added, removed
 }
 
-// promptBlocks returns the chained hash of each whole block of a prompt.
+// promptBlocks returns the chained hash of each complete block of a prompt.
 func promptBlocks(prompt string) []uint64 {
 	var blocks []uint64
 	var chain [8]byte
--- a/src/standin/cloud.go
+++ b/src/standin/cloud.go
@@ -21,24 +21,29 @@
 	engineBlocks  = 512
 )
 
-// Cloud sells instances and runs an engine without a model on each of them.
+// Cloud simulates the platform's cloud API. It launches instances and runs an
+// engine without a model on each of them.
 type Cloud struct {
 	Listener net.Listener
-	// Entries are the base URLs that take the engines' announcements.
+	// Entries are the base URLs to which the engines announce themselves.
 	Entries []string
-	Boot    time.Duration
-	Notice  time.Duration
-	Slots   int
-	Store   *WeightStore
+	// Boot is the time from a launch until the engine runs.
+	Boot time.Duration
+	// Notice is the time between an instance's notice and its end.
+	Notice time.Duration
+	// Slots is how many sequences each engine runs at once.
+	Slots int
+	Store *WeightStore
 
-	mu        sync.Mutex
-	instances []*cloudInstance
-	refusing  []string
-	refused   int
-	running   sync.WaitGroup
+	mu                 sync.Mutex
+	instances          []*instanceState
+	refusedDataCentres []string
+	refused            int
+	running            sync.WaitGroup
 }
 
-// LaunchRequest asks for an instance; the same token gives the same instance.
+// LaunchRequest is the body of a launch. It is idempotent: the same token returns
+// the same instance.
 type LaunchRequest struct {
 	Token        string  `json:"token"`
 	DataCentre   string  `json:"data_centre"`
@@ -56,31 +61,35 @@
 	DataCentre   string `json:"data_centre"`
 	MachineClass string `json:"machine_class"`
 	OnDemand     bool   `json:"on_demand"`
-	// Noticed is set once the instance is taken back, LeavesInMs until its end.
+	// Noticed is set once the instance has got its notice; LeavesInMs is then the
+	// time left until its end.
 	Noticed    bool  `json:"noticed"`
 	LeavesInMs int64 `json:"leaves_in_ms"`
 }
 
-// CloudList is the platform's list of instances that have not ended.
+// CloudList is the platform's list of instances that have not stopped.
 type CloudList struct {
 	Instances []CloudInstance `json:"instances"`
 }
 
-// CloudCounts is the ground truth of what was sold.
+// CloudCounts is the number of launches and weight loads that the platform
+// actually served and refused.
 type CloudCounts struct {
 	Launched int `json:"launched"`
 	Refused  int `json:"refused"`
-	// Loads and LoadsRefused are the weight store's.
+	// Loads and LoadsRefused are the weight store's counts.
 	Loads        int `json:"loads"`
 	LoadsRefused int `json:"loads_refused"`
 }
 
-type cloudInstance struct {
+type instanceState struct {
 	CloudInstance
 	request LaunchRequest
-	ended   bool
-	endsAt  time.Time
-	notify  context.CancelFunc
+	stopped bool
+	// stopsAt is set with the notice.
+	stopsAt time.Time
+	// cancel delivers the notice to the instance's engine.
+	cancel context.CancelFunc
 }
 
 // Run serves until ctx ends.
@@ -89,12 +98,12 @@
 	service := new(restful.WebService)
 	service.Path("/v1/instances")
 	service.Route(service.POST("").Consumes("application/json").To(func(request *restful.Request, response *restful.Response) {
-		c.launch(ctx, request, response)
+		c.handleLaunch(ctx, request, response)
 	}))
-	service.Route(service.GET("").To(c.list))
-	service.Route(service.DELETE("/{id}").To(c.release))
+	service.Route(service.GET("").To(c.handleList))
+	service.Route(service.DELETE("/{id}").To(c.handleRelease))
 	container.Add(service)
-	container.Add(c.faults())
+	container.Add(c.controlService())
 	for _, store := range c.Store.Services() {
 		container.Add(store)
 	}
@@ -112,14 +121,15 @@
 	return nil
 }
 
-// faults returns the routes by which tests cause refusals and reclaims.
-func (c *Cloud) faults() *restful.WebService {
+// controlService returns the routes by which tests cause refusals and reclaims and
+// read the counts.
+func (c *Cloud) controlService() *restful.WebService {
 	service := new(restful.WebService)
 	service.Path("/faults")
 	service.Route(service.PUT("/refusals").To(func(request *restful.Request, response *restful.Response) {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.refusing = request.QueryParameters("data-centre")
+		c.refusedDataCentres = request.QueryParameters("data-centre")
 		response.WriteHeader(http.StatusNoContent)
 	}))
 	service.Route(service.PUT("/reclaims").To(func(request *restful.Request, response *restful.Response) {
@@ -139,66 +149,66 @@
 	return service
 }
 
-func (c *Cloud) launch(ctx context.Context, request *restful.Request, response *restful.Response) {
-	wanted := LaunchRequest{}
-	if err := request.ReadEntity(&wanted); err != nil || wanted.Token == "" {
+func (c *Cloud) handleLaunch(ctx context.Context, request *restful.Request, response *restful.Response) {
+	launch := LaunchRequest{}
+	if err := request.ReadEntity(&launch); err != nil || launch.Token == "" {
 		http.Error(response, "a JSON body with a token is needed", http.StatusBadRequest)
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	known := slices.IndexFunc(c.instances, func(i *cloudInstance) bool { return i.Token == wanted.Token })
-	if known >= 0 {
-		writeJSON(response, c.instances[known].CloudInstance)
+	existing := slices.IndexFunc(c.instances, func(i *instanceState) bool { return i.Token == launch.Token })
+	if existing >= 0 {
+		writeJSON(response, c.instances[existing].CloudInstance)
 		return
 	}
-	if slices.Contains(c.refusing, wanted.DataCentre) {
+	if slices.Contains(c.refusedDataCentres, launch.DataCentre) {
 		c.refused++
-		http.Error(response, "no capacity in "+wanted.DataCentre, http.StatusConflict)
+		http.Error(response, "no capacity in "+launch.DataCentre, http.StatusConflict)
 		return
 	}
-	instance := &cloudInstance{
-		request: wanted,
+	instance := &instanceState{
+		request: launch,
 		CloudInstance: CloudInstance{
 			ID:           fmt.Sprintf("i-%d", len(c.instances)+1),
-			Token:        wanted.Token,
-			DataCentre:   wanted.DataCentre,
-			MachineClass: wanted.MachineClass,
-			OnDemand:     wanted.OnDemand,
+			Token:        launch.Token,
+			DataCentre:   launch.DataCentre,
+			MachineClass: launch.MachineClass,
+			OnDemand:     launch.OnDemand,
 		},
 	}
-	noticed, notify := context.WithCancel(ctx)
-	instance.notify = notify
+	runCtx, cancel := context.WithCancel(ctx)
+	instance.cancel = cancel
 	c.instances = append(c.instances, instance)
-	c.running.Go(func() { c.play(noticed, instance) })
+	c.running.Go(func() { c.runInstance(runCtx, instance) })
 	writeJSON(response, instance.CloudInstance)
 }
 
-func (c *Cloud) list(_ *restful.Request, response *restful.Response) {
+func (c *Cloud) handleList(_ *restful.Request, response *restful.Response) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	list := &CloudList{
 		Instances: []CloudInstance{},
 	}
 	for _, instance := range c.instances {
-		if instance.ended {
+		if instance.stopped {
 			continue
 		}
 		listed := instance.CloudInstance
 		if listed.Noticed {
-			listed.LeavesInMs = time.Until(instance.endsAt).Milliseconds()
+			listed.LeavesInMs = time.Until(instance.stopsAt).Milliseconds()
 		}
 		list.Instances = append(list.Instances, listed)
 	}
 	writeJSON(response, list)
 }
 
-func (c *Cloud) release(request *restful.Request, response *restful.Response) {
+func (c *Cloud) handleRelease(request *restful.Request, response *restful.Response) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, instance := range c.instances {
 		if instance.ID == request.PathParameter("id") {
-			c.notice(instance)
+			c.giveNotice(instance)
 		}
 	}
 	response.WriteHeader(http.StatusAccepted)
@@ -210,26 +220,27 @@
 	defer c.mu.Unlock()
 	for _, instance := range c.instances {
 		if instance.DataCentre == dataCentre && !instance.OnDemand {
-			c.notice(instance)
+			c.giveNotice(instance)
 		}
 	}
 }
 
-func (c *Cloud) notice(instance *cloudInstance) {
+func (c *Cloud) giveNotice(instance *instanceState) {
 	if instance.Noticed {
 		return
 	}
 	instance.Noticed = true
-	instance.endsAt = time.Now().Add(c.Notice)
-	instance.notify()
+	instance.stopsAt = time.Now().Add(c.Notice)
+	instance.cancel()
 }
 
-// play runs the instance's engine until its notice has passed.
-func (c *Cloud) play(ctx context.Context, instance *cloudInstance) {
+// runInstance boots the instance and runs its engine until the notice period has
+// passed after ctx ended.
+func (c *Cloud) runInstance(ctx context.Context, instance *instanceState) {
 	defer func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		instance.ended = true
+		instance.stopped = true
 	}()
 	select {
 	case <-ctx.Done():
@@ -240,10 +251,10 @@
 	if err != nil {
 		return
 	}
-	_ = c.host(ctx, instance, listener).Run(ctx)
+	_ = c.newHost(ctx, instance, listener).Run(ctx)
 }
 
-func (c *Cloud) host(ctx context.Context, instance *cloudInstance, listener net.Listener) *Host {
+func (c *Cloud) newHost(ctx context.Context, instance *instanceState, listener net.Listener) *Host {
 	engine := &Engine{
 		Options: EngineOptions{
 			Model:          instance.request.Model,
--- a/src/standin/doc.go
+++ b/src/standin/doc.go
@@ -1,5 +1,5 @@
-// Package standin stands in for the systems that rosecroft serves, in tests and demonstrations.
+// Package standin simulates the systems that rosecroft serves, for tests and demonstrations.
 //
-// It plays a model engine, a plain service and the platform's cloud API over
-// their published protocols, and keeps a ledger of what really ran.
+// It simulates a model engine, a plain service and the platform's cloud API over
+// their published protocols, and records which calls actually ran.
 package standin
--- a/src/standin/engine.go
+++ b/src/standin/engine.go
@@ -9,32 +9,35 @@
 	"time"
 )
 
-// lingerFor is how long a sequence waits for a reader to come back, so that a
-// stream can go on over another connection.
-const lingerFor = time.Second
+// orphanTimeout is how long a sequence without a reader is kept, so that its
+// stream can be resumed over another connection.
+const orphanTimeout = time.Second
 
-var errEnded = errors.New("the sequence was cancelled")
+var errCancelled = errors.New("the sequence was cancelled")
 
-// EngineOptions describes one model engine.
+// EngineOptions configures a model engine.
 type EngineOptions struct {
 	Model        string
 	ModelVersion string
 	// Slots is how many sequences run at once.
 	Slots int
-	Step  time.Duration
+	// Step is the duration of one step.
+	Step time.Duration
 	// PrefillPerStep is how many prompt tokens one step computes.
 	PrefillPerStep int
-	// CacheBlocks bounds the prefix cache.
+	// CacheBlocks is the capacity of the prefix cache.
 	CacheBlocks int
-	// KVBytesPerToken and KVBytesPerSecond say what an export costs.
+	// KVBytesPerToken and KVBytesPerSecond determine the size and the duration of
+	// a KV cache export.
 	KVBytesPerToken  int
 	KVBytesPerSecond int
 }
 
-// Engine batches sequences continuously; one step gives each running one a token.
+// Engine simulates an engine with continuous batching: each step generates one
+// token for every running sequence whose prefill is done.
 type Engine struct {
 	Options EngineOptions
-	// Journal keeps what was computed again; it may be nil.
+	// Journal records recomputed tokens; it may be nil.
 	Journal *Journal
 
 	mu        sync.Mutex
@@ -42,16 +45,17 @@
 	running   []*sequence
 	sequences map[string]*sequence
 	cache     prefixCache
-	imports   map[string]imported
-	// linkFree is when the link that exports KV cache is free again.
-	linkFree time.Time
-	work     Work
+	imports   map[string]kvImport
+	// linkFreeAt is when the link over which KV cache is exported will be idle.
+	linkFreeAt time.Time
+	work       WorkCounts
 }
 
-// Work counts what an engine computed, in tokens.
-type Work struct {
-	// Prefilled counts all prompt tokens computed, Recomputed those that had
-	// been computed before for the same call.
+// WorkCounts counts an engine's work in tokens, except for Cancelled, which counts
+// sequences.
+type WorkCounts struct {
+	// Prefilled counts all prompt tokens computed; Recomputed counts those of calls
+	// that an earlier attempt may already have computed.
 	Prefilled  int `json:"prefilled"`
 	Recomputed int `json:"recomputed"`
 	Generated  int `json:"generated"`
@@ -60,20 +64,20 @@
 	Cancelled  int `json:"cancelled"`
 }
 
-// Prompt is what a sequence starts from.
+// Prompt is the input of a sequence.
 type Prompt struct {
 	Call     string
 	Attempt  int
 	Priority int
 	Seed     string
 	Text     string
-	// Continued is text generated elsewhere, of Offset tokens.
+	// Continued is text of Offset tokens that another engine generated.
 	Continued string
 	Offset    int
-	Most      int
+	MaxTokens int
 }
 
-// Run steps until ctx ends.
+// Run executes steps until ctx ends.
 func (e *Engine) Run(ctx context.Context) {
 	e.mu.Lock()
 	e.init()
@@ -95,72 +99,75 @@
 		return
 	}
 	e.sequences = make(map[string]*sequence)
-	e.imports = make(map[string]imported)
-	e.cache.most = e.Options.CacheBlocks
+	e.imports = make(map[string]kvImport)
+	e.cache.maxBlocks = e.Options.CacheBlocks
 }
 
-// Start queues a sequence, or returns the one that the call already has here;
-// begun says which.
-func (e *Engine) Start(prompt Prompt) (s *sequence, begun bool) {
+// Start queues a new sequence, or attaches a reader to the one that the call
+// already has in this engine. started reports whether the sequence is new.
+func (e *Engine) Start(prompt Prompt) (s *sequence, started bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.init()
-	if known := e.sequences[prompt.Call]; known != nil && known.generated >= prompt.Offset {
-		known.readers++
-		return known, false
+	if existing := e.sequences[prompt.Call]; existing != nil && existing.generated >= prompt.Offset {
+		existing.readers++
+		return existing, false
 	}
 	s = newSequence(e.Options.ModelVersion, prompt)
-	s.prefill = e.uncached(s)
+	s.prefillLeft = e.uncachedTokens(s)
 	e.sequences[prompt.Call] = s
 	e.queue = append(e.queue, s)
-	// Priority 0 goes first; equal priorities keep their order.
+	// Priority 0 runs first; equal priorities keep their order of arrival.
 	slices.SortStableFunc(e.queue, func(a, b *sequence) int { return cmp.Compare(a.priority, b.priority) })
 	return s, true
 }
 
-// uncached returns the tokens of a sequence that are not cached now; the lock is held.
-func (e *Engine) uncached(s *sequence) int {
-	cached := e.cache.hit(s.blocks) * blockBytes / bytesPerToken
-	return max(0, s.context()-cached)
+// uncachedTokens returns how many of a sequence's tokens are not cached now; the
+// caller holds the lock.
+func (e *Engine) uncachedTokens(s *sequence) int {
+	cached := e.cache.lookup(s.blocks) * blockBytes / bytesPerToken
+	return max(0, s.contextTokens()-cached)
 }
 
-// schedule looks up what a sequence must compute, at the moment when its turn
-// comes: what others computed while it waited is cached by then.
+// schedule determines how many tokens a sequence must prefill. It runs when the
+// sequence leaves the queue rather than when it arrives, since others may have
+// filled the cache while it waited.
 func (e *Engine) schedule(s *sequence) {
 	s.scheduled = true
-	s.prefill = min(e.uncached(s), max(0, s.context()-e.takeImport(s.call)))
-	e.work.Prefilled += s.prefill
-	if !s.again {
+	s.prefillLeft = min(e.uncachedTokens(s), max(0, s.contextTokens()-e.takeImport(s.call)))
+	e.work.Prefilled += s.prefillLeft
+	if !s.retried {
 		return
 	}
-	e.work.Recomputed += s.prefill
+	e.work.Recomputed += s.prefillLeft
 	e.Journal.Write(Line{
-		Happening: Recomputed,
-		Call:      s.call,
-		Tokens:    s.prefill,
+		Kind:   TokensRecomputed,
+		Call:   s.call,
+		Tokens: s.prefillLeft,
 	})
 }
 
-// compute spends prefill budget on a sequence and returns what is left of it.
-func (e *Engine) compute(s *sequence, budget int) int {
-	done := min(budget, s.prefill)
-	s.prefill -= done
-	computed := min(len(s.blocks), (s.context()-s.prefill)*bytesPerToken/blockBytes)
-	if computed > s.cached {
-		e.cache.add(s.blocks[s.cached:computed])
-		s.cached = computed
+// prefill spends up to budget prompt tokens on a sequence, adds the blocks that
+// are complete to the cache, and returns the remaining budget.
+func (e *Engine) prefill(s *sequence, budget int) int {
+	tokens := min(budget, s.prefillLeft)
+	s.prefillLeft -= tokens
+	computed := min(len(s.blocks), (s.contextTokens()-s.prefillLeft)*bytesPerToken/blockBytes)
+	if computed > s.cachedBlocks {
+		e.cache.add(s.blocks[s.cachedBlocks:computed])
+		s.cachedBlocks = computed
 	}
-	return budget - done
+	return budget - tokens
 }
 
-// Runs reports whether the call has a sequence here.
-func (e *Engine) Runs(call string) bool {
+// HasSequence reports whether the call has a sequence in this engine.
+func (e *Engine) HasSequence(call string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.sequences[call] != nil
 }
 
-// Detach takes a reader away; a sequence without one is kept for a while.
+// Detach removes a reader; a sequence without readers is kept for orphanTimeout.
 func (e *Engine) Detach(s *sequence, now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -170,41 +177,42 @@
 	}
 }
 
-// Cancel ends the call's sequence at once.
+// Cancel discards the call's sequence at once.
 func (e *Engine) Cancel(call string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if s := e.sequences[call]; s != nil {
-		e.end(s)
+		e.discard(s)
 	}
 }
 
-// end takes a sequence away; the lock is held.
-func (e *Engine) end(s *sequence) {
-	if !s.finished() {
+// discard removes a sequence and wakes its readers; the caller holds the lock.
+func (e *Engine) discard(s *sequence) {
+	if !s.isFinished() {
 		e.work.Cancelled++
 	}
 	s.cancelled = true
-	s.wake()
+	s.wakeReaders()
 	delete(e.sequences, s.call)
 }
 
-// Work returns what the engine computed so far.
-func (e *Engine) Work() Work {
+// Work returns the engine's counts so far.
+func (e *Engine) Work() WorkCounts {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.work
 }
 
-// Load returns the counts of running and queued sequences and of prompt tokens to compute.
+// Load returns the number of running and of queued sequences, and the prompt
+// tokens that they still have to compute.
 func (e *Engine) Load() (running, queued, tokens int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, s := range e.queue {
-		tokens += s.prefill
+		tokens += s.prefillLeft
 	}
 	for _, s := range e.running {
-		tokens += s.prefill
+		tokens += s.prefillLeft
 	}
 	return len(e.running), len(e.queue), tokens
 }
@@ -213,8 +221,8 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, s := range e.sequences {
-		if s.readers == 0 && now.Sub(s.orphanedAt) > lingerFor {
-			e.end(s)
+		if s.readers == 0 && now.Sub(s.orphanedAt) > orphanTimeout {
+			e.discard(s)
 		}
 	}
 	e.queue = slices.DeleteFunc(e.queue, func(s *sequence) bool { return s.cancelled })
@@ -230,43 +238,44 @@
 		if !s.scheduled {
 			e.schedule(s)
 		}
-		if s.prefill > 0 {
-			budget = e.compute(s, budget)
+		if s.prefillLeft > 0 {
+			budget = e.prefill(s, budget)
 			continue
 		}
-		e.generate(s)
+		e.generateToken(s)
 	}
 	e.running = slices.DeleteFunc(e.running, func(s *sequence) bool {
-		return s.cancelled || s.finished()
+		return s.cancelled || s.isFinished()
 	})
 }
 
-func (e *Engine) generate(s *sequence) {
-	if s.cancelled || s.finished() {
+func (e *Engine) generateToken(s *sequence) {
+	if s.cancelled || s.isFinished() {
 		return
 	}
-	if s.generated == s.offset {
-		// Marks the blocks as used; those that were cached before count too.
+	if s.generated == s.startOffset {
+		// Marks all blocks as recently used, also those that were cached before.
 		e.cache.add(s.blocks)
 	}
 	s.generated++
 	e.work.Generated++
-	s.wake()
+	s.wakeReaders()
 }
 
-// wait blocks until the sequence has more than have tokens or is at its end.
-func (e *Engine) wait(ctx context.Context, s *sequence, have int) (generated int, err error) {
+// waitForTokens blocks until the sequence has more than have tokens, is finished
+// or is cancelled.
+func (e *Engine) waitForTokens(ctx context.Context, s *sequence, have int) (generated int, err error) {
 	for {
 		e.mu.Lock()
 		generated, changed := s.generated, s.changed
-		ended := s.finished()
+		finished := s.isFinished()
 		cancelled := s.cancelled
 		e.mu.Unlock()
 		switch {
-		case generated > have || ended:
+		case generated > have || finished:
 			return generated, nil
 		case cancelled:
-			return generated, errEnded
+			return generated, errCancelled
 		}
 		select {
 		case <-changed:
--- a/src/standin/faults.go
+++ b/src/standin/faults.go
@@ -11,38 +11,44 @@
 	"github.com/emicklei/go-restful/v3"
 )
 
-// Fault says how an upstream misbehaves; it is put to /faults as JSON.
-type Fault struct {
-	// Silence makes every connection that is open now silent for good; new ones work.
+// FaultSettings configures how an upstream misbehaves. Tests set it by a PUT of
+// JSON to /faults.
+type FaultSettings struct {
+	// Silence permanently stops answers on every connection that is open now; new
+	// connections work.
 	Silence bool `json:"silence"`
-	// CutAfter ends each stream after so many tokens without its final marker, 0 never.
+	// CutAfter ends each stream after this many tokens without its final marker; 0
+	// disables it.
 	CutAfter int `json:"cut-after"`
-	// Cross answers with another call's id.
+	// Cross sends another call's id with each answer.
 	Cross bool `json:"cross"`
-	// Truncate ends each whole answer half-way.
+	// Truncate ends each non-streamed answer half-way.
 	Truncate bool `json:"truncate"`
-	// DelayMS holds each answer back, in milliseconds.
+	// DelayMS delays each answer, in milliseconds.
 	DelayMS int `json:"delay-ms"`
-	// Refuse answers 503 and says that nothing ran.
+	// Refuse answers 503 with the header that says that the call was not executed.
 	Refuse bool `json:"refuse"`
-	// AcceptLeaving takes new calls after the notice, as an engine does that
-	// leaves it to others to stop sending.
+	// AcceptLeaving accepts new calls after the notice, like an engine that relies
+	// on its clients to stop sending.
 	AcceptLeaving bool `json:"accept-leaving"`
-	// Fail answers 500 after the call ran.
+	// Fail answers 500 after the call has run.
 	Fail bool `json:"fail"`
 }
 
-// Faults holds what an upstream was told to do wrong.
+// Faults holds the fault settings of one upstream.
 type Faults struct {
-	mu          sync.Mutex
-	current     Fault
+	mu      sync.Mutex
+	current FaultSettings
+	// connections is the number given to the latest connection; connections up to
+	// lastSilent get no answers.
 	connections int
-	silentUpTo  int
+	lastSilent  int
 }
 
 type connectionKey struct{}
 
-// Number gives each connection its number; it is an http.Server's ConnContext.
+// Number stores a connection's number in its context; it serves as an
+// http.Server's ConnContext.
 func (f *Faults) Number(ctx context.Context, _ net.Conn) context.Context {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -50,30 +56,30 @@
 	return context.WithValue(ctx, connectionKey{}, f.connections)
 }
 
-// Current returns the faults in force.
-func (f *Faults) Current() Fault {
+// Current returns the settings in force.
+func (f *Faults) Current() FaultSettings {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.current
 }
 
-// hush blocks for good on a connection that has gone silent.
-func (f *Faults) hush(ctx context.Context) {
+// blockIfSilent blocks until ctx ends where the connection has been silenced.
+func (f *Faults) blockIfSilent(ctx context.Context) {
 	number, _ := ctx.Value(connectionKey{}).(int)
 	f.mu.Lock()
-	silent := number <= f.silentUpTo && number > 0
+	silent := number <= f.lastSilent && number > 0
 	f.mu.Unlock()
 	if silent {
 		<-ctx.Done()
 	}
 }
 
-// delay holds an answer back where that is asked for.
+// delay waits for DelayMS.
 func (f *Faults) delay(ctx context.Context) {
-	_ = pause(ctx, time.Duration(f.Current().DelayMS)*time.Millisecond)
+	_ = sleep(ctx, time.Duration(f.Current().DelayMS)*time.Millisecond)
 }
 
-// answerID returns the id to answer a call with.
+// answerID returns the call id that the answer carries.
 func (f *Faults) answerID(call string) string {
 	if f.Current().Cross {
 		return "crossed-" + call
@@ -81,17 +87,18 @@
 	return call
 }
 
-// Service returns the route that puts faults in force.
+// Service returns the route that sets the faults.
 func (f *Faults) Service() *restful.WebService {
 	service := new(restful.WebService)
 	service.Path("/faults")
-	service.Route(service.PUT("").To(f.set))
+	service.Route(service.PUT("").To(f.handlePut))
 	return service
 }
 
-// set puts faults in force; the connection that asks keeps working once.
-func (f *Faults) set(request *restful.Request, response *restful.Response) {
-	next := Fault{}
+// handlePut sets the faults. Silence applies to the requesting connection too, so
+// that the answer closes it.
+func (f *Faults) handlePut(request *restful.Request, response *restful.Response) {
+	next := FaultSettings{}
 	if err := json.NewDecoder(request.Request.Body).Decode(&next); err != nil {
 		http.Error(response, err.Error(), http.StatusBadRequest)
 		return
@@ -99,7 +106,7 @@
 	f.mu.Lock()
 	f.current = next
 	if next.Silence {
-		f.silentUpTo = f.connections
+		f.lastSilent = f.connections
 	}
 	f.mu.Unlock()
 	response.AddHeader("Connection", "close")
--- a/src/standin/host.go
+++ b/src/standin/host.go
@@ -18,29 +18,30 @@
 )
 
 const (
-	announceEvery   = 200 * time.Millisecond
-	announceTimeout = 500 * time.Millisecond
-	headerTimeout   = 5 * time.Second
-	// idleTicks is how many announcements long a leaving upstream must have
-	// been idle to stop before its time.
-	idleTicks = 3
+	announceInterval = 200 * time.Millisecond
+	announceTimeout  = 500 * time.Millisecond
+	headerTimeout    = 5 * time.Second
+	// idleAnnouncements is the number of consecutive announcements without an active
+	// request after which a leaving upstream stops before its notice has passed.
+	idleAnnouncements = 3
 )
 
-// Host runs one upstream: its HTTP server, its announcements and its leaving.
+// Host runs one upstream: its HTTP server, its announcements and its shutdown.
 type Host struct {
 	Listener net.Listener
-	// Source is the certificate to serve and announce with; nil for plain connections.
+	// Source is the certificate used for serving and announcing; nil for plain connections.
 	Source *certifier.Source
-	// Entries are the base URLs that take announcements.
+	// Entries are the base URLs to which announcements are sent.
 	Entries []string
-	// About is the announcement's constant part.
+	// About holds the constant fields of each announcement.
 	About    *messages.Announcement
 	Services []*restful.WebService
 	Ledger   *Ledger
 	Faults   *Faults
-	// CacheEvents returns what to tell entries of the prefix cache; it may be nil.
+	// CacheEvents returns the prefix cache events to send to the entries, or nil
+	// where there are none; it may be nil.
 	CacheEvents func() *messages.CacheEvents
-	// Describe adds what changes to the announcement; it may be nil.
+	// Describe sets the variable fields of an announcement; it may be nil.
 	Describe func(*messages.Announcement)
 	// Load returns the load to announce; it may be nil.
 	Load func() *messages.Load
@@ -49,24 +50,24 @@
 	// Notice is the time between the notice and the stop.
 	Notice time.Duration
 
-	sequence uint64
-	active   atomic.Int64
-	leavesAt time.Time
-	client   *http.Client
+	sequence       uint64
+	activeRequests atomic.Int64
+	leavesAt       time.Time
+	client         *http.Client
 }
 
-// Run serves until ctx ends, which is the platform's notice, and then until the notice has passed.
+// Run serves until ctx ends, which is the platform's notice, and then drains.
 func (h *Host) Run(ctx context.Context) error {
 	container := restful.NewContainer()
-	own := new(restful.WebService)
-	own.Path("/ledger")
-	own.Route(own.GET("").To(func(_ *restful.Request, response *restful.Response) {
+	ledger := new(restful.WebService)
+	ledger.Path("/ledger")
+	ledger.Route(ledger.GET("").To(func(_ *restful.Request, response *restful.Response) {
 		writeJSON(response, h.Ledger.Runs())
 	}))
-	container.Add(own)
+	container.Add(ledger)
 	container.Add(h.Faults.Service())
 	container.DoNotRecover(true)
-	container.Filter(h.count)
+	container.Filter(h.countActive)
 	for _, service := range h.Services {
 		container.Add(service)
 	}
@@ -93,22 +94,23 @@
 		return err
 	default:
 	}
-	h.Ledger.Journal.Write(Line{Happening: LeavingBegan})
+	h.Ledger.Journal.Write(Line{Kind: NoticeReceived})
 	h.Leave()
-	h.leave(context.WithoutCancel(ctx))
+	h.drain(context.WithoutCancel(ctx))
 	return server.Close()
 }
 
-// leave serves on until the notice has passed or nothing runs here any more:
-// what runs is read, and its KV cache fetched, over new connections too.
-func (h *Host) leave(ctx context.Context) {
+// drain continues to serve until the notice has passed or the upstream is idle.
+// New connections are still accepted, since running streams may be resumed and
+// their KV cache fetched over them.
+func (h *Host) drain(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, h.Notice)
 	defer cancel()
-	ticker := time.NewTicker(announceEvery)
+	ticker := time.NewTicker(announceInterval)
 	defer ticker.Stop()
-	for idle := 0; idle < idleTicks; idle++ {
+	for idle := 0; idle < idleAnnouncements; idle++ {
 		h.announce(ctx, true)
-		if h.active.Load() > 0 {
+		if h.activeRequests.Load() > 0 {
 			idle = 0
 		}
 		select {
@@ -119,15 +121,15 @@
 	}
 }
 
-// count counts the requests under way.
-func (h *Host) count(request *restful.Request, response *restful.Response, chain *restful.FilterChain) {
-	h.active.Add(1)
-	defer h.active.Add(-1)
+// countActive is a filter that counts the requests in progress.
+func (h *Host) countActive(request *restful.Request, response *restful.Response, chain *restful.FilterChain) {
+	h.activeRequests.Add(1)
+	defer h.activeRequests.Add(-1)
 	chain.ProcessFilter(request, response)
 }
 
 func (h *Host) announceUntil(ctx context.Context) {
-	ticker := time.NewTicker(announceEvery)
+	ticker := time.NewTicker(announceInterval)
 	defer ticker.Stop()
 	for {
 		h.announce(ctx, false)
@@ -141,32 +143,32 @@
 
 func (h *Host) announce(ctx context.Context, leaving bool) {
 	h.sequence++
-	next := proto.CloneOf(h.About)
-	next.Sequence = h.sequence
-	next.Leaving = leaving
+	announcement := proto.CloneOf(h.About)
+	announcement.Sequence = h.sequence
+	announcement.Leaving = leaving
 	if h.Describe != nil {
-		h.Describe(next)
+		h.Describe(announcement)
 	}
 	if leaving && h.leavesAt.IsZero() {
 		h.leavesAt = time.Now().Add(h.Notice)
 	}
 	if leaving {
-		next.LeavingWithinMs = time.Until(h.leavesAt).Milliseconds()
+		announcement.LeavingWithinMs = time.Until(h.leavesAt).Milliseconds()
 	}
 	if h.Load != nil {
-		next.Load = h.Load()
+		announcement.Load = h.Load()
 	}
-	content, err := protojson.Marshal(next)
+	content, err := protojson.Marshal(announcement)
 	if err != nil {
 		return
 	}
 	for _, entry := range h.Entries {
-		h.send(ctx, entry+"/v1/announcements", content)
+		h.post(ctx, entry+"/v1/announcements", content)
 	}
-	h.tellCache(ctx)
+	h.sendCacheEvents(ctx)
 }
 
-func (h *Host) tellCache(ctx context.Context) {
+func (h *Host) sendCacheEvents(ctx context.Context) {
 	if h.CacheEvents == nil {
 		return
 	}
@@ -181,11 +183,11 @@
 		return
 	}
 	for _, entry := range h.Entries {
-		h.send(ctx, entry+"/v1/cache-events", content)
+		h.post(ctx, entry+"/v1/cache-events", content)
 	}
 }
 
-func (h *Host) send(ctx context.Context, url string, content []byte) {
+func (h *Host) post(ctx context.Context, url string, content []byte) {
 	ctx, cancel := context.WithTimeout(ctx, announceTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(content))
--- a/src/standin/journal.go
+++ b/src/standin/journal.go
@@ -13,32 +13,32 @@
 
 const journalMode = 0o600
 
-// Happening is a kind of journal line.
-type Happening string
+// EventKind is the kind of event in a journal line.
+type EventKind string
 
-// What a journal tells.
+// The kinds of events.
 const (
-	// Started means that the upstream began to run a call.
-	Started Happening = "started"
-	// Recomputed means that tokens were computed again for a stream that went on.
-	Recomputed Happening = "recomputed"
-	// LeavingBegan means that the upstream got its notice.
-	LeavingBegan Happening = "leaving"
+	// CallStarted records that the upstream started to run a call.
+	CallStarted EventKind = "started"
+	// TokensRecomputed records tokens computed again for a call that was retried or resumed.
+	TokensRecomputed EventKind = "recomputed"
+	// NoticeReceived records that the upstream received its notice.
+	NoticeReceived EventKind = "leaving"
 )
 
 // Line is one line of a journal.
 type Line struct {
-	At        time.Time `json:"at"`
-	Upstream  string    `json:"upstream"`
-	Happening Happening `json:"happening"`
-	Call      string    `json:"call,omitempty"`
-	// Reference is the caller's own number of the call.
+	At       time.Time `json:"at"`
+	Upstream string    `json:"upstream"`
+	Kind     EventKind `json:"happening"`
+	Call     string    `json:"call,omitempty"`
+	// Reference is the caller's own identifier of the call.
 	Reference string `json:"reference,omitempty"`
 	Tokens    int    `json:"tokens,omitempty"`
 }
 
-// Journal appends what happens at an upstream to a file, which outlives the
-// process: the operating system keeps what was written by one that is killed.
+// Journal appends an upstream's events to a file. Each line is written at once, so
+// that the file is complete even if the process is killed.
 type Journal struct {
 	Upstream string
 
@@ -58,7 +58,8 @@
 	}, nil
 }
 
-// Write appends a line with its time and the upstream's name; a nil journal takes none.
+// Write appends a line with the current time and the upstream's name; a nil
+// journal discards it.
 func (j *Journal) Write(line Line) {
 	if j == nil {
 		return
@@ -74,7 +75,8 @@
 	_, _ = j.file.Write(append(content, '\n'))
 }
 
-// ReadJournal returns the lines of a journal. A last line that a kill cut short is left out.
+// ReadJournal returns the lines of a journal. An incomplete last line, which a
+// killed process may leave, is ignored.
 func ReadJournal(path string) ([]Line, error) {
 	file, err := os.Open(path)
 	if err != nil {
--- a/src/standin/ledger.go
+++ b/src/standin/ledger.go
@@ -5,19 +5,19 @@
 	"sync"
 )
 
-// Ledger is the ground truth: how often each call ran.
+// Ledger counts how often each call actually ran.
 type Ledger struct {
-	// Journal keeps the runs over the process's end; it may be nil.
+	// Journal records the runs on disk, so that they outlive the process; it may be nil.
 	Journal *Journal
 
 	mu   sync.Mutex
 	runs map[string]int
 }
 
-// Ran counts one run of a call; reference is the caller's own number of it.
-func (l *Ledger) Ran(call, reference string) {
+// RecordRun counts one run of a call; reference is the caller's own identifier of it.
+func (l *Ledger) RecordRun(call, reference string) {
 	l.Journal.Write(Line{
-		Happening: Started,
+		Kind:      CallStarted,
 		Call:      call,
 		Reference: reference,
 	})
