--- a/src/standin/model.go
+++ b/src/standin/model.go
@@ -24,7 +24,7 @@
 	headerExecuted     = "Rosecroft-Executed"
 	headerModelVersion = "Rosecroft-Model-Version"
 	headerLastEvent    = "Last-Event-ID"
-	// headerReference is a caller's own header, which entries pass on.
+	// headerReference is set by callers; entries forward it unchanged.
 	headerReference = "X-Reference"
 )
 
@@ -33,11 +33,11 @@
 	Engine *Engine
 	Ledger *Ledger
 	Faults *Faults
-	// Client reaches other engines; nil stands for the default one.
+	// Client is used to fetch KV cache from other engines; nil means http.DefaultClient.
 	Client *http.Client
 	// Leaving makes the server refuse new calls.
 	Leaving atomic.Bool
-	// Loading makes the server refuse calls until a model is loaded.
+	// Loading makes the server refuse new calls until a model is loaded.
 	Loading atomic.Bool
 }
 
@@ -89,15 +89,15 @@
 
 const defaultMaxTokens = 256
 
-// Services returns the engine's routes.
+// Services returns the engine's routes, including /work for its counts.
 func (m *ModelServer) Services() []*restful.WebService {
 	service := new(restful.WebService)
 	service.Path("/v1")
-	service.Route(service.POST("/chat/completions").To(m.complete))
-	service.Route(service.POST("/completions").To(m.complete))
-	service.Route(service.DELETE("/calls/{call}").To(m.cancel))
-	service.Route(service.GET("/kv/{call}").To(m.exportKV))
-	service.Route(service.POST("/kv").To(m.importKV))
+	service.Route(service.POST("/chat/completions").To(m.handleCompletion))
+	service.Route(service.POST("/completions").To(m.handleCompletion))
+	service.Route(service.DELETE("/calls/{call}").To(m.handleCancel))
+	service.Route(service.GET("/kv/{call}").To(m.handleExport))
+	service.Route(service.POST("/kv").To(m.handleImport))
 	work := new(restful.WebService)
 	work.Path("/work")
 	work.Route(work.GET("").To(func(_ *restful.Request, response *restful.Response) {
@@ -106,20 +106,20 @@
 	return []*restful.WebService{service, work}
 }
 
-func (m *ModelServer) cancel(request *restful.Request, response *restful.Response) {
+func (m *ModelServer) handleCancel(request *restful.Request, response *restful.Response) {
 	m.Engine.Cancel(request.PathParameter("call"))
 	response.WriteHeader(http.StatusNoContent)
 }
 
-func (m *ModelServer) complete(request *restful.Request, response *restful.Response) {
+func (m *ModelServer) handleCompletion(request *restful.Request, response *restful.Response) {
 	call := request.HeaderParameter(headerCall)
 	if call == "" {
 		call = uuid.NewString()
 	}
 	ctx := request.Request.Context()
 	body := &completionRequest{}
-	decoded := json.NewDecoder(request.Request.Body).Decode(body)
-	m.Faults.hush(ctx)
+	decodeErr := json.NewDecoder(request.Request.Body).Decode(body)
+	m.Faults.blockIfSilent(ctx)
 	m.Faults.delay(ctx)
 	response.AddHeader(headerCall, m.Faults.answerID(call))
 	response.AddHeader(headerModelVersion, m.Engine.Version())
@@ -127,36 +127,36 @@
 		refuse(response, "this engine was told to refuse")
 		return
 	}
-	if decoded != nil {
+	if decodeErr != nil {
 		response.AddHeader(headerExecuted, "no")
-		http.Error(response, decoded.Error(), http.StatusBadRequest)
+		http.Error(response, decodeErr.Error(), http.StatusBadRequest)
 		return
 	}
-	prompt, err := m.prompt(request, call, body)
+	prompt, err := m.parsePrompt(request, call, body)
 	if err != nil {
 		refuse(response, err.Error())
 		return
 	}
-	// A call that runs here already may be read again while the engine leaves.
+	// A call that already runs here may still be resumed while the engine leaves.
 	leaving := m.Leaving.Load() && !m.Faults.Current().AcceptLeaving
-	if (leaving || m.Loading.Load()) && !m.Engine.Runs(call) {
+	if (leaving || m.Loading.Load()) && !m.Engine.HasSequence(call) {
 		refuse(response, "this engine is leaving")
 		return
 	}
-	sequence, begun := m.Engine.Start(prompt)
+	sequence, started := m.Engine.Start(prompt)
 	defer func() { m.Engine.Detach(sequence, time.Now()) }()
-	if begun {
-		m.Ledger.Ran(call, request.HeaderParameter(headerReference))
+	if started {
+		m.Ledger.RecordRun(call, request.HeaderParameter(headerReference))
 	}
 	chat := strings.HasSuffix(request.Request.URL.Path, "/chat/completions")
 	if body.Stream {
-		m.stream(ctx, response, sequence, prompt.Offset, chat, body.StreamOptions.IncludeUsage)
+		m.writeStream(ctx, response, sequence, prompt.Offset, chat, body.StreamOptions.IncludeUsage)
 		return
 	}
-	m.whole(ctx, response, sequence, chat)
+	m.writeCompletion(ctx, response, sequence, chat)
 }
 
-func (m *ModelServer) prompt(request *restful.Request, call string, body *completionRequest) (Prompt, error) {
+func (m *ModelServer) parsePrompt(request *restful.Request, call string, body *completionRequest) (Prompt, error) {
 	text := body.Prompt
 	for _, message := range body.Messages {
 		text += message.Role + "\n" + message.Content + "\n"
@@ -166,57 +166,57 @@
 		Seed:      strconv.FormatUint(rand.Uint64(), 16),
 		Text:      text,
 		Continued: body.ContinueText,
-		Most:      body.MaxTokens,
+		MaxTokens: body.MaxTokens,
 	}
 	if body.Seed != nil {
 		prompt.Seed = string(*body.Seed)
 	}
-	// At temperature 0 nothing is drawn, so that no seed counts.
+	// At temperature 0 generation is deterministic, so that the seed has no effect.
 	if body.Temperature != nil && *body.Temperature == 0 {
 		prompt.Seed = ""
 	}
 	prompt.Attempt, _ = strconv.Atoi(request.HeaderParameter(headerAttempt))
 	prompt.Priority, _ = strconv.Atoi(request.HeaderParameter(headerPriority))
-	if prompt.Most <= 0 {
-		prompt.Most = defaultMaxTokens
+	if prompt.MaxTokens <= 0 {
+		prompt.MaxTokens = defaultMaxTokens
 	}
-	last := request.HeaderParameter(headerLastEvent)
-	if last == "" {
+	lastEvent := request.HeaderParameter(headerLastEvent)
+	if lastEvent == "" {
 		return prompt, nil
 	}
 	if request.HeaderParameter(headerModelVersion) != m.Engine.Version() {
-		return prompt, errors.New("the stream began with another model version")
+		return prompt, errors.New("the stream was started with another model version")
 	}
-	offset, err := strconv.Atoi(last)
+	offset, err := strconv.Atoi(lastEvent)
 	if err != nil {
-		return prompt, fmt.Errorf("the last event's id is no offset: %w", err)
+		return prompt, fmt.Errorf("the last event's id is not a token offset: %w", err)
 	}
 	prompt.Offset = offset
 	return prompt, nil
 }
 
-func (m *ModelServer) stream(ctx context.Context, response *restful.Response, s *sequence, have int, chat, withUsage bool) {
+func (m *ModelServer) writeStream(ctx context.Context, response *restful.Response, s *sequence, sent int, chat, includeUsage bool) {
 	response.AddHeader("Content-Type", "text/event-stream")
 	response.WriteHeader(http.StatusOK)
 	response.Flush()
-	began := have
-	for have < s.most {
-		generated, err := m.Engine.wait(ctx, s, have)
+	first := sent
+	for sent < s.maxTokens {
+		generated, err := m.Engine.waitForTokens(ctx, s, sent)
 		if err != nil {
 			return
 		}
-		for ; have < generated; have++ {
-			cut := m.Faults.Current().CutAfter
-			if cut > 0 && have-began >= cut {
+		for ; sent < generated; sent++ {
+			cutAfter := m.Faults.Current().CutAfter
+			if cutAfter > 0 && sent-first >= cutAfter {
 				return
 			}
-			content, _ := json.Marshal(m.chunk(s, have, chat))
-			m.Faults.hush(ctx)
-			_, _ = fmt.Fprintf(response, "id: %d\ndata: %s\n\n", have+1, content)
+			content, _ := json.Marshal(m.chunk(s, sent, chat))
+			m.Faults.blockIfSilent(ctx)
+			_, _ = fmt.Fprintf(response, "id: %d\ndata: %s\n\n", sent+1, content)
 		}
 		response.Flush()
 	}
-	if withUsage {
+	if includeUsage {
 		content, _ := json.Marshal(&completion{
 			ID:      m.Faults.answerID(s.call),
 			Object:  "chat.completion.chunk",
@@ -224,7 +224,7 @@
 			Choices: []choice{},
 			Usage:   s.usage(),
 		})
-		_, _ = fmt.Fprintf(response, "id: %d\ndata: %s\n\n", have, content)
+		_, _ = fmt.Fprintf(response, "id: %d\ndata: %s\n\n", sent, content)
 	}
 	_, _ = fmt.Fprint(response, "data: [DONE]\n\n")
 	response.Flush()
@@ -232,66 +232,66 @@
 
 func (s *sequence) usage() *usage {
 	return &usage{
-		PromptTokens:     s.prompt,
-		CompletionTokens: s.most,
-		TotalTokens:      s.prompt + s.most,
+		PromptTokens:     s.promptTokens,
+		CompletionTokens: s.maxTokens,
+		TotalTokens:      s.promptTokens + s.maxTokens,
 	}
 }
 
 func (m *ModelServer) chunk(s *sequence, index int, chat bool) *completion {
-	part := choice{}
+	only := choice{}
 	if chat {
-		part.Delta = &message{
+		only.Delta = &message{
 			Content: s.token(index),
 		}
 	} else {
-		part.Text = s.token(index)
+		only.Text = s.token(index)
 	}
-	if index == s.most-1 {
-		part.FinishReason = finished()
+	if index == s.maxTokens-1 {
+		only.FinishReason = finishReason()
 	}
 	return &completion{
 		ID:      m.Faults.answerID(s.call),
 		Object:  "chat.completion.chunk",
 		Model:   m.Engine.Options.Model,
-		Choices: []choice{part},
+		Choices: []choice{only},
 	}
 }
 
-func (m *ModelServer) whole(ctx context.Context, response *restful.Response, s *sequence, chat bool) {
-	for have := 0; have < s.most; {
-		generated, err := m.Engine.wait(ctx, s, have)
+func (m *ModelServer) writeCompletion(ctx context.Context, response *restful.Response, s *sequence, chat bool) {
+	for ready := 0; ready < s.maxTokens; {
+		generated, err := m.Engine.waitForTokens(ctx, s, ready)
 		if err != nil {
 			return
 		}
-		have = generated
+		ready = generated
 	}
 	var text strings.Builder
-	for i := range s.most {
+	for i := range s.maxTokens {
 		text.WriteString(s.token(i))
 	}
-	part := choice{
-		FinishReason: finished(),
+	only := choice{
+		FinishReason: finishReason(),
 	}
 	if chat {
-		part.Message = &message{
+		only.Message = &message{
 			Role:    "assistant",
 			Content: text.String(),
 		}
 	} else {
-		part.Text = text.String()
+		only.Text = text.String()
 	}
-	m.Faults.hush(ctx)
+	m.Faults.blockIfSilent(ctx)
 	writeJSON(response, &completion{
 		ID:      m.Faults.answerID(s.call),
 		Object:  "chat.completion",
 		Model:   m.Engine.Options.Model,
-		Choices: []choice{part},
+		Choices: []choice{only},
 		Usage:   s.usage(),
 	})
 }
 
-func finished() *string {
+func finishReason() *string {
 	reason := "length"
 	return &reason
 }
--- a/src/standin/orders.go
+++ b/src/standin/orders.go
@@ -15,63 +15,63 @@
 )
 
 const (
-	maxOrder = 64 << 10
-	// drainTime bounds how long an engine finishes what runs before it loads.
-	drainTime = 2 * time.Second
-	drainPoll = 20 * time.Millisecond
+	maxOrderBytes = 64 << 10
+	// drainTimeout bounds how long an engine waits for running calls before it loads.
+	drainTimeout      = 2 * time.Second
+	drainPollInterval = 20 * time.Millisecond
 )
 
-// Orders takes an engine's orders to load models and adapters.
+// Orders handles the orders to an engine to load models and adapters.
 type Orders struct {
 	Server *ModelServer
-	// About is the announcement, for its name and incarnation.
+	// About is the announcement, from which the engine's name and incarnation are taken.
 	About *messages.Announcement
-	// Checks makes the engine refuse orders with an old fencing number.
+	// Checks makes the engine refuse orders with a fencing number lower than one it has seen.
 	Checks bool
-	// Store is the weight store's base URL; without one a load takes LoadTime.
+	// Store is the weight store's base URL; if it is empty, a load takes LoadTime.
 	Store    string
 	LoadTime time.Duration
 
-	mu       sync.Mutex
-	fencing  uint64
-	loading  *messages.Wanted
-	adapters []string
-	role     string
-	taken    []TakenOrder
-	failed   int
+	mu          sync.Mutex
+	fencing     uint64
+	loading     *messages.Wanted
+	adapters    []string
+	role        string
+	executed    []ExecutedOrder
+	failedLoads int
 }
 
-// TakenOrder is one order that the engine carried out.
-type TakenOrder struct {
+// ExecutedOrder is one order for which the engine started a load.
+type ExecutedOrder struct {
 	Fencing uint64 `json:"fencing"`
 	Version string `json:"version"`
-	// AtMs is in milliseconds of Unix time.
+	// AtMs is the time of the order in Unix milliseconds.
 	AtMs int64 `json:"at_ms"`
 }
 
-// OrderLog is what an engine tells of its orders.
+// OrderLog lists the orders that an engine executed and counts its failed loads.
 type OrderLog struct {
-	Taken  []TakenOrder `json:"taken"`
-	Failed int          `json:"failed"`
+	Taken  []ExecutedOrder `json:"taken"`
+	Failed int             `json:"failed"`
 }
 
-// Services returns the routes.
+// Services returns the routes to send an order and to read the order log.
 func (o *Orders) Services() []*restful.WebService {
 	service := new(restful.WebService)
 	service.Path("/v1/orders")
-	service.Route(service.POST("").To(o.order))
+	service.Route(service.POST("").To(o.handleOrder))
 	service.Route(service.GET("").To(func(_ *restful.Request, response *restful.Response) {
 		o.mu.Lock()
 		defer o.mu.Unlock()
 		writeJSON(response, &OrderLog{
-			Taken:  o.taken,
-			Failed: o.failed,
+			Taken:  o.executed,
+			Failed: o.failedLoads,
 		})
 	}))
 	return []*restful.WebService{service}
 }
 
-// Describe adds the state that orders change to an announcement.
+// Describe sets the fields of an announcement that depend on orders.
 func (o *Orders) Describe(a *messages.Announcement) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -85,8 +85,8 @@
 	}
 }
 
-func (o *Orders) order(request *restful.Request, response *restful.Response) {
-	content, err := io.ReadAll(http.MaxBytesReader(response, request.Request.Body, maxOrder))
+func (o *Orders) handleOrder(request *restful.Request, response *restful.Response) {
+	content, err := io.ReadAll(http.MaxBytesReader(response, request.Request.Body, maxOrderBytes))
 	order := &messages.Order{}
 	if err == nil {
 		err = protojson.Unmarshal(content, order)
@@ -95,7 +95,7 @@
 		_ = response.WriteError(http.StatusBadRequest, err)
 		return
 	}
-	result := o.take(order)
+	result := o.apply(order)
 	answer, err := protojson.Marshal(result)
 	if err != nil {
 		_ = response.WriteError(http.StatusInternalServerError, err)
@@ -116,7 +116,7 @@
 	return http.StatusConflict
 }
 
-func (o *Orders) take(order *messages.Order) *messages.OrderResult {
+func (o *Orders) apply(order *messages.Order) *messages.OrderResult {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	result := &messages.OrderResult{
@@ -134,12 +134,12 @@
 	}
 	o.fencing = max(o.fencing, order.GetFencing())
 	result.Fencing = o.fencing
-	result.Outcome = o.carryOut(order)
+	result.Outcome = o.execute(order)
 	return result
 }
 
-// carryOut begins what the order wants unless it is so already.
-func (o *Orders) carryOut(order *messages.Order) messages.OrderOutcome {
+// execute starts a load unless the engine already has the wanted state or is loading.
+func (o *Orders) execute(order *messages.Order) messages.OrderOutcome {
 	wanted := order.GetWanted()
 	if wanted == nil {
 		return messages.OrderOutcome_ORDER_OUTCOME_DONE
@@ -152,7 +152,7 @@
 		return messages.OrderOutcome_ORDER_OUTCOME_DONE
 	}
 	o.loading = wanted
-	o.taken = append(o.taken, TakenOrder{
+	o.executed = append(o.executed, ExecutedOrder{
 		Fencing: order.GetFencing(),
 		Version: wanted.GetModelVersion(),
 		AtMs:    time.Now().UnixMilli(),
@@ -162,16 +162,16 @@
 	return messages.OrderOutcome_ORDER_OUTCOME_UNDER_WAY
 }
 
-// load finishes what runs, fetches the weights and serves again.
+// load waits for running calls, fetches the weights and resumes serving.
 func (o *Orders) load(wanted *messages.Wanted) {
 	ctx := context.Background()
 	o.drain()
-	err := o.fetch(ctx, wanted.GetModelVersion())
+	err := o.fetchWeights(ctx, wanted.GetModelVersion())
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.loading = nil
 	if err != nil {
-		o.failed++
+		o.failedLoads++
 	} else {
 		o.Server.Engine.SetVersion(wanted.GetModelVersion())
 		o.adapters = wanted.GetAdapters()
@@ -180,14 +180,14 @@
 }
 
 func (o *Orders) drain() {
-	for end := time.Now().Add(drainTime); time.Now().Before(end); time.Sleep(drainPoll) {
+	for deadline := time.Now().Add(drainTimeout); time.Now().Before(deadline); time.Sleep(drainPollInterval) {
 		if running, queued, _ := o.Server.Engine.Load(); running+queued == 0 {
 			return
 		}
 	}
 }
 
-func (o *Orders) fetch(ctx context.Context, version string) error {
+func (o *Orders) fetchWeights(ctx context.Context, version string) error {
 	if o.Store == "" {
 		time.Sleep(o.LoadTime)
 		return nil
@@ -208,14 +208,15 @@
 	return err
 }
 
-// Version returns the loaded version, "" before the first load.
+// Version returns the loaded model version, "" before the first load.
 func (e *Engine) Version() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.Options.ModelVersion
 }
 
-// SetVersion replaces the model and empties the prefix cache, which held the old one's.
+// SetVersion replaces the model and clears the prefix cache, whose KV cache
+// belongs to the previous version.
 func (e *Engine) SetVersion(version string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/src/standin/plain.go
+++ b/src/standin/plain.go
@@ -11,7 +11,7 @@
 	"github.com/emicklei/go-restful/v3"
 )
 
-// Plain is a plain service: an appointment diary that numbers what it books.
+// Plain is a plain service: an appointment diary that numbers its bookings.
 type Plain struct {
 	Ledger *Ledger
 	Faults *Faults
@@ -28,14 +28,15 @@
 func (p *Plain) Services() []*restful.WebService {
 	service := new(restful.WebService)
 	service.Path("/")
-	service.Filter(p.take)
-	service.Route(service.GET("/bookings").To(p.list))
-	service.Route(service.POST("/bookings").To(p.book))
+	service.Filter(p.handleCall)
+	service.Route(service.GET("/bookings").To(p.handleList))
+	service.Route(service.POST("/bookings").To(p.handleBook))
 	return []*restful.WebService{service}
 }
 
-// take refuses calls while the service leaves, counts the others and carries out the faults.
-func (p *Plain) take(request *restful.Request, response *restful.Response, chain *restful.FilterChain) {
+// handleCall is a filter that refuses calls while the service leaves, records the
+// others and applies the faults.
+func (p *Plain) handleCall(request *restful.Request, response *restful.Response, chain *restful.FilterChain) {
 	call := request.HeaderParameter(headerCall)
 	fault := p.Faults.Current()
 	response.AddHeader(headerCall, p.Faults.answerID(call))
@@ -43,28 +44,28 @@
 		refuse(response, "this service takes no calls now")
 		return
 	}
-	p.Ledger.Ran(call, request.HeaderParameter(headerReference))
+	p.Ledger.RecordRun(call, request.HeaderParameter(headerReference))
 	time.Sleep(p.Work)
 	ctx := request.Request.Context()
-	p.Faults.hush(ctx)
+	p.Faults.blockIfSilent(ctx)
 	p.Faults.delay(ctx)
 	switch {
 	case fault.Fail:
 		http.Error(response, "this service was told to fail", http.StatusInternalServerError)
 	case fault.Truncate:
-		truncate(response)
+		writeTruncated(response)
 	default:
 		chain.ProcessFilter(request, response)
 	}
 }
 
-func (p *Plain) list(_ *restful.Request, response *restful.Response) {
+func (p *Plain) handleList(_ *restful.Request, response *restful.Response) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	writeJSON(response, p.bookings)
 }
 
-func (p *Plain) book(request *restful.Request, response *restful.Response) {
+func (p *Plain) handleBook(request *restful.Request, response *restful.Response) {
 	content, err := io.ReadAll(request.Request.Body)
 	if err != nil || !json.Valid(content) {
 		http.Error(response, "the booking is not JSON", http.StatusBadRequest)
@@ -83,8 +84,8 @@
 	})
 }
 
-// truncate announces more than it sends and drops the connection.
-func truncate(response *restful.Response) {
+// writeTruncated sends less than its Content-Length and aborts the connection.
+func writeTruncated(response *restful.Response) {
 	response.AddHeader("Content-Length", "64")
 	_, _ = response.Write([]byte(`{"booking":`))
 	response.Flush()
--- a/src/standin/reporter.go
+++ b/src/standin/reporter.go
@@ -7,55 +7,57 @@
 	"github.com/rosecroft/rosecroft/src/messages"
 )
 
-// Reporter tells what an engine would publish: load that is old and cache
-// events that are late by one announcement, with gaps.
+// Reporter simulates the imperfect reports of an engine: load that is outdated, and
+// cache events that are delayed by one announcement and partly lost.
 type Reporter struct {
 	Engine *Engine
-	// Lag is how old the reported load is at least.
+	// Lag is the minimum age of the reported load once a measurement of that age exists.
 	Lag time.Duration
-	// Gaps is the share of cache events that is lost.
+	// Gaps is the fraction of cache event messages that is dropped.
 	Gaps float64
 
-	measured []measurement
-	late     *messages.CacheEvents
-	sequence uint64
+	measurements []measurement
+	delayed      *messages.CacheEvents
+	sequence     uint64
 }
 
 type measurement struct {
-	load *messages.Load
-	at   time.Time
+	load       *messages.Load
+	measuredAt time.Time
 }
 
-// Load measures and returns the newest measurement that is old enough.
+// Load measures the current load and returns the newest measurement that is at
+// least Lag old, or the oldest one.
 func (r *Reporter) Load() *messages.Load {
 	now := time.Now()
 	running, queued, tokens := r.Engine.Load()
-	r.measured = append(r.measured, measurement{
+	r.measurements = append(r.measurements, measurement{
 		load: &messages.Load{
 			Running:      uint32(running),
 			Queued:       uint32(queued),
 			QueuedTokens: uint64(tokens),
 		},
-		at: now,
+		measuredAt: now,
 	})
-	for len(r.measured) > 1 && now.Sub(r.measured[1].at) >= r.Lag {
-		r.measured = r.measured[1:]
+	for len(r.measurements) > 1 && now.Sub(r.measurements[1].measuredAt) >= r.Lag {
+		r.measurements = r.measurements[1:]
 	}
-	oldest := r.measured[0]
-	oldest.load.AgeMs = now.Sub(oldest.at).Milliseconds()
+	oldest := r.measurements[0]
+	oldest.load.AgeMs = now.Sub(oldest.measuredAt).Milliseconds()
 	return oldest.load
 }
 
-// CacheEvents returns what changed before the previous call, or nil.
+// CacheEvents returns the changes that the previous call collected, or nil if there
+// are none or the message is dropped.
 func (r *Reporter) CacheEvents() *messages.CacheEvents {
 	r.Engine.mu.Lock()
-	added, removed := r.Engine.cache.changes()
+	added, removed := r.Engine.cache.takeChanges()
 	r.Engine.mu.Unlock()
-	ready := r.late
-	r.late = nil
+	ready := r.delayed
+	r.delayed = nil
 	if len(added)+len(removed) > 0 {
 		r.sequence++
-		r.late = &messages.CacheEvents{
+		r.delayed = &messages.CacheEvents{
 			Sequence: r.sequence,
 			Added:    added,
 			Removed:  removed,
--- a/src/standin/sequence.go
+++ b/src/standin/sequence.go
@@ -7,60 +7,62 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// sequence is one call's generation; the engine's lock guards what changes.
+// sequence is the generation for one call; the engine's lock guards its mutable fields.
 type sequence struct {
-	call     string
-	seed     uint64
-	priority int
-	blocks   []uint64
-	// prompt and offset are the tokens that the sequence started from.
-	prompt  int
-	offset  int
-	prefill int
-	// cached is how many of the blocks were put into the prefix cache since.
-	cached int
-	// scheduled says that its turn to compute has come, again that an earlier
-	// attempt may have computed the same.
+	call         string
+	seed         uint64
+	priority     int
+	blocks       []uint64
+	promptTokens int
+	// startOffset is how many tokens had been generated before the sequence started.
+	startOffset int
+	// prefillLeft is how many tokens must still be computed before the next one is
+	// generated.
+	prefillLeft int
+	// cachedBlocks is how many of the blocks this sequence has added to the prefix cache.
+	cachedBlocks int
+	// scheduled is set once prefillLeft has been determined.
 	scheduled bool
-	again     bool
+	// retried reports that an earlier attempt may have computed the same tokens.
+	retried   bool
 	generated int
-	most      int
+	maxTokens int
 	cancelled bool
 	readers   int
-	// orphanedAt is when the last reader went.
+	// orphanedAt is when the last reader detached.
 	orphanedAt time.Time
-	// changed is closed and replaced whenever the sequence goes on.
+	// changed is closed and replaced whenever a token is generated or the sequence is discarded.
 	changed chan struct{}
 }
 
 func newSequence(version string, prompt Prompt) *sequence {
 	return &sequence{
-		call:      prompt.Call,
-		seed:      xxhash.Sum64String(version + prompt.Text + prompt.Seed),
-		priority:  prompt.Priority,
-		blocks:    promptBlocks(prompt.Text),
-		prompt:    len(prompt.Text) / bytesPerToken,
-		offset:    prompt.Offset,
-		generated: prompt.Offset,
-		most:      prompt.Most,
-		again:     prompt.Offset > 0 || prompt.Attempt > 1,
-		readers:   1,
-		changed:   make(chan struct{}),
+		call:         prompt.Call,
+		seed:         xxhash.Sum64String(version + prompt.Text + prompt.Seed),
+		priority:     prompt.Priority,
+		blocks:       promptBlocks(prompt.Text),
+		promptTokens: len(prompt.Text) / bytesPerToken,
+		startOffset:  prompt.Offset,
+		generated:    prompt.Offset,
+		maxTokens:    prompt.MaxTokens,
+		retried:      prompt.Offset > 0 || prompt.Attempt > 1,
+		readers:      1,
+		changed:      make(chan struct{}),
 	}
 }
 
-// context returns the tokens whose KV cache generation needs.
-func (s *sequence) context() int { return s.prompt + s.generated }
+// contextTokens returns the number of tokens whose KV cache is needed to generate the next one.
+func (s *sequence) contextTokens() int { return s.promptTokens + s.generated }
 
-func (s *sequence) finished() bool { return s.generated >= s.most }
+func (s *sequence) isFinished() bool { return s.generated >= s.maxTokens }
 
-func (s *sequence) wake() {
+func (s *sequence) wakeReaders() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// token returns the text of a sequence's token at an index from 0; equal
-// prompts, seeds and versions give equal tokens on every engine.
+// token returns the text of the token at an index, from 0. Equal prompts, seeds and
+// model versions give equal tokens on every engine.
 func (s *sequence) token(index int) string {
 	return fmt.Sprintf("%03x ", xxhash.Sum64String(fmt.Sprintf("%x/%d", s.seed, index))&0xfff)
 }
--- a/src/standin/store.go
+++ b/src/standin/store.go
@@ -9,75 +9,79 @@
 )
 
 const (
-	storeChunk = 16 << 10
-	tooMany    = "too many loads at once; order fewer"
+	storeChunkBytes = 16 << 10
+	tooManyLoads    = "too many loads at once; order fewer"
 )
 
-// WeightStore passes on weights at a limited rate and refuses too many loads at once.
+// WeightStore serves model weights at a limited rate and limits the number of
+// concurrent loads.
 type WeightStore struct {
+	// BytesPerSecond is the rate that all loads share.
 	BytesPerSecond int64
-	LoadsAtOnce    int
-	// Bytes is the size of each version.
+	// LoadsAtOnce is the limit beyond which a load is refused.
+	LoadsAtOnce int
+	// Bytes is the size of each model version.
 	Bytes int64
 
-	mu      sync.Mutex
-	running int
-	served  int
-	refused int
-	free    time.Time
+	mu          sync.Mutex
+	activeLoads int
+	served      int
+	refused     int
+	freeAt      time.Time
 }
 
 // Services returns the store's routes.
 func (w *WeightStore) Services() []*restful.WebService {
 	service := new(restful.WebService)
 	service.Path("/v1/weights")
-	service.Route(service.GET("/{version}").To(w.fetch))
+	service.Route(service.GET("/{version}").To(w.handleFetch))
 	return []*restful.WebService{service}
 }
 
-func (w *WeightStore) fetch(_ *restful.Request, response *restful.Response) {
-	if !w.enter() {
+func (w *WeightStore) handleFetch(_ *restful.Request, response *restful.Response) {
+	if !w.beginLoad() {
 		response.AddHeader("Retry-After", "1")
-		http.Error(response, tooMany, http.StatusTooManyRequests)
+		http.Error(response, tooManyLoads, http.StatusTooManyRequests)
 		return
 	}
-	defer w.leave()
-	chunk := make([]byte, storeChunk)
-	for left := w.Bytes; left > 0; left -= storeChunk {
-		time.Sleep(w.reserve(min(left, storeChunk)))
-		if _, err := response.Write(chunk[:min(left, storeChunk)]); err != nil {
+	defer w.endLoad()
+	chunk := make([]byte, storeChunkBytes)
+	for remaining := w.Bytes; remaining > 0; remaining -= storeChunkBytes {
+		time.Sleep(w.reserveRate(min(remaining, storeChunkBytes)))
+		if _, err := response.Write(chunk[:min(remaining, storeChunkBytes)]); err != nil {
 			return
 		}
 	}
 }
 
-// reserve takes a part of the rate that all loads share and returns the wait for it.
-func (w *WeightStore) reserve(bytes int64) time.Duration {
+// reserveRate reserves the transfer of some bytes at the shared rate and returns how
+// long to wait until they are transferred.
+func (w *WeightStore) reserveRate(bytes int64) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := time.Now()
-	if w.free.Before(now) {
-		w.free = now
+	if w.freeAt.Before(now) {
+		w.freeAt = now
 	}
-	w.free = w.free.Add(time.Duration(float64(bytes) / float64(w.BytesPerSecond) * float64(time.Second)))
-	return w.free.Sub(now)
+	w.freeAt = w.freeAt.Add(time.Duration(float64(bytes) / float64(w.BytesPerSecond) * float64(time.Second)))
+	return w.freeAt.Sub(now)
 }
 
-func (w *WeightStore) enter() bool {
+func (w *WeightStore) beginLoad() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.running >= w.LoadsAtOnce {
+	if w.activeLoads >= w.LoadsAtOnce {
 		w.refused++
 		return false
 	}
-	w.running++
+	w.activeLoads++
 	return true
 }
 
-func (w *WeightStore) leave() {
+func (w *WeightStore) endLoad() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.running--
+	w.activeLoads--
 	w.served++
 }
 
--- a/src/standin/text.go
+++ b/src/standin/text.go
@@ -2,9 +2,9 @@
 
 import "strings"
 
-// Text returns the first tokens that every engine of a model version generates
-// for a prompt and the seed that was sent with it.
-func Text(modelVersion, prompt, seed string, tokens int) string {
+// ExpectedText returns the first tokens that every engine of a model version
+// generates for a prompt and seed.
+func ExpectedText(modelVersion, prompt, seed string, tokens int) string {
 	s := newSequence(modelVersion, Prompt{
 		Text: prompt,
 		Seed: seed,
--- a/src/standin/transfer.go
+++ b/src/standin/transfer.go
@@ -15,17 +15,17 @@
 
 const (
 	headerTokens = "Rosecroft-Tokens"
-	// importFor is how long an engine holds imported KV cache for its call.
-	importFor     = 10 * time.Second
-	maxImports    = 256
-	transferChunk = 64 << 10
-	importTimeout = 10 * time.Second
+	// importTTL is how long an engine keeps imported KV cache for its call.
+	importTTL          = 10 * time.Second
+	maxImports         = 256
+	transferChunkBytes = 64 << 10
+	importTimeout      = 10 * time.Second
 )
 
-// imported is KV cache that waits for its call.
-type imported struct {
-	tokens int
-	at     time.Time
+// kvImport is imported KV cache whose call has not arrived yet.
+type kvImport struct {
+	tokens     int
+	importedAt time.Time
 }
 
 type importRequest struct {
@@ -33,60 +33,62 @@
 	Source string `json:"source"`
 }
 
-// takeImport returns how many tokens of the call's KV cache were imported; the lock is held.
+// takeImport removes the call's import and returns its tokens, 0 if there is none or
+// it has expired; the caller holds the lock.
 func (e *Engine) takeImport(call string) int {
 	held := e.imports[call]
 	delete(e.imports, call)
-	if time.Since(held.at) > importFor {
+	if time.Since(held.importedAt) > importTTL {
 		return 0
 	}
 	return held.tokens
 }
 
-func (e *Engine) keepImport(call string, tokens int, now time.Time) {
+func (e *Engine) storeImport(call string, tokens int, now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.init()
 	for known, held := range e.imports {
-		if now.Sub(held.at) > importFor || len(e.imports) >= maxImports {
+		if now.Sub(held.importedAt) > importTTL || len(e.imports) >= maxImports {
 			delete(e.imports, known)
 		}
 	}
-	e.imports[call] = imported{
-		tokens: tokens,
-		at:     now,
+	e.imports[call] = kvImport{
+		tokens:     tokens,
+		importedAt: now,
 	}
 	e.work.Imported += tokens
 }
 
-// exportable returns how many tokens of KV cache a call has here.
-func (e *Engine) exportable(call string) int {
+// countExport returns how many tokens of KV cache a call has here, 0 before its
+// prefill is done, and counts them as exported.
+func (e *Engine) countExport(call string) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	s := e.sequences[call]
-	if s == nil || !s.scheduled || s.prefill > 0 {
+	if s == nil || !s.scheduled || s.prefillLeft > 0 {
 		return 0
 	}
-	e.work.Exported += s.context()
-	return s.context()
+	e.work.Exported += s.contextTokens()
+	return s.contextTokens()
 }
 
-// reserve returns when the link has carried size bytes after all that is queued on it.
-func (e *Engine) reserve(now time.Time, size int) time.Time {
+// reserveLink queues size bytes on the link and returns when they will have been sent.
+func (e *Engine) reserveLink(now time.Time, size int) time.Time {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.linkFree.Before(now) {
-		e.linkFree = now
+	if e.linkFreeAt.Before(now) {
+		e.linkFreeAt = now
 	}
-	e.linkFree = e.linkFree.Add(time.Duration(size) * time.Second / time.Duration(e.Options.KVBytesPerSecond))
-	return e.linkFree
+	e.linkFreeAt = e.linkFreeAt.Add(time.Duration(size) * time.Second / time.Duration(e.Options.KVBytesPerSecond))
+	return e.linkFreeAt
 }
 
-// exportKV sends a call's KV cache at the link's pace; the call goes on meanwhile.
-func (m *ModelServer) exportKV(request *restful.Request, response *restful.Response) {
+// handleExport sends a call's KV cache at the link's rate; the call continues to run.
+func (m *ModelServer) handleExport(request *restful.Request, response *restful.Response) {
 	tokens := 0
 	if m.Engine.Options.KVBytesPerSecond > 0 {
-		tokens = m.Engine.exportable(request.PathParameter("call"))
+		tokens = m.Engine.countExport(request.PathParameter("call"))
 	}
 	if tokens == 0 {
 		http.Error(response, "this engine has no KV cache of the call to export", http.StatusNotFound)
@@ -95,36 +97,36 @@
 	size := tokens * m.Engine.Options.KVBytesPerToken
 	response.AddHeader(headerTokens, strconv.Itoa(tokens))
 	response.AddHeader("Content-Length", strconv.Itoa(size))
-	chunk := make([]byte, transferChunk)
+	chunk := make([]byte, transferChunkBytes)
 	for sent := 0; sent < size; {
-		part := min(transferChunk, size-sent)
-		if !pause(request.Request.Context(), time.Until(m.Engine.reserve(time.Now(), part))) {
+		count := min(transferChunkBytes, size-sent)
+		if !sleep(request.Request.Context(), time.Until(m.Engine.reserveLink(time.Now(), count))) {
 			return
 		}
-		if _, err := response.Write(chunk[:part]); err != nil {
+		if _, err := response.Write(chunk[:count]); err != nil {
 			return
 		}
-		sent += part
+		sent += count
 	}
 }
 
-// importKV fetches a call's KV cache from the engine that has it.
-func (m *ModelServer) importKV(request *restful.Request, response *restful.Response) {
+// handleImport fetches a call's KV cache from the engine that has it.
+func (m *ModelServer) handleImport(request *restful.Request, response *restful.Response) {
 	if m.Leaving.Load() {
 		refuse(response, "this engine is leaving")
 		return
 	}
-	order := &importRequest{}
-	if err := json.NewDecoder(request.Request.Body).Decode(order); err != nil {
+	wanted := &importRequest{}
+	if err := json.NewDecoder(request.Request.Body).Decode(wanted); err != nil {
 		http.Error(response, err.Error(), http.StatusBadRequest)
 		return
 	}
-	tokens, err := m.fetchKV(request.Request.Context(), order)
+	tokens, err := m.fetchKV(request.Request.Context(), wanted)
 	if err != nil {
 		http.Error(response, err.Error(), http.StatusBadGateway)
 		return
 	}
-	m.Engine.keepImport(order.Call, tokens, time.Now())
+	m.Engine.storeImport(wanted.Call, tokens, time.Now())
 	writeJSON(response, struct {
 		Tokens int `json:"tokens"`
 	}{
@@ -132,10 +134,10 @@
 	})
 }
 
-func (m *ModelServer) fetchKV(ctx context.Context, order *importRequest) (int, error) {
+func (m *ModelServer) fetchKV(ctx context.Context, wanted *importRequest) (int, error) {
 	ctx, cancel := context.WithTimeout(ctx, importTimeout)
 	defer cancel()
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, order.Source+"/v1/kv/"+order.Call, bytes.NewReader(nil))
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, wanted.Source+"/v1/kv/"+wanted.Call, bytes.NewReader(nil))
 	if err != nil {
 		return 0, err
 	}
@@ -145,21 +147,21 @@
 	}
 	response, err := client.Do(request)
 	if err != nil {
-		return 0, fmt.Errorf("reach the exporting engine: %w", err)
+		return 0, fmt.Errorf("fetch KV cache from the exporting engine: %w", err)
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
 		return 0, fmt.Errorf("the exporting engine answered %d", response.StatusCode)
 	}
-	// A cut export is shorter than its announced length, which the copy reports.
+	// An export that breaks off is shorter than its Content-Length, which makes the copy fail.
 	if _, err := io.Copy(io.Discard, response.Body); err != nil {
-		return 0, fmt.Errorf("read the export: %w", err)
+		return 0, fmt.Errorf("read the exported KV cache: %w", err)
 	}
 	return strconv.Atoi(response.Header.Get(headerTokens))
 }
 
-// pause waits for d and reports false where ctx ended first.
-func pause(ctx context.Context, d time.Duration) bool {
+// sleep waits for d and reports false where ctx ended first.
+func sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
 	}
