--- a/main.go
+++ b/main.go
@@ -7,7 +7,7 @@
 	"github.com/rosecroft/rosecroft/src/launcher"
 )
 
-// version and revision are set by the linker.
+// version and revision are overridden by the linker (-X).
 var (
 	version  = "0.1.0"
 	revision = "devel"
--- a/src/deployer/deployment.go
+++ b/src/deployer/deployment.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	controls  = 3
-	applyWait = 20 * time.Second
-	// callDeadline is how long a caller goes on asking.
+	controlCount = 3
+	applyWait    = 20 * time.Second
+	// callDeadline is how long a caller retries a call.
 	callDeadline = 60 * time.Second
 )
 
-// Deployment is one user's fleet.
+// Deployment describes the fleet of one example and the calls of its callers.
 type Deployment struct {
 	Name          string
 	DataCentres   []units.DataCentre
@@ -28,37 +28,38 @@
 	Entries       int
 	Controls      int
 	Pools         []Pool
-	// Host and Keys are what callers send; a key for each client account.
+	// Host is the Host header of calls; Keys has one API key per client account.
 	Host string
 	Keys []string
-	// OncePath and ReadPath are calls of the plain service.
+	// OncePath is the path of calls to the plain service that must run at most once;
+	// ReadPath is that of calls that read.
 	OncePath string
 	ReadPath string
 	Model    string
 }
 
-// Pool is the upstreams of one service.
+// Pool is a group of equal upstreams of one service.
 type Pool struct {
 	Service units.Service
 	// Kind is "engine" or "plain".
 	Kind  string
 	Name  string
 	Count int
-	// Arguments are further options of the stand-in.
+	// Arguments are additional command line arguments of the stand-in.
 	Arguments []string
-	// Offers are given to the upstreams in turn.
+	// Offers are assigned to the upstreams in turn.
 	Offers []Offer
 }
 
-// Offer is a machine class at its price.
+// Offer is a machine class at its price per instance and hour.
 type Offer struct {
 	Class    units.MachineClass
 	Price    units.Price
 	OnDemand bool
 }
 
-// offers are the prices per hour that both examples assume: reclaimable
-// instances at a third of the on-demand price, more or less by data centre.
+// offers are the prices per hour that both examples assume: reclaimable instances
+// cost about a third of the on-demand price, with differences between data centres.
 var offers = []Offer{
 	{Class: "reclaimable-small", Price: 0.30},
 	{Class: "reclaimable-small", Price: 0.34},
@@ -66,15 +67,15 @@
 	{Class: "on-demand", Price: 1.00, OnDemand: true},
 }
 
-// Hearthline returns the deployment of the Hearthline Sweeps Consortium; files
-// are found below root, the folder of the repository.
+// Hearthline returns the deployment of the Hearthline Sweeps Consortium; root is the
+// root folder of the repository, which contains its configuration.
 func Hearthline(root string) *Deployment {
 	return &Deployment{
 		Name:          "hearthline",
 		DataCentres:   []units.DataCentre{"scot-central-a", "scot-central-b", "scot-central-c", "scot-central-d"},
 		Configuration: filepath.Join(root, "examples", "hearthline.yaml"),
 		Entries:       9,
-		Controls:      controls,
+		Controls:      controlCount,
 		Pools: []Pool{
 			{
 				Service:   "ember-llm",
@@ -104,14 +105,14 @@
 }
 
 // Cooperativa returns the deployment of the Cooperativa de Avisos de Retiro
-// Automotriz del Maule; files are found below root.
+// Automotriz del Maule; root is the root folder of the repository.
 func Cooperativa(root string) *Deployment {
 	return &Deployment{
 		Name:          "cooperativa",
 		DataCentres:   []units.DataCentre{"talca-a", "talca-b", "curico", "linares"},
 		Configuration: filepath.Join(root, "examples", "cooperativa.yaml"),
 		Entries:       8,
-		Controls:      controls,
+		Controls:      controlCount,
 		Pools: []Pool{
 			{
 				Service:   "redactor",
@@ -140,16 +141,16 @@
 	}
 }
 
-// Fleet is a deployment that runs on a stage.
+// Fleet is a deployment running on a stage.
 type Fleet struct {
 	*Deployment
 	Stage *stager.Stage
-	// Journals is the folder of the upstreams' journals.
+	// Journals is the folder with the upstreams' journals.
 	Journals  string
 	Upstreams []*Member
 }
 
-// Member is one upstream of a fleet with what it was started with.
+// Member is one upstream of a fleet with its launch parameters.
 type Member struct {
 	*stager.Upstream
 	Name       string
@@ -157,7 +158,7 @@
 	Offer      Offer
 	DataCentre units.DataCentre
 	Started    time.Time
-	// Stopped is zero while the instance is held.
+	// Stopped is zero while the instance is in use.
 	Stopped time.Time
 }
 
@@ -188,7 +189,7 @@
 	return fleet, stage.AwaitReady(ctx)
 }
 
-// Launch starts one more upstream of a pool.
+// Launch starts one additional upstream of a pool.
 func (f *Fleet) Launch(pool *Pool, dataCentre units.DataCentre, offer Offer) (*Member, error) {
 	name := fmt.Sprintf("%s-%d", pool.Name, len(f.Upstreams)+1)
 	arguments := []string{
@@ -217,7 +218,7 @@
 	return member, nil
 }
 
-// Apply submits a configuration file and waits until it is in force.
+// Apply submits a configuration file and waits until it is in force everywhere.
 func (f *Fleet) Apply(ctx context.Context, file string) error {
 	apply := exec.CommandContext(ctx, f.Stage.Program, "apply", file,
 		"--control", f.Stage.ControlURLs(), "--wait", applyWait.String())
@@ -237,7 +238,7 @@
 	return urls
 }
 
-// Rates is how many calls of each kind a mixed load makes per second.
+// Rates is the number of calls of each kind per second in a mixed load.
 type Rates struct {
 	Stream float64
 	Whole  float64
@@ -245,24 +246,24 @@
 	Read   float64
 }
 
-// Mixed returns workloads of every kind, spread over the client accounts.
+// Mixed returns workloads of every kind, spread evenly over the client accounts.
 func (d *Deployment) Mixed(rates Rates) []*loader.Workload {
 	var workloads []*loader.Workload
 	share := 1 / float64(len(d.Keys))
 	for i, key := range d.Keys {
 		suffix := strconv.Itoa(i + 1)
 		workloads = append(workloads,
-			d.model("stream-"+suffix, loader.Stream, key, rates.Stream*share),
-			d.model("whole-"+suffix, loader.Whole, key, rates.Whole*share),
-			d.plain("once-"+suffix, loader.Once, key, d.OncePath, rates.Once*share),
-			d.plain("read-"+suffix, loader.Read, key, d.ReadPath, rates.Read*share),
+			d.modelWorkload("stream-"+suffix, loader.Stream, key, rates.Stream*share),
+			d.modelWorkload("whole-"+suffix, loader.Whole, key, rates.Whole*share),
+			d.plainWorkload("once-"+suffix, loader.Once, key, d.OncePath, rates.Once*share),
+			d.plainWorkload("read-"+suffix, loader.Read, key, d.ReadPath, rates.Read*share),
 		)
 	}
 	return workloads
 }
 
-// Sizes of the model calls in a mixed load: bulletins and diaries share long
-// beginnings, and answers run for some hundred steps.
+// Sizes of the model calls in a mixed load, modelled on bulletins and diaries: their
+// prompts share long prefixes, and their answers take some hundred decoding steps.
 const (
 	mixedPrefixes     = 12
 	mixedPrefixBytes  = 6144
@@ -270,7 +271,7 @@
 	mixedOutputTokens = 160
 )
 
-func (d *Deployment) model(name string, kind loader.Kind, key string, rate float64) *loader.Workload {
+func (d *Deployment) modelWorkload(name string, kind loader.Kind, key string, rate float64) *loader.Workload {
 	return &loader.Workload{
 		Name:         name,
 		Kind:         kind,
@@ -287,7 +288,7 @@
 	}
 }
 
-func (d *Deployment) plain(name string, kind loader.Kind, key, path string, rate float64) *loader.Workload {
+func (d *Deployment) plainWorkload(name string, kind loader.Kind, key, path string, rate float64) *loader.Workload {
 	return &loader.Workload{
 		Name:     name,
 		Kind:     kind,
--- a/src/deployer/doc.go
+++ b/src/deployer/doc.go
@@ -1,2 +1,2 @@
-// Package deployer lays out both deployments' real sizes on a stage.
+// Package deployer runs the example deployments in their real sizes on a stage.
 package deployer
--- a/src/indexer/doc.go
+++ b/src/indexer/doc.go
@@ -1,2 +1,2 @@
-// Package indexer turns the configuration and the live upstreams into an immutable snapshot for traffic.
+// Package indexer builds immutable snapshots of the configuration and the usable upstreams for request handling.
 package indexer
--- a/src/indexer/snapshot.go
+++ b/src/indexer/snapshot.go
@@ -13,19 +13,20 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// Snapshot answers traffic's questions; it is never changed once built.
+// Snapshot is an immutable index over a configuration and its usable upstreams. It resolves
+// the brand, the client account and the service of a request.
 type Snapshot struct {
 	Configuration *parser.Configuration
 
-	brands     map[string]units.Brand
-	keys       map[string]*accountKey
-	models     map[units.Model]*Service
-	services   []*Service
-	byService  map[units.Service][]*tracker.Upstream
-	totalKnown int
+	brands          map[string]units.Brand
+	keys            map[string]*accountKey
+	models          map[units.Model]*Service
+	services        []*Service
+	usableByService map[units.Service][]*tracker.Upstream
+	totalKnown      int
 }
 
-// Service is one configured service with its usable upstreams, sorted by name.
+// Service is one configured service with the upstreams that it may use, sorted by name.
 type Service struct {
 	parser.Service
 	Usable []*tracker.Upstream
@@ -37,18 +38,18 @@
 	hash    []byte
 }
 
-// Build returns the snapshot of a configuration and the usable upstreams.
+// Build returns a snapshot of a configuration and the usable upstreams.
 func Build(configuration *parser.Configuration, usable []*tracker.Upstream) *Snapshot {
 	s := &Snapshot{
-		Configuration: configuration,
-		brands:        make(map[string]units.Brand),
-		keys:          make(map[string]*accountKey),
-		models:        make(map[units.Model]*Service),
-		byService:     make(map[units.Service][]*tracker.Upstream),
-		totalKnown:    len(usable),
+		Configuration:   configuration,
+		brands:          make(map[string]units.Brand),
+		keys:            make(map[string]*accountKey),
+		models:          make(map[units.Model]*Service),
+		usableByService: make(map[units.Service][]*tracker.Upstream),
+		totalKnown:      len(usable),
 	}
 	for _, upstream := range usable {
-		s.byService[upstream.Service] = append(s.byService[upstream.Service], upstream)
+		s.usableByService[upstream.Service] = append(s.usableByService[upstream.Service], upstream)
 	}
 	s.indexBrands()
 	s.indexKeys()
@@ -84,8 +85,8 @@
 		service := &Service{
 			Service: configured,
 		}
-		for _, upstream := range s.byService[configured.Name] {
-			if allowed(&service.Service, upstream) {
+		for _, upstream := range s.usableByService[configured.Name] {
+			if isAllowed(&service.Service, upstream) {
 				service.Usable = append(service.Usable, upstream)
 			}
 		}
@@ -99,7 +100,7 @@
 	}
 }
 
-func allowed(service *parser.Service, upstream *tracker.Upstream) bool {
+func isAllowed(service *parser.Service, upstream *tracker.Upstream) bool {
 	rule := service.Upstreams
 	if len(rule.DataCentres) > 0 && !slices.Contains(rule.DataCentres, upstream.DataCentre) {
 		return false
@@ -116,14 +117,14 @@
 	})
 }
 
-// Brand returns the brand that a Host header names.
+// Brand returns the brand to which a Host header belongs.
 func (s *Snapshot) Brand(host string) (units.Brand, bool) {
 	name, _, _ := strings.Cut(host, ":")
 	brand, known := s.brands[strings.ToLower(name)]
 	return brand, known
 }
 
-// Account returns the account that an API key "ID.SECRET" belongs to, of any brand.
+// Account returns the client account of any brand to which an API key "ID.SECRET" belongs.
 func (s *Snapshot) Account(key string) (*parser.ClientAccount, bool) {
 	id, secret, found := strings.Cut(key, ".")
 	known, exists := s.keys[id]
@@ -137,7 +138,7 @@
 	return known.account, true
 }
 
-// HashKey returns the salted hash under which a key's secret is stored.
+// HashKey returns the salted hash of a key's secret, as the configuration stores it.
 func HashKey(salt []byte, secret string) []byte {
 	sum := sha256.Sum256(append(slices.Clone(salt), secret...))
 	return sum[:]
@@ -152,7 +153,7 @@
 	return service, true
 }
 
-// PlainService returns the service whose route leads to a path, for a brand.
+// PlainService returns the plain service of a brand whose route is a prefix of a path.
 func (s *Snapshot) PlainService(brand units.Brand, requestPath string) (*Service, bool) {
 	for _, service := range s.services {
 		if service.Kind != parser.PlainService || !slices.Contains(service.Brands, brand) {
@@ -165,7 +166,7 @@
 	return nil, false
 }
 
-// Models returns the models that a brand may use, in the configuration's order.
+// Models returns the models that a brand may use, in the order of the configuration.
 func (s *Snapshot) Models(brand units.Brand) []units.Model {
 	var models []units.Model
 	for _, service := range s.services {
@@ -176,7 +177,7 @@
 	return models
 }
 
-// Service returns a service by name as it stands in this snapshot.
+// Service returns a service by name.
 func (s *Snapshot) Service(name units.Service) (*Service, bool) {
 	for _, service := range s.services {
 		if service.Name == name {
--- a/src/launcher/certificates.go
+++ b/src/launcher/certificates.go
@@ -9,11 +9,11 @@
 	"github.com/rosecroft/rosecroft/src/parser"
 )
 
-// certificateFlags are an operator's own certificate and what verifies the instances.
+// certificateFlags are an operator's certificate and the CA certificates that verify the instances.
 type certificateFlags struct {
-	Certificate string `help:"Your certificate, in PEM, for instances that want TLS." type:"existingfile" and:"tls"`
+	Certificate string `help:"Your client certificate, in PEM, for instances that require TLS." type:"existingfile" and:"tls"`
 	PrivateKey  string `help:"Your certificate's private key, in PEM." type:"existingfile" and:"tls"`
-	Authorities string `help:"Certificates that verify the instances, in PEM." type:"existingfile" and:"tls"`
+	Authorities string `help:"CA certificates that verify the instances, in PEM." type:"existingfile" and:"tls"`
 }
 
 // client returns the HTTP client for requests to instances.
@@ -44,11 +44,11 @@
 	Entry    []string      `help:"Names of entry instances."`
 	Upstream []string      `help:"Names of upstreams."`
 	Operator []string      `help:"Names of operators."`
-	Host     []string      `help:"Host names and IP numbers by which callers reach the entries."`
+	Host     []string      `help:"Host names and IP addresses at which callers reach the entries."`
 	Lifetime time.Duration `help:"How long the certificates are valid." default:"2160h"`
 }
 
-// Run writes the certificates; the authority's private key is kept nowhere.
+// Run writes the certificates; the certificate authority's private key is not stored.
 func (c *makeCertificatesCommand) Run(console *console) error {
 	authority := &certifier.Authority{
 		Folder:   c.Folder,
--- a/src/launcher/doc.go
+++ b/src/launcher/doc.go
@@ -1,2 +1,2 @@
-// Package launcher reads the command line and runs what it names.
+// Package launcher parses the command line and runs its command.
 package launcher
--- a/src/launcher/explain.go
+++ b/src/launcher/explain.go
@@ -10,11 +10,11 @@
 
 type explainCommand struct {
 	certificateFlags
-	Call    string   `arg:"" help:"Id of the call, from its header Rosecroft-Call-Id or a log."`
-	Address []string `arg:"" help:"Operators' addresses of entries, asked in turn, such as http://127.0.0.1:8082."`
+	Call    string   `arg:"" help:"ID of the call, from its Rosecroft-Call-Id header or a log."`
+	Address []string `arg:"" help:"Operator addresses of entries, tried in turn, such as http://127.0.0.1:8082."`
 }
 
-// Run prints what was decided about a call, from the first entry that knows it.
+// Run prints the decisions about a call as returned by the first entry that knows the call.
 func (c *explainCommand) Run(ctx context.Context, console *console) error {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
@@ -24,7 +24,7 @@
 	}
 	var failures error
 	for _, address := range c.Address {
-		content, status, err := exchange(ctx, client, http.MethodGet, address+"/explain/"+url.PathEscape(c.Call), nil, "")
+		content, status, err := doRequest(ctx, client, http.MethodGet, address+"/explain/"+url.PathEscape(c.Call), nil, "")
 		switch {
 		case err != nil:
 			failures = errors.Join(failures, err)
--- a/src/launcher/offline.go
+++ b/src/launcher/offline.go
@@ -17,16 +17,16 @@
 
 type checkCommand struct {
 	File string `arg:"" help:"File to check, in YAML." type:"existingfile"`
-	Kind string `help:"What the file holds." enum:"configuration,entry,control" default:"configuration"`
+	Kind string `help:"Kind of the file." enum:"configuration,entry,control" default:"configuration"`
 }
 
 type makeKeyCommand struct {
-	ID string `arg:"" help:"The key's id, unique in the configuration."`
+	ID string `arg:"" help:"ID of the key, unique in the configuration."`
 }
 
 type versionCommand struct{}
 
-// Run checks a file and prints nothing but its verdict.
+// Run checks a file and prints only whether it is valid.
 func (c *checkCommand) Run(console *console) error {
 	content, err := os.ReadFile(c.File)
 	if err != nil {
@@ -44,7 +44,7 @@
 	return nil
 }
 
-// Run makes a key; the secret is printed once and kept nowhere.
+// Run generates a key; the secret is printed once and not stored.
 func (c *makeKeyCommand) Run(console *console) error {
 	salt := make([]byte, saltBytes)
 	secret := make([]byte, secretBytes)
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// Run prints the version.
+// Run prints the version and the revision.
 func (c *versionCommand) Run(console *console) error {
 	_, err := fmt.Fprintf(console.out, "rosecroft %s %s\n", console.version, console.revision)
 	return err
--- a/src/launcher/operators.go
+++ b/src/launcher/operators.go
@@ -18,22 +18,22 @@
 )
 
 const (
-	maxResponse  = 64 << 20
-	pollInterval = 100 * time.Millisecond
-	yamlType     = "application/yaml"
+	maxResponseBytes = 64 << 20
+	pollInterval     = 100 * time.Millisecond
+	yamlType         = "application/yaml"
 )
 
-// controlFlags say which control instances to ask.
+// controlFlags are the control instances to which requests are sent.
 type controlFlags struct {
 	certificateFlags
-	Control []string `help:"Operators' addresses of control instances, tried in turn." default:"http://127.0.0.1:8082"`
+	Control []string `help:"Operator addresses of control instances, tried in turn." default:"http://127.0.0.1:8082"`
 }
 
 type applyCommand struct {
 	controlFlags
 	File     string        `arg:"" help:"Configuration file, in YAML." type:"existingfile"`
-	Operator string        `help:"Name recorded with the change; your login name where left out."`
-	Wait     time.Duration `help:"How long to wait until the version is in force everywhere." default:"4s"`
+	Operator string        `help:"Name recorded with the change; your login name by default."`
+	Wait     time.Duration `help:"Maximum time to wait until the version is in force everywhere." default:"4s"`
 }
 
 type statusCommand struct {
@@ -42,7 +42,7 @@
 
 type dumpCommand struct {
 	certificateFlags
-	Address string `arg:"" help:"Operators' address of the process, such as http://127.0.0.1:8082."`
+	Address string `arg:"" help:"Operator address of the process, such as http://127.0.0.1:8082."`
 }
 
 // Run submits a configuration and waits until it is in force.
@@ -52,7 +52,7 @@
 		return fmt.Errorf("read the configuration: %w", err)
 	}
 	result := &messages.SubmissionResult{}
-	err = c.ask(ctx, http.MethodPut, "/v1/configuration", document, operatorName(c.Operator), result)
+	err = c.requestWithRetry(ctx, http.MethodPut, "/v1/configuration", document, operatorName(c.Operator), result)
 	if err != nil {
 		return err
 	}
@@ -71,8 +71,8 @@
 	defer cancel()
 	status := &messages.Status{}
 	for {
-		err := c.ask(ctx, http.MethodGet, "/v1/status", nil, "", status)
-		if err == nil && inForce(status, version) {
+		err := c.requestWithRetry(ctx, http.MethodGet, "/v1/status", nil, "", status)
+		if err == nil && isInForce(status, version) {
 			printStatus(console, status)
 			return nil
 		}
@@ -88,14 +88,14 @@
 	}
 }
 
-func inForce(status *messages.Status, version uint64) bool {
+func isInForce(status *messages.Status, version uint64) bool {
 	return status.GetAcceptedVersion() >= version && status.GetEntries() > 0 && status.GetInForce() == status.GetEntries()
 }
 
 // Run prints the fleet's status.
 func (c *statusCommand) Run(ctx context.Context, console *console) error {
 	status := &messages.Status{}
-	if err := c.ask(ctx, http.MethodGet, "/v1/status", nil, "", status); err != nil {
+	if err := c.requestWithRetry(ctx, http.MethodGet, "/v1/status", nil, "", status); err != nil {
 		return err
 	}
 	printStatus(console, status)
@@ -119,7 +119,7 @@
 	if err != nil {
 		return err
 	}
-	content, status, err := exchange(ctx, client, http.MethodGet, c.Address+"/dump", nil, "")
+	content, status, err := doRequest(ctx, client, http.MethodGet, c.Address+"/dump", nil, "")
 	if err != nil {
 		return err
 	}
@@ -130,9 +130,9 @@
 	return err
 }
 
-// ask sends a request to the control instances until one answers. Asking again
-// does no harm, since a submission that comes twice gets its first outcome.
-func (f *controlFlags) ask(ctx context.Context, method, path string, body []byte, operator string, answer proto.Message) error {
+// requestWithRetry sends a request to the control instances in turn until one answers or
+// the timeout expires. Retries are safe: a repeated submission returns its first outcome.
+func (f *controlFlags) requestWithRetry(ctx context.Context, method, path string, body []byte, operator string, answer proto.Message) error {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	client, err := f.client()
@@ -140,7 +140,7 @@
 		return err
 	}
 	for {
-		err := f.askEach(ctx, client, method, path, body, operator, answer)
+		err := f.requestAny(ctx, client, method, path, body, operator, answer)
 		if err == nil {
 			return nil
 		}
@@ -152,10 +152,11 @@
 	}
 }
 
-func (f *controlFlags) askEach(ctx context.Context, client *http.Client, method, path string, body []byte, operator string, answer proto.Message) error {
+// requestAny sends a request to each control instance until one answers.
+func (f *controlFlags) requestAny(ctx context.Context, client *http.Client, method, path string, body []byte, operator string, answer proto.Message) error {
 	var failures error
 	for _, address := range f.Control {
-		content, status, err := exchange(ctx, client, method, address+path, body, operator)
+		content, status, err := doRequest(ctx, client, method, address+path, body, operator)
 		if err == nil && status == http.StatusServiceUnavailable {
 			err = fmt.Errorf("%s: %s", address, content)
 		}
@@ -170,28 +171,28 @@
 			continue
 		}
 		if err := protojson.Unmarshal(content, answer); err != nil {
-			return fmt.Errorf("read the answer of %s: %w; use the same version on both sides", address, err)
+			return fmt.Errorf("decode the response of %s: %w; use the same version on both sides", address, err)
 		}
 		return nil
 	}
 	return failures
 }
 
-func exchange(ctx context.Context, client *http.Client, method, address string, body []byte, operator string) ([]byte, int, error) {
+func doRequest(ctx context.Context, client *http.Client, method, address string, body []byte, operator string) ([]byte, int, error) {
 	request, err := http.NewRequestWithContext(ctx, method, address, bytes.NewReader(body))
 	if err != nil {
-		return nil, 0, fmt.Errorf("form the request to %s: %w", address, err)
+		return nil, 0, fmt.Errorf("create the request to %s: %w", address, err)
 	}
 	request.Header.Set("Content-Type", yamlType)
 	request.Header.Set("Rosecroft-Operator", operator)
 	response, err := client.Do(request)
 	if err != nil {
-		return nil, 0, fmt.Errorf("ask %s: %w", address, err)
+		return nil, 0, fmt.Errorf("send the request to %s: %w", address, err)
 	}
 	defer func() { _ = response.Body.Close() }()
-	content, err := io.ReadAll(io.LimitReader(response.Body, maxResponse))
+	content, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
-		return nil, 0, fmt.Errorf("read the answer of %s: %w", address, err)
+		return nil, 0, fmt.Errorf("read the response of %s: %w", address, err)
 	}
 	return content, response.StatusCode, nil
 }
--- a/src/launcher/options.go
+++ b/src/launcher/options.go
@@ -16,53 +16,53 @@
 	"github.com/rosecroft/rosecroft/src/parser"
 )
 
-// ExitCode is what the shell sees.
+// ExitCode is the exit code of the process.
 type ExitCode int
 
 // The exit codes.
 const (
 	ExitOK ExitCode = iota
-	// ExitFailed means that the command was tried and failed.
+	// ExitFailed means that the command failed.
 	ExitFailed
-	// ExitUsage means that the command line is wrong.
+	// ExitUsage means that the command line is invalid.
 	ExitUsage
-	// ExitInvalid means that a file is wrong.
+	// ExitInvalid means that a configuration or settings file is invalid.
 	ExitInvalid
 	// ExitRefused means that control refused the change.
 	ExitRefused
-	// ExitPortInUse means that a listener's address is taken.
+	// ExitPortInUse means that a listener's address is in use.
 	ExitPortInUse
 	// ExitDisk means that a folder or file cannot be written.
 	ExitDisk
 )
 
-// exitCodes goes into the help.
+// exitCodes is the description of the exit codes in the help.
 const exitCodes = `Exit codes: 0 done, 1 failed, 2 wrong command line, 3 wrong file, 4 refused by control, 5 address in use, 6 folder or file cannot be written.`
 
-// options is the whole command line.
+// options are the commands and flags of the command line.
 type options struct {
-	Entry   entryCommand   `cmd:"" group:"Processes" help:"Run an entry instance: take calls and bring them to upstreams."`
-	Control controlCommand `cmd:"" group:"Processes" help:"Run a control instance: keep the configuration and order the fleet."`
-	Run     runCommand     `cmd:"" group:"Processes" help:"Run control and an entry in one process, for a first try on one machine."`
+	Entry   entryCommand   `cmd:"" group:"Processes" help:"Run an entry instance: accept calls and forward them to upstreams."`
+	Control controlCommand `cmd:"" group:"Processes" help:"Run a control instance: replicate the configuration and manage the fleet."`
+	Run     runCommand     `cmd:"" group:"Processes" help:"Run control and an entry in one process, to try the system on one machine."`
 
-	Apply  applyCommand  `cmd:"" group:"Operators" help:"Submit a whole configuration."`
-	Status statusCommand `cmd:"" group:"Operators" help:"Print which version is accepted and where it is in force."`
-	Dump   dumpCommand   `cmd:"" group:"Operators" help:"Print one process's state."`
+	Apply  applyCommand  `cmd:"" group:"Operators" help:"Submit a complete configuration."`
+	Status statusCommand `cmd:"" group:"Operators" help:"Print the accepted version and the entries in which it is not in force."`
+	Dump   dumpCommand   `cmd:"" group:"Operators" help:"Print the state of a process."`
 
-	Explain explainCommand `cmd:"" group:"Operators" help:"Print what was decided about a recent call."`
+	Explain explainCommand `cmd:"" group:"Operators" help:"Print the decisions about a recent call."`
 
-	MakeCertificates makeCertificatesCommand `cmd:"" group:"Offline" help:"Make an authority and certificates for a first set-up."`
+	MakeCertificates makeCertificatesCommand `cmd:"" group:"Offline" help:"Generate a certificate authority and certificates for an initial setup."`
 
 	Check   checkCommand   `cmd:"" group:"Offline" help:"Check a configuration or settings file."`
-	MakeKey makeKeyCommand `cmd:"" group:"Offline" help:"Make an API key and the lines that configure it."`
+	MakeKey makeKeyCommand `cmd:"" group:"Offline" help:"Generate an API key and its configuration."`
 	Version versionCommand `cmd:"" group:"Offline" help:"Print the version."`
 
-	RecoverControl recoverControlCommand `cmd:"" group:"Offline" help:"Go on with one control instance after a majority of the voters is lost for ever."`
+	RecoverControl recoverControlCommand `cmd:"" group:"Offline" help:"Continue with one control instance after the permanent loss of a majority of the voters."`
 
 	ShowVersion kong.VersionFlag `name:"version" help:"Print the version."`
 }
 
-// console is where commands print.
+// console holds the output streams of commands and the version that they print.
 type console struct {
 	out      io.Writer
 	err      io.Writer
@@ -70,7 +70,7 @@
 	revision string
 }
 
-// ExitError carries an exit code with its cause.
+// ExitError is an error with the exit code for it.
 type ExitError struct {
 	Code ExitCode
 	Err  error
@@ -82,7 +82,7 @@
 // Unwrap returns the cause.
 func (e *ExitError) Unwrap() error { return e.Err }
 
-// Run runs the command line and returns the exit code.
+// Run parses the arguments, runs the command and returns the exit code.
 func Run(arguments []string, version, revision string, out, errOut io.Writer) ExitCode {
 	exited := false
 	command, err := kong.New(&options{},
@@ -116,10 +116,10 @@
 		version:  version,
 		revision: revision,
 	})
-	return report(parsed.Run(), errOut)
+	return reportResult(parsed.Run(), errOut)
 }
 
-func report(err error, errOut io.Writer) ExitCode {
+func reportResult(err error, errOut io.Writer) ExitCode {
 	if err == nil {
 		return ExitOK
 	}
@@ -133,13 +133,13 @@
 		return ExitInvalid
 	case errors.Is(err, syscall.EADDRINUSE):
 		return ExitPortInUse
-	case isDisk(err):
+	case isDiskError(err):
 		return ExitDisk
 	}
 	return ExitFailed
 }
 
-func isDisk(err error) bool {
+func isDiskError(err error) bool {
 	for _, cause := range []error{fs.ErrPermission, syscall.EROFS, syscall.ENOSPC, syscall.ENOTDIR, syscall.EDQUOT} {
 		if errors.Is(err, cause) {
 			return true
--- a/src/launcher/processes.go
+++ b/src/launcher/processes.go
@@ -22,13 +22,13 @@
 }
 
 type runCommand struct {
-	DataFolder string `help:"Folder for the state." default:"rosecroft-data"`
-	Callers    string `help:"Address for callers." default:"127.0.0.1:8080"`
-	Upstreams  string `help:"Address for announcements." default:"127.0.0.1:8081"`
-	Operators  string `help:"Address for operators." default:"127.0.0.1:8082"`
+	DataFolder string `help:"Folder for the data of control." default:"rosecroft-data"`
+	Callers    string `help:"Listening address for callers." default:"127.0.0.1:8080"`
+	Upstreams  string `help:"Listening address for announcements of upstreams." default:"127.0.0.1:8081"`
+	Operators  string `help:"Listening address for operators." default:"127.0.0.1:8082"`
 }
 
-// Run runs an entry until it is told to stop.
+// Run runs an entry until ctx is cancelled.
 func (c *entryCommand) Run(ctx context.Context, console *console) error {
 	settings, err := readSettings(c.Settings, parser.Entry)
 	if err != nil {
@@ -37,7 +37,7 @@
 	return runEntry(ctx, console, settings)
 }
 
-// Run runs a control instance until it is told to stop.
+// Run runs a control instance until ctx is cancelled.
 func (c *controlCommand) Run(ctx context.Context, console *console) error {
 	settings, err := readSettings(c.Settings, parser.Control)
 	if err != nil {
@@ -142,7 +142,7 @@
 func listen(l parser.Listener) (net.Listener, error) {
 	listener, err := net.Listen("tcp", l.Listen)
 	if err != nil {
-		return nil, fmt.Errorf("listen on %s: %w; choose a free port or stop the process that holds it", l.Listen, err)
+		return nil, fmt.Errorf("listen on %s: %w; choose a free port or stop the process that uses it", l.Listen, err)
 	}
 	return listener, nil
 }
--- a/src/launcher/recovery.go
+++ b/src/launcher/recovery.go
@@ -10,12 +10,12 @@
 )
 
 type recoverControlCommand struct {
-	Settings string           `arg:"" help:"Settings file of the stopped control instance that is to go on." type:"existingfile"`
-	Log      string           `help:"Id of the log, as the instance's dump or its last start showed it." required:""`
-	Lost     []units.Instance `help:"Every voter whose disk is lost for ever." required:""`
+	Settings string           `arg:"" help:"Settings file of the stopped control instance to continue with." type:"existingfile"`
+	Log      string           `help:"ID of the log, from the instance's dump or its log of the last start." required:""`
+	Lost     []units.Instance `help:"All voters whose disks are permanently lost." required:""`
 }
 
-// Run makes the instance the only voter, after a majority was lost for ever.
+// Run makes the instance the only voter after the permanent loss of a majority.
 func (c *recoverControlCommand) Run(ctx context.Context, console *console) error {
 	settings, err := readSettings(c.Settings, parser.Control)
 	if err != nil {
--- a/src/launcher/wire.go
+++ b/src/launcher/wire.go
@@ -10,7 +10,7 @@
 	"github.com/rosecroft/rosecroft/src/parser"
 )
 
-// shared provides what every process is built from.
+// shared provides the dependencies that control and entries have in common.
 var shared = wire.NewSet(newMeter, newClient)
 
 func buildControl(console *console, settings *parser.Settings) (*control.Control, func(), error) {
--- a/src/launcher/wire_gen.go
+++ b/src/launcher/wire_gen.go
@@ -61,5 +61,5 @@
 
 // wire.go:
 
-// shared provides what every process is built from.
+// shared provides the dependencies that control and entries have in common.
 var shared = wire.NewSet(newMeter, newClient)
--- a/src/parser/configuration.go
+++ b/src/parser/configuration.go
@@ -7,28 +7,28 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// ServiceKind tells how the system talks to a service's upstreams.
+// ServiceKind determines the protocol between the system and a service's upstreams.
 type ServiceKind string
 
 // The kinds of service.
 const (
-	// ModelService is a pool of language model engines.
+	// ModelService is a pool of engines that serve language models.
 	ModelService ServiceKind = "model"
 	// PlainService is an application that answers HTTP requests.
 	PlainService ServiceKind = "plain"
 )
 
-// Policy names a way to choose an upstream.
+// Policy names a load balancing policy, which selects the upstream for a call.
 type Policy string
 
-// The policies that a service can name.
+// The load balancing policies.
 const (
 	PrefixCost  Policy = "prefix-cost"
 	RoundRobin  Policy = "round-robin"
 	LeastLoaded Policy = "least-loaded"
 )
 
-// Configuration is one whole configuration as operators submit it.
+// Configuration is one complete configuration as operators submit it.
 type Configuration struct {
 	Version        units.Version   `yaml:"version"`
 	Brands         []Brand         `yaml:"brands"`
@@ -38,7 +38,7 @@
 	Fleet          Fleet           `yaml:"fleet"`
 }
 
-// Brand is one name that the service is resold under.
+// Brand is one name under which the services are resold.
 type Brand struct {
 	Name   units.Brand `yaml:"name"`
 	Hosts  []string    `yaml:"hosts"`
@@ -50,22 +50,22 @@
 	Name  units.Account `yaml:"name"`
 	Brand units.Brand   `yaml:"brand"`
 	Keys  []Key         `yaml:"keys"`
-	// Weight is the account's part under contention, 1 where left out.
+	// Weight is the account's relative share of capacity under contention; the default is 1.
 	Weight float64 `yaml:"weight"`
-	// Priority 0 is shed last.
+	// Priority 0 is the highest: its calls are shed last.
 	Priority int    `yaml:"priority"`
 	Limits   Limits `yaml:"limits"`
 }
 
-// Key is one API key, "ID.SECRET", of which only a salted hash is known.
+// Key is one API key, "ID.SECRET". The configuration holds only a salted hash of the secret.
 type Key struct {
 	ID string `yaml:"id"`
-	// Salt and SHA256 are in hexadecimal.
+	// Salt and SHA256 are hexadecimal.
 	Salt   string `yaml:"salt"`
 	SHA256 string `yaml:"sha256"`
 }
 
-// Limits bounds what is admitted over all entries; 0 means no limit.
+// Limits bounds what all entries together admit; 0 means no limit.
 type Limits struct {
 	RequestsPerSecond float64 `yaml:"requests-per-second"`
 	TokensPerSecond   float64 `yaml:"tokens-per-second"`
@@ -77,11 +77,11 @@
 	Name   units.Service `yaml:"name"`
 	Kind   ServiceKind   `yaml:"kind"`
 	Brands []units.Brand `yaml:"brands"`
-	// Models are the names that callers write; for model services only.
+	// Models are the model names in requests; for model services only.
 	Models []units.Model `yaml:"models"`
-	// ModelVersion is the version that engines must serve; empty takes any.
+	// ModelVersion is the version that engines must serve; empty allows any.
 	ModelVersion units.ModelVersion `yaml:"model-version"`
-	// NextVersion is loaded step by step while both are in service.
+	// NextVersion replaces ModelVersion gradually; meanwhile both versions are in service.
 	NextVersion units.ModelVersion `yaml:"next-version"`
 	Fleet       ServiceFleet       `yaml:"fleet"`
 	// Route is the path prefix of a plain service.
@@ -89,40 +89,40 @@
 	Upstreams UpstreamRule  `yaml:"upstreams"`
 	Policy    Policy        `yaml:"policy"`
 	Deadline  time.Duration `yaml:"deadline"`
-	// Calls are the exceptions to what a call's method says about repeating it.
+	// Calls override whether calls are repeatable, which their method decides otherwise.
 	Calls  []CallRule `yaml:"calls"`
 	Limits Limits     `yaml:"limits"`
 	Target Target     `yaml:"target"`
 }
 
-// UpstreamRule says which announced upstreams a service may use; an empty list takes all.
+// UpstreamRule restricts which announced upstreams a service may use; an empty list allows all.
 type UpstreamRule struct {
 	DataCentres    []units.DataCentre   `yaml:"data-centres"`
 	MachineClasses []units.MachineClass `yaml:"machine-classes"`
-	// Names are shell patterns over the upstreams' names.
+	// Names are shell patterns that upstream names must match.
 	Names []string `yaml:"names"`
 }
 
-// CallRule says whether calls of one method below one path may be repeated.
+// CallRule states whether calls with a method and a path prefix are repeatable.
 type CallRule struct {
 	Method     string `yaml:"method"`
 	Path       string `yaml:"path"`
 	Repeatable bool   `yaml:"repeatable"`
 }
 
-// Target is the latency that 95 of 100 calls should see.
+// Target is the latency target for the 95th percentile of calls.
 type Target struct {
 	FirstToken    time.Duration `yaml:"first-token"`
 	BetweenTokens time.Duration `yaml:"between-tokens"`
 }
 
-// Record bounds what is kept of answered calls for resends.
+// Record bounds the answers of completed calls that are retained for resent requests.
 type Record struct {
 	KeepFor   time.Duration `yaml:"keep-for"`
 	KeepBytes int64         `yaml:"keep-bytes"`
 }
 
-// Defaults for what a configuration leaves out.
+// Defaults for omitted values of a configuration.
 const (
 	defaultDeadline      = 60 * time.Second
 	defaultFirstToken    = time.Second
@@ -131,7 +131,7 @@
 	defaultKeepBytes     = 64 << 20
 )
 
-// ParseConfiguration returns a whole valid configuration, or Problems.
+// ParseConfiguration returns a complete, valid configuration, or an error of type Problems.
 func ParseConfiguration(file string, content []byte) (*Configuration, error) {
 	c := &Configuration{}
 	d := decode(file, content, c)
@@ -169,8 +169,9 @@
 	return value
 }
 
-// Repeatable says whether a call may run more than once: by its longest
-// matching rule, else by its method, and for model services always.
+// Repeatable reports whether a call may run more than once. The rule with the
+// longest matching path decides; without a match, all calls of model services and
+// calls with an idempotent method are repeatable.
 func (s *Service) Repeatable(method, path string) bool {
 	longest := -1
 	repeatable := s.Kind == ModelService || method == "GET" || method == "HEAD" || method == "PUT" || method == "DELETE"
--- a/src/parser/configuration_test.go
+++ b/src/parser/configuration_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-func TestProblemsNameTheirPlace(t *testing.T) {
+func TestProblemsReportPositions(t *testing.T) {
 	cases := map[string]struct {
 		document string
 		want     []string
@@ -32,13 +32,13 @@
 		},
 		"duplicate key": {
 			document: "version: 1\nversion: 2\n",
-			want:     []string{`f:2:1: version: "version" is not allowed: each key once`},
+			want:     []string{`f:2:1: version: "version" is not allowed: each key at most once`},
 		},
 		"bad duration": {
 			document: "version: 1\nrecord:\n  keep-for: 10\n",
 			want:     []string{`f:3:13: record.keep-for: "10" is not allowed: a duration`},
 		},
-		"dangling brand and bad kind at once": {
+		"unknown brand and invalid kind": {
 			document: "version: 1\nservices:\n  - name: a\n    kind: b\n    brands: [c]\n",
 			want: []string{
 				`f:4:11: services[0].kind: "b" is not allowed`,
@@ -51,22 +51,22 @@
 				"  - {name: c, kind: plain, brands: [b], route: /x/y}\n",
 			want: []string{`f:5:48: services[1].route: "/x/y" is not allowed`},
 		},
-		"bad duration and dangling brand at once": {
+		"bad duration and unknown brand": {
 			document: "version: 1\nrecord:\n  keep-for: 10\nclient-accounts:\n  - {name: a, brand: b}\n",
 			want: []string{
 				`f:3:13: record.keep-for: "10" is not allowed`,
 				`f:5:22: client-accounts[0].brand: "b" is not allowed`,
 			},
 		},
-		"brands misread hide no accounts": {
+		"accounts of undecodable brands": {
 			document: "version: 1\nbrands: b\nclient-accounts:\n  - {name: a, brand: b}\n",
 			want:     []string{`f:2:9: brands: "b" is not allowed: a list`},
 		},
-		"endless rate": {
+		"infinite rate": {
 			document: "version: 1\nbrands: [{name: b}]\nclient-accounts:\n  - {name: a, brand: b, limits: {requests-per-second: inf}}\n",
-			want:     []string{`f:4:55: client-accounts[0].limits.requests-per-second: "inf" is not allowed: a number from 0`},
+			want:     []string{`f:4:55: client-accounts[0].limits.requests-per-second: "inf" is not allowed: a number of at least 0`},
 		},
-		"host in capitals": {
+		"host in upper case": {
 			document: "version: 1\nbrands: [{name: b, hosts: [A.example]}]\n",
 			want:     []string{`f:2:28: brands[0].hosts[0]: "A.example" is not allowed: a host name in lower case`},
 		},
--- a/src/parser/decoder.go
+++ b/src/parser/decoder.go
@@ -15,33 +15,33 @@
 	"github.com/goccy/go-yaml/token"
 )
 
-// maxDocument bounds a document's size in bytes.
-const maxDocument = 8 << 20
+const maxDocumentBytes = 8 << 20
 
 var durationType = reflect.TypeFor[time.Duration]()
 
-// document is a YAML document under decoding with the places of its values.
+// document is a YAML document that is being decoded and validated.
 type document struct {
-	file     string
-	places   map[string]token.Position
-	problems Problems
-	// unreadable says that nothing of the document was decoded.
+	file string
+	// positions maps paths of values, such as "services[0].route", to their positions.
+	positions map[string]token.Position
+	problems  Problems
+	// unreadable reports that nothing of the document was decoded.
 	unreadable bool
-	// decoded is how many of the problems the decoder found; a value below one
-	// of these places was never read, so that validation must not judge it.
-	decoded int
+	// decoderProblems is the number of leading problems that the decoder found. The
+	// values at and below their paths were not decoded, so validation must skip them.
+	decoderProblems int
 }
 
-// decode fills target from content and reports everything that does not fit.
+// decode decodes content into target and records a problem for each value that does not fit.
 func decode(file string, content []byte, target any) *document {
 	d := &document{
 		file:       file,
-		places:     make(map[string]token.Position),
+		positions:  make(map[string]token.Position),
 		unreadable: true,
 	}
-	if len(content) > maxDocument {
+	if len(content) > maxDocumentBytes {
 		d.report("document", fmt.Sprintf("%d bytes", len(content)),
-			fmt.Sprintf("at most %d bytes", maxDocument), "split the deployment")
+			fmt.Sprintf("at most %d bytes", maxDocumentBytes), "split the deployment")
 		return d
 	}
 	tree, err := yamlparser.ParseBytes(content, 0, yamlparser.AllowDuplicateMapKey())
@@ -51,12 +51,12 @@
 	}
 	if len(tree.Docs) != 1 || tree.Docs[0].Body == nil {
 		d.report("document", fmt.Sprintf("%d documents", len(tree.Docs)),
-			"exactly one document that is not empty", "write one document in the file")
+			"exactly one non-empty document", "write one document in the file")
 		return d
 	}
 	d.unreadable = false
-	d.fill("", tree.Docs[0].Body, reflect.ValueOf(target).Elem())
-	d.decoded = len(d.problems)
+	d.decodeValue("", tree.Docs[0].Body, reflect.ValueOf(target).Elem())
+	d.decoderProblems = len(d.problems)
 	return d
 }
 
@@ -70,7 +70,7 @@
 		Remedy:  "correct the syntax",
 	}
 	var syntax *yaml.SyntaxError
-	if asSyntax(err, &syntax) {
+	if asSyntaxError(err, &syntax) {
 		problem.Line = syntax.Token.Position.Line
 		problem.Column = syntax.Token.Position.Column
 		problem.Value = syntax.Message
@@ -78,16 +78,17 @@
 	d.problems = append(d.problems, problem)
 }
 
-// report adds a problem at the place of path or of its nearest parent.
+// report records a problem at the position of path or of its nearest known parent.
+// Problems with values that could not be decoded are dropped.
 func (d *document) report(path, value, allowed, remedy string) {
-	if d.misread(path) {
+	if d.isUndecodable(path) {
 		return
 	}
-	place := d.place(path)
+	position := d.position(path)
 	d.problems = append(d.problems, &Problem{
 		File:    d.file,
-		Line:    place.Line,
-		Column:  place.Column,
+		Line:    position.Line,
+		Column:  position.Column,
 		Path:    path,
 		Value:   value,
 		Allowed: allowed,
@@ -95,18 +96,18 @@
 	})
 }
 
-// misread reports whether the decoder refused the value at path or around it.
-func (d *document) misread(path string) bool {
-	return slices.ContainsFunc(d.problems[:d.decoded], func(problem *Problem) bool {
-		rest, below := strings.CutPrefix(path, problem.Path)
-		return below && (rest == "" || problem.Path == "" || rest[0] == '.' || rest[0] == '[')
+// isUndecodable reports whether the decoder rejected the value at path or one that contains it.
+func (d *document) isUndecodable(path string) bool {
+	return slices.ContainsFunc(d.problems[:d.decoderProblems], func(problem *Problem) bool {
+		rest, hasPrefix := strings.CutPrefix(path, problem.Path)
+		return hasPrefix && (rest == "" || problem.Path == "" || rest[0] == '.' || rest[0] == '[')
 	})
 }
 
-func (d *document) place(path string) token.Position {
+func (d *document) position(path string) token.Position {
 	for path != "" {
-		if place, known := d.places[path]; known {
-			return place
+		if position, known := d.positions[path]; known {
+			return position
 		}
 		path = path[:max(strings.LastIndexAny(path, ".["), 0)]
 	}
@@ -116,78 +117,78 @@
 	}
 }
 
-func (d *document) fill(path string, node ast.Node, target reflect.Value) {
+func (d *document) decodeValue(path string, node ast.Node, target reflect.Value) {
 	if tag, tagged := node.(*ast.TagNode); tagged {
 		node = tag.Value
 	}
-	d.places[path] = *node.GetToken().Position
+	d.positions[path] = *node.GetToken().Position
 	switch {
 	case target.Type() == durationType:
-		d.fillDuration(path, node, target)
+		d.decodeDuration(path, node, target)
 	case target.Kind() == reflect.Pointer:
 		target.Set(reflect.New(target.Type().Elem()))
-		d.fill(path, node, target.Elem())
+		d.decodeValue(path, node, target.Elem())
 	case target.Kind() == reflect.Struct:
-		d.fillStruct(path, node, target)
+		d.decodeStruct(path, node, target)
 	case target.Kind() == reflect.Slice:
-		d.fillSlice(path, node, target)
+		d.decodeSlice(path, node, target)
 	default:
-		d.fillScalar(path, node, target)
+		d.decodeScalar(path, node, target)
 	}
 }
 
-func (d *document) fillStruct(path string, node ast.Node, target reflect.Value) {
-	pairs, ok := mapping(node)
+func (d *document) decodeStruct(path string, node ast.Node, target reflect.Value) {
+	pairs, ok := mappingPairs(node)
 	if !ok {
-		d.report(path, text(node), "a mapping", "indent its keys below it")
+		d.report(path, nodeText(node), "a mapping", "write its keys indented below it")
 		return
 	}
 	fields := fieldsByKey(target)
 	seen := make(map[string]bool)
 	for _, pair := range pairs {
 		key := pair.Key.GetToken().Value
-		inner := join(path, key)
+		fieldPath := joinPath(path, key)
 		field, known := fields[key]
 		switch {
 		case !known:
-			d.places[inner] = *pair.Key.GetToken().Position
-			d.report(inner, key, "one of the keys "+keyList(target.Type()), "correct or remove the key")
+			d.positions[fieldPath] = *pair.Key.GetToken().Position
+			d.report(fieldPath, key, "one of the keys "+keyList(target.Type()), "correct or remove the key")
 		case seen[key]:
-			d.places[inner] = *pair.Key.GetToken().Position
-			d.report(inner, key, "each key once", "remove the second one")
+			d.positions[fieldPath] = *pair.Key.GetToken().Position
+			d.report(fieldPath, key, "each key at most once", "remove the second one")
 		default:
-			d.fill(inner, pair.Value, field)
+			d.decodeValue(fieldPath, pair.Value, field)
 		}
 		seen[key] = true
 	}
 }
 
-func (d *document) fillSlice(path string, node ast.Node, target reflect.Value) {
+func (d *document) decodeSlice(path string, node ast.Node, target reflect.Value) {
 	sequence, ok := node.(*ast.SequenceNode)
 	if !ok {
-		d.report(path, text(node), "a list", "begin each item with '- '")
+		d.report(path, nodeText(node), "a list", "start each item with '- '")
 		return
 	}
 	items := reflect.MakeSlice(target.Type(), len(sequence.Values), len(sequence.Values))
 	for i, value := range sequence.Values {
-		d.fill(fmt.Sprintf("%s[%d]", path, i), value, items.Index(i))
+		d.decodeValue(fmt.Sprintf("%s[%d]", path, i), value, items.Index(i))
 	}
 	target.Set(items)
 }
 
-func (d *document) fillDuration(path string, node ast.Node, target reflect.Value) {
-	parsed, err := time.ParseDuration(text(node))
+func (d *document) decodeDuration(path string, node ast.Node, target reflect.Value) {
+	parsed, err := time.ParseDuration(nodeText(node))
 	if err != nil || parsed < 0 {
-		d.report(path, text(node), "a duration such as 500ms, 2s or 1m30s", "write the number with its unit")
+		d.report(path, nodeText(node), "a duration such as 500ms, 2s or 1m30s", "write the number with its unit")
 		return
 	}
 	target.SetInt(int64(parsed))
 }
 
-func (d *document) fillScalar(path string, node ast.Node, target reflect.Value) {
-	value := text(node)
+func (d *document) decodeScalar(path string, node ast.Node, target reflect.Value) {
+	value := nodeText(node)
 	if _, scalar := node.(ast.ScalarNode); !scalar {
-		d.report(path, value, "a single value", "write the value on the key's line")
+		d.report(path, value, "a scalar value", "write the value on the line of its key")
 		return
 	}
 	switch target.Kind() {
@@ -203,30 +204,30 @@
 	case reflect.Int, reflect.Int64:
 		parsed, err := strconv.ParseInt(value, 10, 64)
 		if err != nil || parsed < 0 {
-			d.report(path, value, "a whole number from 0", "write it in digits")
+			d.report(path, value, "an integer of at least 0", "write it in digits")
 			return
 		}
 		target.SetInt(parsed)
 	case reflect.Uint64:
 		parsed, err := strconv.ParseUint(value, 10, 64)
 		if err != nil {
-			d.report(path, value, "a whole number from 0", "write it in digits")
+			d.report(path, value, "an integer of at least 0", "write it in digits")
 			return
 		}
 		target.SetUint(parsed)
 	case reflect.Float64:
 		parsed, err := strconv.ParseFloat(value, 64)
 		if err != nil || parsed < 0 || math.IsNaN(parsed) || math.IsInf(parsed, 0) {
-			d.report(path, value, "a number from 0", "write it in digits")
+			d.report(path, value, "a number of at least 0", "write it in digits")
 			return
 		}
 		target.SetFloat(parsed)
 	default:
-		panic("parser: no rule for a field of kind " + target.Kind().String())
+		panic("parser: unsupported field kind " + target.Kind().String())
 	}
 }
 
-func mapping(node ast.Node) ([]*ast.MappingValueNode, bool) {
+func mappingPairs(node ast.Node) ([]*ast.MappingValueNode, bool) {
 	switch n := node.(type) {
 	case *ast.MappingNode:
 		return n.Values, true
@@ -252,7 +253,7 @@
 	return strings.Join(keys, ", ")
 }
 
-func text(node ast.Node) string {
+func nodeText(node ast.Node) string {
 	switch n := node.(type) {
 	case *ast.StringNode:
 		return n.Value
@@ -268,7 +269,7 @@
 	return node.GetToken().Value
 }
 
-func join(path, key string) string {
+func joinPath(path, key string) string {
 	if path == "" {
 		return key
 	}
--- a/src/parser/deployment.go
+++ b/src/parser/deployment.go
@@ -8,84 +8,87 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// Deployment is what one process is told where upstreams announce themselves to
-// control and control instances find each other from a few seeds.
+// Deployment is the settings of one process on a managed platform, where upstreams
+// announce themselves to control and control instances discover each other through seeds.
 type Deployment struct {
 	Name       units.Instance   `yaml:"name"`
 	Address    string           `yaml:"address"`
 	DataCentre units.DataCentre `yaml:"data-centre"`
-	// Callers and Readiness are where an entry takes calls and tells the platform's
-	// balancer whether it wants any.
+	// Callers and Readiness are the addresses at which an entry accepts calls and
+	// answers the readiness checks of the platform's load balancer.
 	Callers   string `yaml:"callers"`
 	Readiness string `yaml:"readiness"`
-	// Operators is where control takes configurations and heartbeats.
+	// Operators is the address at which control receives configurations and heartbeats.
 	Operators  string `yaml:"operators"`
 	DataFolder string `yaml:"data-folder"`
-	// PeerPorts are the first and the last port for the system's own processes,
-	// the same on all instances.
+	// PeerPorts are the first and the last port for connections between the system's
+	// own processes, the same on all instances.
 	PeerPorts []int `yaml:"peer-ports"`
 	// Seeds are addresses of some control instances.
 	Seeds []string `yaml:"seeds"`
-	// FirstStart says that the whole system starts for the first time.
+	// FirstStart reports that the whole system starts for the first time.
 	FirstStart bool `yaml:"first-start"`
-	// LostDisks is how many disks may be lost at the same time.
+	// LostDisks is the number of simultaneous disk losses to tolerate.
 	LostDisks int `yaml:"lost-disks"`
-	// Memory is what a process may use, in MiB.
+	// Memory is the memory limit of a process in MiB.
 	Memory            int           `yaml:"memory"`
 	Descriptors       int           `yaml:"descriptors"`
 	HeartbeatInterval time.Duration `yaml:"heartbeat-interval"`
-	// Contact is how long an instance is in reach before its promises count again.
+	// Contact is how long an instance must be reachable before its guarantees apply again.
 	Contact time.Duration `yaml:"contact"`
-	// Revocation is how long after its removal a key may still be used anywhere.
+	// Revocation is the maximum time for which any entry may accept a key after its removal.
 	Revocation time.Duration `yaml:"revocation"`
-	// Drain is how long a process may go on after it is told to stop.
+	// Drain is how long a process may continue after the signal to stop.
 	Drain   time.Duration `yaml:"drain"`
 	Retries Retries       `yaml:"retries"`
 	Quota   Quota         `yaml:"quota"`
 	Usage   Usage         `yaml:"usage"`
-	// DutyLease is the span in which duties may not go back and forth.
+	// DutyLease is the period in which duties must not alternate between holders.
 	DutyLease time.Duration `yaml:"duty-lease"`
 	Rollouts  Rollouts      `yaml:"rollouts"`
 	Cloud     Cloud         `yaml:"cloud"`
 }
 
-// Retries bounds the attempts beyond the first over all entries.
+// Retries bounds the retries of all entries together: in any Window, their number is
+// at most Ratio times the number of calls, plus Slack.
 type Retries struct {
 	Ratio  float64       `yaml:"ratio"`
 	Window time.Duration `yaml:"window"`
 	Slack  float64       `yaml:"slack"`
 }
 
-// Quota says how limits of client accounts are judged.
+// Quota defines how the token limits of client accounts are judged: the tokens admitted
+// in any Window may exceed what rate and burst allow by the fraction Overage, plus Slack tokens.
 type Quota struct {
 	Window  time.Duration `yaml:"window"`
 	Overage float64       `yaml:"overage"`
 	Slack   float64       `yaml:"slack"`
 }
 
-// Rollouts bounds what a bad version may get while calls move to it.
+// Rollouts bounds how many calls a faulty version may receive during its roll-out.
 type Rollouts struct {
-	// ExposureShare is a part of all calls of the service until the time limit, and
-	// ExposureSlack a number of calls more.
+	// ExposureShare is a fraction of the service's calls within the roll-out's time limit;
+	// ExposureSlack is a number of calls allowed in addition.
 	ExposureShare float64 `yaml:"exposure-share"`
 	ExposureSlack float64 `yaml:"exposure-slack"`
-	// Resend is how long after an order the same one counts as sent again.
+	// Resend is the period after an order in which an identical one is taken for a resend of it.
 	Resend time.Duration `yaml:"resend"`
 }
 
-// Usage says how usage is reported.
+// Usage configures usage reports: the calls are counted per Window, and a window is reported
+// at most Lateness after its end.
 type Usage struct {
 	Window   time.Duration `yaml:"window"`
 	Lateness time.Duration `yaml:"lateness"`
 }
 
-// Cloud is the platform's interface for usage and orders; an empty address stands for none.
+// Cloud is the platform's API for usage reports and orders; an empty address means that there is none.
 type Cloud struct {
 	Address        string  `yaml:"address"`
 	CallsPerSecond float64 `yaml:"calls-per-second"`
 }
 
-// Defaults for what a deployment's settings leave out.
+// Defaults for omitted settings.
 const (
 	defaultHeartbeatInterval = time.Second
 	defaultContact           = 3 * time.Second
@@ -97,11 +100,11 @@
 	defaultMemory            = 256
 	defaultExposureShare     = 0.1
 	defaultResend            = 5 * time.Second
-	// peerPortsNeeded is how many ports the processes of one instance listen on.
-	peerPortsNeeded = 3
+	// minPeerPorts is the number of ports that the processes of one instance listen on.
+	minPeerPorts = 3
 )
 
-// ParseDeployment reads a process's settings; its error is of type Problems.
+// ParseDeployment returns the complete, valid settings of a process, or an error of type Problems.
 func ParseDeployment(file string, content []byte, role Role) (*Deployment, error) {
 	s := &Deployment{}
 	d := decode(file, content, s)
@@ -138,18 +141,18 @@
 		d.report("name", "", "a name", "name the instance")
 	}
 	if _, err := netip.ParseAddr(s.Address); err != nil {
-		d.report("address", s.Address, "an IP address", "give the address that other instances reach this one at")
+		d.report("address", s.Address, "an IP address", "set the address at which other instances reach this one")
 	}
-	if len(s.PeerPorts) != 2 || s.PeerPorts[1]-s.PeerPorts[0]+1 < peerPortsNeeded {
-		d.report("peer-ports", fmt.Sprint(s.PeerPorts), fmt.Sprintf("the first and last of at least %d ports", peerPortsNeeded),
-			"give a free range that is the same on all instances")
+	if len(s.PeerPorts) != 2 || s.PeerPorts[1]-s.PeerPorts[0]+1 < minPeerPorts {
+		d.report("peer-ports", fmt.Sprint(s.PeerPorts), fmt.Sprintf("the first and last of at least %d ports", minPeerPorts),
+			"set a free range that is the same on all instances")
 	}
 	if len(s.Seeds) == 0 {
-		d.report("seeds", "", "at least one address", "name some control instances")
+		d.report("seeds", "", "at least one address", "list the addresses of some control instances")
 	}
 	if share := s.Rollouts.ExposureShare; share < 0 || share > 1 || s.Rollouts.ExposureSlack < 0 {
 		d.report("rollouts", fmt.Sprint(s.Rollouts), "an exposure-share from 0 to 1 and an exposure-slack of 0 or more",
-			"give what a bad version may get of a service's calls")
+			"set how many of a service's calls a faulty version may receive")
 	}
 	for i, seed := range s.Seeds {
 		d.checkAddrPort(fmt.Sprintf("seeds[%d]", i), seed)
@@ -161,7 +164,7 @@
 	case Control:
 		d.checkAddrPort("operators", s.Operators)
 		if s.DataFolder == "" {
-			d.report("data-folder", "", "a folder on a disk", "name the folder that control may write to")
+			d.report("data-folder", "", "a folder on a disk", "set the folder that control writes its data to")
 		}
 	}
 }
@@ -172,20 +175,20 @@
 	}
 }
 
-// PeerAddress returns where the control process at a host answers other processes.
+// PeerAddress returns the address at which the control process on a host serves other processes.
 func (s *Deployment) PeerAddress(host string) string {
 	return fmt.Sprintf("%s:%d", host, s.PeerPorts[0])
 }
 
-// OwnPeerAddress returns where this process answers other processes.
+// OwnPeerAddress returns the address at which this process serves other processes.
 func (s *Deployment) OwnPeerAddress() string { return s.PeerAddress(s.Address) }
 
-// MetricsAddress returns where this process serves its metrics and its dump.
+// MetricsAddress returns the address at which this process serves its metrics and its dump.
 func (s *Deployment) MetricsAddress() string {
 	return fmt.Sprintf("%s:%d", s.Address, s.PeerPorts[0]+2)
 }
 
-// SeedPeers returns where the seeds answer other processes, in the order of the settings.
+// SeedPeers returns the addresses at which the seeds serve other processes, in the order of the settings.
 func (s *Deployment) SeedPeers() []string {
 	peers := make([]string, 0, len(s.Seeds))
 	for _, seed := range s.Seeds {
@@ -196,6 +199,6 @@
 	return peers
 }
 
-// Voters returns how many control instances carry the log, so that a majority
-// is left when as many disks are lost as may be.
+// Voters returns the number of control instances that vote in the replicated log:
+// the smallest of which a majority remains after the loss of LostDisks disks.
 func (s *Deployment) Voters() int { return 2*s.LostDisks + 1 }
--- a/src/parser/deployment_test.go
+++ b/src/parser/deployment_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-const deploymentText = `
+const deploymentDocument = `
 name: core-1
 address: 10.1.0.16
 data-centre: dc-a
@@ -24,9 +24,9 @@
 `
 
 func TestParseDeployment(t *testing.T) {
-	s, err := ParseDeployment("f", []byte(deploymentText), Control)
+	s, err := ParseDeployment("f", []byte(deploymentDocument), Control)
 	if err != nil {
-		t.Fatalf("settings: got %v, want none", err)
+		t.Fatalf("settings: got error %v, want none", err)
 	}
 	if got, want := s.Voters(), 5; got != want {
 		t.Errorf("voters: got %d, want %d", got, want)
@@ -39,7 +39,7 @@
 	}
 }
 
-func TestParseDeploymentRefuses(t *testing.T) {
+func TestParseDeploymentRejects(t *testing.T) {
 	cases := map[string]struct{ old, changed, want string }{
 		"no address":       {old: "address: 10.1.0.16\n", changed: "address: here\n", want: "address"},
 		"no seeds":         {old: `seeds: ["10.1.0.16:8229","10.2.0.7:8229"]`, changed: "seeds: []", want: "seeds"},
@@ -51,7 +51,7 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			_, err := ParseDeployment("f", []byte(strings.Replace(deploymentText, c.old, c.changed, 1)), Control)
+			_, err := ParseDeployment("f", []byte(strings.Replace(deploymentDocument, c.old, c.changed, 1)), Control)
 			var problems Problems
 			if !errors.As(err, &problems) || !strings.Contains(err.Error(), c.want) {
 				t.Errorf("error: got %v, want problems with %q", err, c.want)
--- a/src/parser/doc.go
+++ b/src/parser/doc.go
@@ -1,6 +1,6 @@
 // Package parser reads settings and configurations from YAML.
 //
-// It reports all problems of a document at once, each with its place, the
-// value, what is allowed and the remedy; a document with a problem yields
-// nothing.
+// All problems of a document are reported at once, each with its position, the
+// value, what is allowed and a remedy. A document with a problem is rejected as a
+// whole.
 package parser
--- a/src/parser/fleet.go
+++ b/src/parser/fleet.go
@@ -7,9 +7,9 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// Fleet is what the platform offers and what may be used of it.
+// Fleet is what the platform offers and how much of it may be used.
 type Fleet struct {
-	// Cloud is the base URL of the platform's cloud API; empty buys nothing.
+	// Cloud is the base URL of the platform's cloud API; if it is empty, no instances are bought.
 	Cloud          string         `yaml:"cloud"`
 	WeightStore    WeightStore    `yaml:"weight-store"`
 	DataCentres    []DataCentre   `yaml:"data-centres"`
@@ -17,14 +17,15 @@
 	ModelVersions  []Weights      `yaml:"model-versions"`
 }
 
-// WeightStore bounds what upstreams are told to load.
+// WeightStore bounds the concurrent loading of model weights by upstreams.
 type WeightStore struct {
-	// BytesPerSecond is the rate that all loads share; 0 means no limit.
+	// BytesPerSecond is the rate that all concurrent loads share; 0 means no limit.
 	BytesPerSecond int64 `yaml:"bytes-per-second"`
-	LoadsAtOnce    int   `yaml:"loads-at-once"`
+	// LoadsAtOnce is the maximum number of concurrent loads.
+	LoadsAtOnce int `yaml:"loads-at-once"`
 }
 
-// DataCentre is one data centre with what it sells.
+// DataCentre is one data centre and the machine classes that it offers.
 type DataCentre struct {
 	Name   units.DataCentre `yaml:"name"`
 	Region units.Region     `yaml:"region"`
@@ -36,43 +37,43 @@
 	Class    units.MachineClass `yaml:"class"`
 	Price    units.Price        `yaml:"price"`
 	OnDemand bool               `yaml:"on-demand"`
-	// ReclaimsPerHour is how often an instance is taken back on average.
+	// ReclaimsPerHour is the average rate at which the platform reclaims an instance.
 	ReclaimsPerHour float64 `yaml:"reclaims-per-hour"`
 }
 
 // MachineClass is one kind of machine.
 type MachineClass struct {
 	Name units.MachineClass `yaml:"name"`
-	// Slots is how many sequences a machine runs at once at the latency target.
+	// Slots is the number of sequences that a machine runs concurrently within the latency target.
 	Slots int `yaml:"slots"`
 }
 
-// Weights is one version's size in the weight store.
+// Weights is a model version and the size of its weights.
 type Weights struct {
 	Version units.ModelVersion `yaml:"version"`
 	Bytes   int64              `yaml:"bytes"`
 }
 
-// ServiceFleet says what control may do with a service's upstreams.
+// ServiceFleet configures how control manages a service's upstreams.
 type ServiceFleet struct {
-	// Orders lets control tell upstreams what to load.
+	// Orders allows control to order upstreams to load model versions.
 	Orders   bool     `yaml:"orders"`
 	Adapters []string `yaml:"adapters"`
 	Role     string   `yaml:"role"`
-	// Floor is how many upstreams must stay in service during a change.
+	// Floor is the minimum number of upstreams in service during a version change.
 	Floor int `yaml:"floor"`
-	// Slots is the least capacity to hold after the loss of any one data centre.
+	// Slots is the minimum capacity that must remain after the loss of any one data centre.
 	Slots int `yaml:"slots"`
-	// OnDemand is the least capacity on instances that are not reclaimed.
+	// OnDemand is the minimum capacity on instances that cannot be reclaimed.
 	OnDemand int `yaml:"on-demand"`
-	// Most is how many instances may be bought; 0 buys none.
+	// Most is the maximum number of bought instances; 0 disables buying.
 	Most int `yaml:"most"`
 }
 
-// defaultLoadsAtOnce is for a configuration that names no weight store.
+// defaultLoadsAtOnce applies where the configuration omits weight-store.loads-at-once.
 const defaultLoadsAtOnce = 1
 
-// WantedVersion is the version that a service's upstreams shall load.
+// WantedVersion returns the version that the service's upstreams should load.
 func (s *Service) WantedVersion() units.ModelVersion {
 	if s.NextVersion != "" {
 		return s.NextVersion
@@ -80,13 +81,13 @@
 	return s.ModelVersion
 }
 
-// Accepts reports whether a service may use upstreams of a version: of the one
-// it names or, during a change, of the next.
+// Accepts reports whether the service may use upstreams with a version: its model
+// version or, during a change, the next version.
 func (s *Service) Accepts(version units.ModelVersion) bool {
 	return s.ModelVersion == "" || version == s.ModelVersion || (s.NextVersion != "" && version == s.NextVersion)
 }
 
-// Bytes returns a version's size, 0 where the configuration does not tell.
+// Bytes returns the size of a version's weights, or 0 if the configuration does not state it.
 func (f *Fleet) Bytes(version units.ModelVersion) int64 {
 	for _, weights := range f.ModelVersions {
 		if weights.Version == version {
@@ -96,7 +97,7 @@
 	return 0
 }
 
-// Slots returns a machine class's capacity, 0 where it is not known.
+// Slots returns the number of slots of a machine class, or 0 for an unknown class.
 func (f *Fleet) Slots(class units.MachineClass) int {
 	for _, known := range f.MachineClasses {
 		if known.Name == class {
@@ -116,11 +117,11 @@
 	}
 	classes := make(map[units.MachineClass]bool)
 	for i, class := range f.MachineClasses {
-		at := fmt.Sprintf("fleet.machine-classes[%d]", i)
-		checkName(d, at+".name", string(class.Name), classes[class.Name])
+		classPath := fmt.Sprintf("fleet.machine-classes[%d]", i)
+		checkName(d, classPath+".name", string(class.Name), classes[class.Name])
 		classes[class.Name] = true
 		if class.Slots == 0 {
-			d.report(at+".slots", "0", "a whole number from 1", "count the sequences that a machine runs at the latency target")
+			d.report(classPath+".slots", "0", "an integer of at least 1", "set the number of sequences that a machine runs within the latency target")
 		}
 	}
 	d.validateOffers(f, classes)
@@ -130,16 +131,16 @@
 func (d *document) validateOffers(f *Fleet, classes map[units.MachineClass]bool) {
 	names := make(map[units.DataCentre]bool)
 	for i, dataCentre := range f.DataCentres {
-		at := fmt.Sprintf("fleet.data-centres[%d]", i)
-		checkName(d, at+".name", string(dataCentre.Name), names[dataCentre.Name])
+		dataCentrePath := fmt.Sprintf("fleet.data-centres[%d]", i)
+		checkName(d, dataCentrePath+".name", string(dataCentre.Name), names[dataCentre.Name])
 		names[dataCentre.Name] = true
 		for j, offer := range dataCentre.Offers {
-			place := fmt.Sprintf("%s.offers[%d]", at, j)
+			offerPath := fmt.Sprintf("%s.offers[%d]", dataCentrePath, j)
 			if !classes[offer.Class] {
-				d.report(place+".class", string(offer.Class), "a class listed under machine-classes", "correct the name or add the class")
+				d.report(offerPath+".class", string(offer.Class), "a class listed under machine-classes", "correct the name or add the class")
 			}
 			if offer.Price == 0 {
-				d.report(place+".price", "0", "a number above 0", "write the price per hour")
+				d.report(offerPath+".price", "0", "a number above 0", "write the price per hour")
 			}
 		}
 	}
@@ -148,18 +149,18 @@
 func (d *document) validateServiceFleets(c *Configuration) {
 	for i := range c.Services {
 		s := &c.Services[i]
-		at := fmt.Sprintf("services[%d]", i)
+		servicePath := fmt.Sprintf("services[%d]", i)
 		if s.Kind != ModelService && (s.Fleet.Orders || s.Fleet.Most > 0) {
-			d.report(at+".fleet", string(s.Kind), "orders and purchases for model services alone", "remove them")
+			d.report(servicePath+".fleet", string(s.Kind), "orders and purchases for model services only", "remove them")
 		}
 		if s.NextVersion != "" && s.ModelVersion == "" {
-			d.report(at+".next-version", string(s.NextVersion), "a next version beside a model-version", "name the version in service too")
+			d.report(servicePath+".next-version", string(s.NextVersion), "a next version in addition to a model-version", "set model-version to the version in service")
 		}
 		if s.Fleet.Orders && s.ModelVersion == "" {
-			d.report(at+".model-version", "", "a version, since orders are allowed", "name the version that upstreams shall load")
+			d.report(servicePath+".model-version", "", "a version where orders are allowed", "set the version that upstreams should load")
 		}
 		if s.Fleet.Most > 0 && (!s.Fleet.Orders || len(c.Fleet.DataCentres) == 0) {
-			d.report(at+".fleet.most", fmt.Sprint(s.Fleet.Most), "purchases with orders and with offers", "allow orders and list the data centres under fleet")
+			d.report(servicePath+".fleet.most", fmt.Sprint(s.Fleet.Most), "purchases only with orders and offers", "allow orders and list the data centres under fleet")
 		}
 	}
 }
--- a/src/parser/fuzz_test.go
+++ b/src/parser/fuzz_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// Documents come from outside; whatever they hold, the parser must return a
-// whole valid one or problems that say where, and never end the process.
-func checkParsed(t *testing.T, err error, content []byte) {
+// Documents are untrusted input: for any content the parser must return either a
+// valid result or problems with positions inside the document, and must not panic.
+func checkParseError(t *testing.T, err error, content []byte) {
 	t.Helper()
 	if err == nil {
 		return
@@ -22,12 +22,12 @@
 	lines := strings.Count(string(content), "\n") + strings.Count(string(content), "\r") + 2
 	for _, problem := range problems {
 		if problem.Line < 1 || problem.Line > lines || problem.Remedy == "" {
-			t.Errorf("problem: got %+v, want a place in the document and a remedy", problem)
+			t.Errorf("problem: got %+v, want a position in the document and a remedy", problem)
 		}
 	}
 }
 
-var oddDocuments = []string{
+var edgeCaseDocuments = []string{
 	"", "a", "- a", "version: 1", "version: -1", "version: 1\n---\nversion: 2", "&a version: *a", "version: *b",
 	"<<: {version: 1}", "version: !!str 1", "brands: [{name: b, hosts: [c]}]\nversion: 1", "? [a]\n: b", "\x00", "a: |\n  b",
 	"version: 1\nservices: [{}]", "version: {", "version: 1\nbrands: null", "name: \"\\", "\xef\xbb\xbfversion: 1", "version: 1 #\t\n\t",
@@ -40,24 +40,24 @@
 		f.Fatal(err)
 	}
 	f.Add(example)
-	for _, seed := range oddDocuments {
+	for _, seed := range edgeCaseDocuments {
 		f.Add([]byte(seed))
 	}
 	f.Fuzz(func(t *testing.T, content []byte) {
 		_, err := ParseConfiguration("f", content)
-		checkParsed(t, err, content)
+		checkParseError(t, err, content)
 	})
 }
 
 func FuzzSettings(f *testing.F) {
 	f.Add([]byte(settingsHead))
-	for _, seed := range oddDocuments {
+	for _, seed := range edgeCaseDocuments {
 		f.Add([]byte(seed))
 	}
 	f.Fuzz(func(t *testing.T, content []byte) {
 		for _, role := range []Role{Entry, Control} {
 			_, err := ParseSettings("f", content, role)
-			checkParsed(t, err, content)
+			checkParseError(t, err, content)
 		}
 	})
 }
--- a/src/parser/settings_test.go
+++ b/src/parser/settings_test.go
@@ -8,9 +8,9 @@
 
 const settingsHead = "name: e1\ndata-centre: a\ncontrol: [{name: c1, data-centre: a, address: 127.0.0.1:1}]\n"
 
-// Plain connections are allowed on loopback alone and only where the settings
-// say so; with TLS, whoever could change something must be verified.
-func TestSettingsWantTLS(t *testing.T) {
+// Plain connections are allowed only on loopback addresses and only with
+// insecure-loopback. With TLS, clients that can change state must be verified.
+func TestSettingsRequireTLS(t *testing.T) {
 	plain := "callers: {listen: 127.0.0.1:2}\nupstreams: {listen: 127.0.0.1:3}\noperators: {listen: 127.0.0.1:4}\n"
 	secured := "callers: {listen: 10.0.0.1:2, certificate: c, private-key: k}\n" +
 		"upstreams: {listen: 10.0.0.1:3, certificate: c, private-key: k, authorities: a}\n" +
@@ -19,27 +19,27 @@
 		document string
 		want     []string
 	}{
-		"plain loopback, said so": {
+		"plain loopback, allowed": {
 			document: plain + "peers: {listen: 127.0.0.1:5}\ninsecure-loopback: true\n",
 		},
-		"plain loopback, not said": {
+		"plain loopback, not allowed": {
 			document: plain + "peers: {listen: 127.0.0.1:5}\n",
 			want: []string{
 				"callers.certificate", "upstreams.certificate", "operators.certificate", "peers.certificate",
 			},
 		},
-		"plain beyond loopback": {
+		"plain outside loopback": {
 			document: plain + "peers: {listen: 10.0.0.1:5}\ninsecure-loopback: true\n",
 			want:     []string{"peers.certificate"},
 		},
-		"secured": {
+		"TLS everywhere": {
 			document: secured + "peers: {listen: 10.0.0.1:5, certificate: c, private-key: k, authorities: a}\n",
 		},
-		"peers unverified": {
+		"TLS without peer verification": {
 			document: secured + "peers: {listen: 10.0.0.1:5, certificate: c, private-key: k}\n",
 			want:     []string{"peers.authorities"},
 		},
-		"half a pair on loopback": {
+		"certificate without key on loopback": {
 			document: plain + "peers: {listen: 127.0.0.1:5, certificate: c}\ninsecure-loopback: true\n",
 			want:     []string{"peers.authorities", "peers.certificate"},
 		},
--- a/src/parser/voters_test.go
+++ b/src/parser/voters_test.go
@@ -16,25 +16,26 @@
 	return []byte(text.String())
 }
 
-// An operator lists control instances and may say how many of them vote. An even
-// number, or more than there are, would make a majority harder to keep and no
-// loss easier to survive; it is refused, and the default is the best odd number.
-func TestVotersAreOddAndThere(t *testing.T) {
+// Operators list the control instances and may set how many of them vote. An even
+// number makes a majority harder to reach without tolerating more losses, and a
+// number above that of the instances cannot be met; both are rejected. The default
+// is the largest odd number of at most five.
+func TestVotersValidatedAndDefaulted(t *testing.T) {
 	cases := map[string]struct {
 		instances int
 		voters    string
 		want      int
 	}{
-		"one instance":          {instances: 1, want: 1},
-		"two instances":         {instances: 2, want: 1},
-		"three instances":       {instances: 3, want: 3},
-		"four instances":        {instances: 4, want: 3},
-		"nine instances":        {instances: 9, want: 5},
-		"three of five":         {instances: 5, voters: "voters: 3\n", want: 3},
-		"an even number":        {instances: 5, voters: "voters: 4\n"},
-		"more than there are":   {instances: 3, voters: "voters: 5\n"},
-		"fewer than one":        {instances: 3, voters: "voters: -1\n"},
-		"seven, as written out": {instances: 9, voters: "voters: 7\n", want: 7},
+		"one instance":              {instances: 1, want: 1},
+		"two instances":             {instances: 2, want: 1},
+		"three instances":           {instances: 3, want: 3},
+		"four instances":            {instances: 4, want: 3},
+		"nine instances":            {instances: 9, want: 5},
+		"three of five":             {instances: 5, voters: "voters: 3\n", want: 3},
+		"an even number":            {instances: 5, voters: "voters: 4\n"},
+		"more than there are":       {instances: 3, voters: "voters: 5\n"},
+		"fewer than one":            {instances: 3, voters: "voters: -1\n"},
+		"above the default maximum": {instances: 9, voters: "voters: 7\n", want: 7},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/src/registrar/doc.go
+++ b/src/registrar/doc.go
@@ -1,5 +1,5 @@
 // Package registrar decides which entries form the numbered entry view.
 //
-// It runs at the control leader. Heartbeats of entries go in and proposals for
-// the next view come out; the replicated log makes a proposal the view.
+// It runs on the control leader, receives heartbeats of entries and proposes the
+// next view. A proposal takes effect once the replicated log has committed it.
 package registrar
--- a/src/registrar/event.go
+++ b/src/registrar/event.go
@@ -5,30 +5,30 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// Event is something that happened to the registrar.
+// Event is an input to Registrar.Step.
 type Event interface{ event() }
 
-// Led says that this instance now leads, with the view that its log holds.
+// Led reports that this instance has become the leader, with the view that its log holds.
 type Led struct {
 	View *messages.EntryView
 }
 
-// Lost says that this instance leads no more.
+// Lost reports that this instance is no longer the leader.
 type Lost struct{}
 
-// Heard says that an entry's heartbeat has arrived.
+// Heard reports that an entry's heartbeat has arrived.
 type Heard struct {
 	Member *messages.EntryMember
-	// Stopping is the entry's own word that it is about to end.
+	// Stopping reports that the entry has announced its stop.
 	Stopping bool
 }
 
-// Applied says that the log holds a new view.
+// Applied reports that the log has committed a new view.
 type Applied struct {
 	View *messages.EntryView
 }
 
-// Ticked says that time has passed.
+// Ticked reports that time has passed.
 type Ticked struct{}
 
 func (Led) event()     {}
@@ -37,16 +37,16 @@
 func (Applied) event() {}
 func (Ticked) event()  {}
 
-// Action is something that the caller of Step must carry out.
+// Action is an output of Registrar.Step that the caller must carry out.
 type Action interface{ action() }
 
-// Propose asks for a view to be committed; a lost proposal is made again.
+// Propose requests that a view be committed; a lost proposal is repeated.
 type Propose struct {
 	View    *messages.EntryView
 	Changes []Change
 }
 
-// Held says that silent entries stay in the view, since too many fell silent at once.
+// Held reports that silent entries stay in the view because too many fell silent at once.
 type Held struct {
 	Silent  int
 	Members int
@@ -55,16 +55,16 @@
 func (Propose) action() {}
 func (Held) action()    {}
 
-// Change is why one entry's membership differs from the view before.
+// Change is the change of one entry's membership from the previous view, with its reason.
 type Change struct {
 	Entry  units.Instance
 	Reason Reason
 }
 
-// Reason is why an entry joins or leaves the view.
+// Reason is the reason for a Change.
 type Reason string
 
-// The reasons of a change.
+// The reasons for a change.
 const (
 	Joined    Reason = "heard-steadily"
 	Stopped   Reason = "announced-stop"
--- a/src/registrar/registrar.go
+++ b/src/registrar/registrar.go
@@ -11,150 +11,150 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// pair is the size of a view of which either member may be lost.
-const pair = 2
+// pairSize is the size of a view from which either member may be removed.
+const pairSize = 2
 
-// Options are the periods of a registrar.
+// Options are the timeouts and intervals of a registrar.
 type Options struct {
 	// Suspicion is how long a member may be silent before it is removed.
 	Suspicion time.Duration
-	// Steady is how long an entry must be heard without a gap before it joins.
+	// Steady is how long an entry must send heartbeats without a gap before it joins.
 	Steady time.Duration
-	// Gap is the silence that ends steadiness.
+	// Gap is the maximum time between two heartbeats without a gap.
 	Gap time.Duration
-	// Settle is how long a change waits for others to go into the same view.
+	// Settle is how long a change is delayed so that further changes share its view.
 	Settle time.Duration
-	// Between is the least time between two views.
+	// Between is the minimum time between two views.
 	Between time.Duration
 	// Hold is how long silent members stay when half of the view or more is silent.
 	Hold time.Duration
 }
 
-// Registrar is the leader's knowledge of the entries; Options are set before the first Step.
+// Registrar is the leader's state machine for the entry view; Options are set before the first Step.
 type Registrar struct {
 	Options Options
 
 	leading bool
 	view    *messages.EntryView
-	heard   map[units.Instance]*candidate
-	// wantedSince is when the view first differed from what was heard.
-	wantedSince time.Time
-	changedAt   time.Time
-	proposedAt  time.Time
-	proposed    uint64
-	holding     time.Time
+	entries map[units.Instance]*entryState
+	// changePendingSince is when the wanted members first differed from the view's.
+	changePendingSince time.Time
+	viewAppliedAt      time.Time
+	proposedAt         time.Time
+	proposedNumber     uint64
+	heldSince          time.Time
 }
 
-// candidate is one entry as it was last heard.
-type candidate struct {
-	member   *messages.EntryMember
-	since    time.Time
-	at       time.Time
-	stopping bool
+// entryState is what the heartbeats of one entry reported.
+type entryState struct {
+	member          *messages.EntryMember
+	steadySince     time.Time
+	lastHeartbeatAt time.Time
+	stopping        bool
 }
 
 // Step takes one event and returns the actions to carry out, in order.
 func (r *Registrar) Step(now time.Time, event Event) []Action {
 	switch e := event.(type) {
 	case Led:
-		r.lead(now, e.View)
+		r.onLeadershipGained(now, e.View)
 	case Lost:
 		r.leading = false
-		r.heard = nil
+		r.entries = nil
 	case Applied:
-		r.apply(now, e.View)
+		r.applyView(now, e.View)
 	case Heard:
-		r.hear(now, e)
+		r.onHeartbeat(now, e)
 	case Ticked:
-		return r.tick(now)
+		return r.onTick(now)
 	}
 	return nil
 }
 
-// lead starts with every member counted as heard now: a new leader has heard
-// nobody yet, and without this the first tick would empty the view.
-func (r *Registrar) lead(now time.Time, view *messages.EntryView) {
+// onLeadershipGained starts with a heartbeat of every member assumed now: a new leader has
+// not yet received any, and without this the first tick would empty the view.
+func (r *Registrar) onLeadershipGained(now time.Time, view *messages.EntryView) {
 	r.leading = true
-	r.proposed = 0
-	r.holding = time.Time{}
-	r.heard = make(map[units.Instance]*candidate)
-	r.apply(now, view)
+	r.proposedNumber = 0
+	r.heldSince = time.Time{}
+	r.entries = make(map[units.Instance]*entryState)
+	r.applyView(now, view)
 }
 
-// apply takes a view; members that this leader has not heard count as heard
-// now, since the view can come from a leader that had heard them.
-func (r *Registrar) apply(now time.Time, view *messages.EntryView) {
+// applyView stores a view. For members of which this leader has received no heartbeat,
+// one is assumed now, since a previous leader that received theirs can have proposed the view.
+func (r *Registrar) applyView(now time.Time, view *messages.EntryView) {
 	r.view = view
-	r.changedAt = now
-	r.wantedSince = time.Time{}
+	r.viewAppliedAt = now
+	r.changePendingSince = time.Time{}
 	if !r.leading {
 		return
 	}
 	for _, member := range view.GetMembers() {
 		name := units.Instance(member.GetEntry())
-		known := r.heard[name]
+		known := r.entries[name]
 		if known != nil && known.member.GetIncarnation() >= member.GetIncarnation() {
 			continue
 		}
-		r.heard[name] = &candidate{
-			member: member,
-			since:  now,
-			at:     now,
+		r.entries[name] = &entryState{
+			member:          member,
+			steadySince:     now,
+			lastHeartbeatAt: now,
 		}
 	}
 }
 
-func (r *Registrar) hear(now time.Time, e Heard) {
+func (r *Registrar) onHeartbeat(now time.Time, e Heard) {
 	if !r.leading {
 		return
 	}
 	name := units.Instance(e.Member.GetEntry())
-	known := r.heard[name]
+	known := r.entries[name]
 	if known != nil && e.Member.GetIncarnation() < known.member.GetIncarnation() {
-		// A heartbeat of an ended life, late on its way, must not bring back
-		// a member that has lost its records.
+		// A delayed heartbeat of an earlier incarnation must not restore a member
+		// that has lost its records.
 		return
 	}
-	fresh := known == nil ||
+	restartSteadiness := known == nil ||
 		e.Member.GetIncarnation() > known.member.GetIncarnation() ||
-		now.Sub(known.at) > r.Options.Gap
-	if fresh {
-		known = &candidate{since: now}
-		r.heard[name] = known
+		now.Sub(known.lastHeartbeatAt) > r.Options.Gap
+	if restartSteadiness {
+		known = &entryState{steadySince: now}
+		r.entries[name] = known
 	}
 	known.member = e.Member
-	known.at = now
+	known.lastHeartbeatAt = now
 	known.stopping = known.stopping || e.Stopping
 }
 
-func (r *Registrar) tick(now time.Time) []Action {
+func (r *Registrar) onTick(now time.Time) []Action {
 	if !r.leading {
 		return nil
 	}
-	members, changes, held := r.next(now)
-	r.forget(now)
-	if held != nil && r.holding.IsZero() {
-		r.holding = now
+	members, changes, held := r.nextMembers(now)
+	r.evictStale(now)
+	if held != nil && r.heldSince.IsZero() {
+		r.heldSince = now
 		return []Action{*held}
 	}
 	if held == nil {
-		r.holding = time.Time{}
+		r.heldSince = time.Time{}
 	}
 	if len(changes) == 0 {
-		r.wantedSince = time.Time{}
+		r.changePendingSince = time.Time{}
 		return nil
 	}
-	if r.wantedSince.IsZero() {
-		r.wantedSince = now
+	if r.changePendingSince.IsZero() {
+		r.changePendingSince = now
 	}
-	if !r.due(now) {
+	if !r.isProposalDue(now) {
 		return nil
 	}
-	r.proposed = r.view.GetNumber() + 1
+	r.proposedNumber = r.view.GetNumber() + 1
 	r.proposedAt = now
 	return []Action{Propose{
 		View: &messages.EntryView{
-			Number:          r.proposed,
+			Number:          r.proposedNumber,
 			Members:         members,
 			PreviousMembers: r.view.GetMembers(),
 		},
@@ -162,126 +162,128 @@
 	}}
 }
 
-// due reports whether the next view may be proposed now.
-func (r *Registrar) due(now time.Time) bool {
-	if now.Sub(r.wantedSince) < r.Options.Settle {
+// isProposalDue reports whether the next view may be proposed now.
+func (r *Registrar) isProposalDue(now time.Time) bool {
+	if now.Sub(r.changePendingSince) < r.Options.Settle {
 		return false
 	}
 	first := r.view.GetNumber() == 0
-	if !first && now.Sub(r.changedAt) < r.Options.Between {
+	if !first && now.Sub(r.viewAppliedAt) < r.Options.Between {
 		return false
 	}
-	underWay := r.proposed == r.view.GetNumber()+1
-	return !underWay || now.Sub(r.proposedAt) >= r.Options.Between
+	proposalPending := r.proposedNumber == r.view.GetNumber()+1
+	return !proposalPending || now.Sub(r.proposedAt) >= r.Options.Between
 }
 
-// next returns the members that the view should have, in the order of their names.
-func (r *Registrar) next(now time.Time) ([]*messages.EntryMember, []Change, *Held) {
+// nextMembers returns the members that the next view should have, sorted by name, and
+// the changes from the current view.
+func (r *Registrar) nextMembers(now time.Time) ([]*messages.EntryMember, []Change, *Held) {
 	var changes []Change
 	wanted := make(map[string]*messages.EntryMember)
 	var silent []*messages.EntryMember
 	for _, member := range r.view.GetMembers() {
-		c := r.heard[units.Instance(member.GetEntry())]
+		c := r.entries[units.Instance(member.GetEntry())]
 		switch {
-		case c == nil || now.Sub(c.at) >= r.Options.Suspicion:
+		case c == nil || now.Sub(c.lastHeartbeatAt) >= r.Options.Suspicion:
 			silent = append(silent, member)
 			wanted[member.GetEntry()] = member
 		case c.stopping:
-			changes = append(changes, change(member, Stopped))
+			changes = append(changes, newChange(member, Stopped))
 		case c.member.GetIncarnation() != member.GetIncarnation():
-			changes = append(changes, change(member, Restarted))
+			changes = append(changes, newChange(member, Restarted))
 			wanted[member.GetEntry()] = c.member
 		case !proto.Equal(c.member, member):
-			changes = append(changes, change(member, Moved))
+			changes = append(changes, newChange(member, Moved))
 			wanted[member.GetEntry()] = c.member
 		default:
 			wanted[member.GetEntry()] = member
 		}
 	}
-	removed, held := r.removable(now, silent)
+	removed, held := r.removableMembers(now, silent)
 	for _, member := range removed {
 		delete(wanted, member.GetEntry())
-		changes = append(changes, change(member, Silent))
+		changes = append(changes, newChange(member, Silent))
 	}
-	changes = append(changes, r.join(now, wanted)...)
-	return sorted(wanted), changes, held
+	changes = append(changes, r.addJoining(now, wanted)...)
+	return sortedByName(wanted), changes, held
 }
 
-// join adds the entries that are not in the view and have been heard steadily.
-func (r *Registrar) join(now time.Time, wanted map[string]*messages.EntryMember) []Change {
+// addJoining adds the entries to wanted that are not in the view and have sent
+// heartbeats without a gap for long enough.
+func (r *Registrar) addJoining(now time.Time, wanted map[string]*messages.EntryMember) []Change {
 	present := make(map[string]bool)
 	for _, member := range r.view.GetMembers() {
 		present[member.GetEntry()] = true
 	}
 	var changes []Change
-	for _, name := range slices.Sorted(maps.Keys(r.heard)) {
-		c := r.heard[name]
-		steady := c.at.Sub(c.since) >= r.Options.Steady && now.Sub(c.at) <= r.Options.Gap
+	for _, name := range slices.Sorted(maps.Keys(r.entries)) {
+		c := r.entries[name]
+		steady := c.lastHeartbeatAt.Sub(c.steadySince) >= r.Options.Steady && now.Sub(c.lastHeartbeatAt) <= r.Options.Gap
 		if c.stopping || !steady || present[string(name)] {
 			continue
 		}
 		wanted[string(name)] = c.member
-		changes = append(changes, change(c.member, Joined))
+		changes = append(changes, newChange(c.member, Joined))
 	}
 	return changes
 }
 
-// removable returns which silent members leave with the next view.
+// removableMembers returns the silent members that the next view removes.
 //
-// A leader behind a cut hears nobody. If it removed them all, the owners of
-// every record would change at once and no majority of the old ones could be
-// read, so that calls that were answered would end as unknown. One view
-// therefore removes less than half of the one before, and nobody while half or
-// more is silent, until Hold has passed and the silence is no passing cut.
-func (r *Registrar) removable(now time.Time, silent []*messages.EntryMember) ([]*messages.EntryMember, *Held) {
+// A leader that is partitioned from the entries receives no heartbeats. If it removed
+// all members, the owners of every record would change at once and no majority of the
+// previous owners could be read, so that answered calls would end as unknown. One view
+// therefore removes less than half of the previous one's members, and none while half
+// or more are silent, until Hold has passed and a transient partition is ruled out.
+func (r *Registrar) removableMembers(now time.Time, silent []*messages.EntryMember) ([]*messages.EntryMember, *Held) {
 	total := len(r.view.GetMembers())
-	most := max((total-1)/2, 0)
-	// Of two members both hold every record, so that the one left has them all.
-	if total == pair {
-		most = 1
+	maxRemoved := max((total-1)/2, 0)
+	// With two members, both hold every record, so the remaining one has them all.
+	if total == pairSize {
+		maxRemoved = 1
 	}
-	if len(silent) <= most {
+	if len(silent) <= maxRemoved {
 		return silent, nil
 	}
 	held := &Held{
 		Silent:  len(silent),
 		Members: total,
 	}
-	if r.holding.IsZero() || now.Sub(r.holding) < r.Options.Hold {
+	if r.heldSince.IsZero() || now.Sub(r.heldSince) < r.Options.Hold {
 		return nil, held
 	}
 	slices.SortFunc(silent, func(a, b *messages.EntryMember) int {
-		return r.lastHeard(a).Compare(r.lastHeard(b))
+		return r.lastHeartbeat(a).Compare(r.lastHeartbeat(b))
 	})
-	return silent[:max(most, 1)], held
+	return silent[:max(maxRemoved, 1)], held
 }
 
-func (r *Registrar) lastHeard(member *messages.EntryMember) time.Time {
-	if c := r.heard[units.Instance(member.GetEntry())]; c != nil {
-		return c.at
+func (r *Registrar) lastHeartbeat(member *messages.EntryMember) time.Time {
+	if c := r.entries[units.Instance(member.GetEntry())]; c != nil {
+		return c.lastHeartbeatAt
 	}
 	return time.Time{}
 }
 
-// forget drops what was heard of entries that are long silent and no members.
-func (r *Registrar) forget(now time.Time) {
+// evictStale removes the state of entries that are not members and have been silent for longer than Hold.
+func (r *Registrar) evictStale(now time.Time) {
 	present := make(map[units.Instance]bool)
 	for _, member := range r.view.GetMembers() {
 		present[units.Instance(member.GetEntry())] = true
 	}
-	maps.DeleteFunc(r.heard, func(name units.Instance, c *candidate) bool {
-		return !present[name] && now.Sub(c.at) > r.Options.Hold
+	maps.DeleteFunc(r.entries, func(name units.Instance, c *entryState) bool {
+		return !present[name] && now.Sub(c.lastHeartbeatAt) > r.Options.Hold
 	})
 }
 
-func change(member *messages.EntryMember, reason Reason) Change {
+func newChange(member *messages.EntryMember, reason Reason) Change {
 	return Change{
 		Entry:  units.Instance(member.GetEntry()),
 		Reason: reason,
 	}
 }
 
-func sorted(members map[string]*messages.EntryMember) []*messages.EntryMember {
+func sortedByName(members map[string]*messages.EntryMember) []*messages.EntryMember {
 	list := make([]*messages.EntryMember, 0, len(members))
 	for _, name := range slices.Sorted(maps.Keys(members)) {
 		list = append(list, members[name])
--- a/src/registrar/registrar_test.go
+++ b/src/registrar/registrar_test.go
@@ -12,7 +12,7 @@
 	"github.com/rosecroft/rosecroft/src/messages"
 )
 
-// TestMain fixes the seed of the property tests unless the command line names one.
+// TestMain fixes the seed of the property tests unless the command line sets one.
 func TestMain(m *testing.M) {
 	_ = flag.Set("rapid.seed", "1")
 	_ = flag.Set("rapid.nofailfile", "true")
@@ -28,24 +28,24 @@
 	Hold:      30 * time.Second,
 }
 
-// The control leader is cut off from all entries for ten seconds; each of them
-// serves on. If it removed them all, every call's record would lose its owners
-// at once. The view must stay, and be the same once the cut has healed.
-func TestCutRemovesNoMajority(t *testing.T) {
+// The control leader is partitioned from all entries for ten seconds while they
+// continue to serve. If it removed them all, every call's record would lose its
+// owners at once. The view must not change during or after the partition.
+func TestPartitionRemovesNoMajority(t *testing.T) {
 	f := newFleet(5)
 	f.run(3*time.Second, nil)
 	before := f.view
 	f.run(10*time.Second, []int{0, 1, 2, 3, 4})
 	f.run(3*time.Second, nil)
 	if got, want := f.view.GetNumber(), before.GetNumber(); got != want {
-		t.Errorf("view number after the cut: got %d, want %d", got, want)
+		t.Errorf("view number after the partition: got %d, want %d", got, want)
 	}
 }
 
-// One entry dies: after the suspicion period it must leave the view, and the
-// others must stay. A minority is safe to remove, since a majority of each
-// record's owners remains to be read.
-func TestSilentEntryLeaves(t *testing.T) {
+// One entry crashes. After the suspicion timeout it must leave the view, and the
+// others must stay: a minority is safe to remove, since a majority of each record's
+// owners can still be read.
+func TestSilentEntryIsRemoved(t *testing.T) {
 	f := newFleet(5)
 	f.run(3*time.Second, nil)
 	f.run(7*time.Second, []int{2})
@@ -54,10 +54,9 @@
 	}
 }
 
-// An entry crashes and starts again faster than the suspicion period. Its
-// records are gone, so the view must name its new incarnation; a heartbeat of
-// the old life that arrives late must change nothing, also when the new life
-// is not heard for a moment after it.
+// An entry crashes and restarts within the suspicion timeout. Its records are lost,
+// so the view must contain its new incarnation. A delayed heartbeat of the old
+// incarnation must change nothing, even if heartbeats of the new one pause after it.
 func TestRestartedEntryGetsNewIncarnation(t *testing.T) {
 	f := newFleet(3)
 	f.run(3*time.Second, nil)
@@ -74,15 +73,15 @@
 	}
 }
 
-// Entries die, restart, stop and are cut off at random, and leaders change.
-// Whatever happens, numbers rise by one, a view differs from the one before in
-// less than half of its members by silence unless the hold has passed, an
-// incarnation never falls, and views do not follow each other too fast.
-func TestViewsKeepTheirRules(t *testing.T) {
+// Entries crash, restart and are partitioned at random, proposals are lost and leaders
+// change. View numbers must rise by one, a view must remove less than half of the
+// previous members as silent unless the hold period has passed, incarnations must not
+// decrease, and views must be at least the minimum interval apart.
+func TestViewInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(7)
-		f.check = func(before, after *messages.EntryView, changes []Change) { checkView(t, f, before, after, changes) }
-		// Each ended life has at most one heartbeat that is still on its way.
+		f.checkTransition = func(before, after *messages.EntryView, changes []Change) { checkView(t, f, before, after, changes) }
+		// Each ended incarnation has at most one heartbeat still in transit.
 		late := []*messages.EntryMember{member(3, 0)}
 		for range 60 {
 			silent := rapid.SliceOfNDistinct(rapid.IntRange(0, 6), 0, 7, rapid.ID).Draw(t, "silent")
@@ -94,24 +93,24 @@
 			if rapid.IntRange(0, 19).Draw(t, "election") == 0 {
 				f.registrar.Step(f.now, Lost{})
 				f.registrar.Step(f.now, Led{View: f.view})
-				f.viewAt = f.now
+				f.viewCommittedAt = f.now
 			}
 			if len(late) > 0 && rapid.Bool().Draw(t, "late") {
 				f.registrar.Step(f.now, Heard{Member: late[0]})
 				late = late[1:]
 			}
-			f.drop = rapid.IntRange(0, 3).Draw(t, "drop") == 0
+			f.dropProposals = rapid.IntRange(0, 3).Draw(t, "drop") == 0
 			f.run(time.Duration(rapid.IntRange(1, 30).Draw(t, "for"))*200*time.Millisecond, silent)
 		}
 	})
 }
 
-func checkView(t *rapid.T, f *fleet, before, after *messages.EntryView, changes []Change) {
+func checkView(t *rapid.T, f *simulatedFleet, before, after *messages.EntryView, changes []Change) {
 	if got, want := after.GetNumber(), before.GetNumber()+1; got != want {
 		t.Fatalf("view number: got %d, want %d", got, want)
 	}
-	if got, want := f.now.Sub(f.viewAt) >= testOptions.Between || before.GetNumber() == 0, true; got != want {
-		t.Fatalf("time since the last view: got %s, want at least %s", f.now.Sub(f.viewAt), testOptions.Between)
+	if got, want := f.now.Sub(f.viewCommittedAt) >= testOptions.Between || before.GetNumber() == 0, true; got != want {
+		t.Fatalf("time since the previous view: got %s, want at least %s", f.now.Sub(f.viewCommittedAt), testOptions.Between)
 	}
 	silent := 0
 	for _, c := range changes {
@@ -119,9 +118,9 @@
 			silent++
 		}
 	}
-	most := max((len(before.GetMembers())-1)/2, 0)
-	if got, want := silent <= most || (most == 0 && silent == 1), true; got != want {
-		t.Fatalf("members removed as silent of %d: got %d, want at most %d", len(before.GetMembers()), silent, most)
+	maxRemoved := max((len(before.GetMembers())-1)/2, 0)
+	if got, want := silent <= maxRemoved || (maxRemoved == 0 && silent == 1), true; got != want {
+		t.Fatalf("members removed as silent of %d: got %d, want at most %d", len(before.GetMembers()), silent, maxRemoved)
 	}
 	known := make(map[string]uint64)
 	for _, m := range before.GetMembers() {
@@ -134,20 +133,19 @@
 	}
 }
 
-// fleet drives one registrar with the heartbeats of entries.
-type fleet struct {
-	registrar    *Registrar
-	now          time.Time
-	incarnations []uint64
-	view         *messages.EntryView
-	viewAt       time.Time
-	// drop loses proposals.
-	drop  bool
-	check func(before, after *messages.EntryView, changes []Change)
+// simulatedFleet drives one registrar with the heartbeats of simulated entries.
+type simulatedFleet struct {
+	registrar       *Registrar
+	now             time.Time
+	incarnations    []uint64
+	view            *messages.EntryView
+	viewCommittedAt time.Time
+	dropProposals   bool
+	checkTransition func(before, after *messages.EntryView, changes []Change)
 }
 
-func newFleet(entries int) *fleet {
-	f := &fleet{
+func newFleet(entries int) *simulatedFleet {
+	f := &simulatedFleet{
 		registrar: &Registrar{
 			Options: testOptions,
 		},
@@ -162,33 +160,33 @@
 	return f
 }
 
-// run lets time pass while the entries named are not heard.
-func (f *fleet) run(span time.Duration, silent []int) {
-	quiet := make(map[int]bool)
+// run advances the time by span; the entries in silent send no heartbeats.
+func (f *simulatedFleet) run(span time.Duration, silent []int) {
+	isSilent := make(map[int]bool)
 	for _, i := range silent {
-		quiet[i] = true
+		isSilent[i] = true
 	}
 	for range span / (200 * time.Millisecond) {
 		f.now = f.now.Add(200 * time.Millisecond)
 		for i, incarnation := range f.incarnations {
-			if !quiet[i] {
+			if !isSilent[i] {
 				f.registrar.Step(f.now, Heard{Member: member(i, incarnation)})
 			}
 		}
 		for _, action := range f.registrar.Step(f.now, Ticked{}) {
-			if propose, is := action.(Propose); is && !f.drop {
+			if propose, is := action.(Propose); is && !f.dropProposals {
 				f.commit(propose)
 			}
 		}
 	}
 }
 
-func (f *fleet) commit(propose Propose) {
-	if f.check != nil {
-		f.check(f.view, propose.View, propose.Changes)
+func (f *simulatedFleet) commit(propose Propose) {
+	if f.checkTransition != nil {
+		f.checkTransition(f.view, propose.View, propose.Changes)
 	}
 	f.view = propose.View
-	f.viewAt = f.now
+	f.viewCommittedAt = f.now
 	f.registrar.Step(f.now, Applied{View: f.view})
 }
 
--- a/src/timekeeper/doc.go
+++ b/src/timekeeper/doc.go
@@ -1,8 +1,7 @@
-// Package timekeeper tells the time on instances that are suspended and whose time of day jumps.
+// Package timekeeper provides clocks for instances that may be suspended and whose time of day may jump.
 //
-// Three clocks are kept apart. Go's monotonic clock stands still while an
-// instance is suspended, so that no lease may be counted by it. The time of day
-// may be off by seconds, so that no window of true time may be counted by it.
-// Now counts suspension and never jumps; TrueTime is the median of what many
-// instances take for the time of day.
+// Three clocks are distinguished. Go's monotonic clock stops while an instance is
+// suspended, so it must not be used for leases. The time of day may be off by
+// seconds, so it must not be used for windows of true time. Now includes suspension
+// and never jumps; TrueTime is the median of many instances' times of day.
 package timekeeper
--- a/src/timekeeper/estimator_test.go
+++ b/src/timekeeper/estimator_test.go
@@ -7,9 +7,9 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// The time of day jumps by two seconds on a third of the instances, this one
-// among them. Usage would be counted into wrong windows; the median holds.
-func TestTrueTimeBearsJumps(t *testing.T) {
+// The time of day jumps by two seconds on a third of the instances, including this
+// one. Without the median, usage would be counted in the wrong windows.
+func TestTrueTimeToleratesJumps(t *testing.T) {
 	now := time.Unix(100, 0)
 	truth := time.Unix(1_700_000_000, 0)
 	cases := map[string]struct {
@@ -32,14 +32,14 @@
 			}
 			got := e.TrueTime(now, truth.Add(c.own)).Sub(truth)
 			if got != c.want {
-				t.Errorf("true time is off by %v, want %v", got, c.want)
+				t.Errorf("error of the true time: got %v, want %v", got, c.want)
 			}
 		})
 	}
 }
 
-// An instance that is gone must not hold the median back with its last reading.
-func TestTrueTimeForgetsOldReadings(t *testing.T) {
+// The last reading of a stopped instance must not distort the median after its expiry.
+func TestExpiredReadingsAreIgnored(t *testing.T) {
 	var e Estimator
 	now := time.Unix(100, 0)
 	truth := time.Unix(1_700_000_000, 0)
@@ -52,9 +52,9 @@
 	}
 }
 
-func TestNowGoesOn(t *testing.T) {
+func TestNowIsMonotonic(t *testing.T) {
 	first := Now()
 	if second := Now(); second.Before(first) {
-		t.Errorf("the clock went back: got %v after %v", second, first)
+		t.Errorf("clock went backwards: got %v after %v", second, first)
 	}
 }
--- a/src/units/doc.go
+++ b/src/units/doc.go
@@ -1,2 +1,2 @@
-// Package units holds the named types for ids and quantities that packages share.
+// Package units defines the types of identifiers and quantities that packages share.
 package units
--- a/src/units/units.go
+++ b/src/units/units.go
@@ -8,25 +8,26 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Brand names a brand that operators resell the service under.
+// Brand names a brand under which operators resell the services.
 type Brand string
 
 // Account names a client account of a brand.
 type Account string
 
-// Service names a service, a model pool or a plain application.
+// Service names a service: a pool of model engines or a plain application.
 type Service string
 
-// Upstream names one back end that announces itself.
+// Upstream names one backend that announces itself to the system.
 type Upstream string
 
 // Instance names one machine of the system or of the platform.
 type Instance string
 
-// VoterID names one life of an instance's data folder, such as "c1#3f2a".
+// VoterID identifies an instance together with its data folder, such as "c1#3f2a"; an
+// instance with a new data folder has another one.
 type VoterID string
 
-// NewVoterID returns the id of an instance with the identity that its folder holds.
+// NewVoterID returns the id of an instance with the identity stored in its data folder.
 func NewVoterID(instance Instance, identity string) VoterID {
 	return VoterID(string(instance) + "#" + identity)
 }
@@ -43,10 +44,10 @@
 // Region names a group of data centres.
 type Region string
 
-// MachineClass names a class of instance that the platform sells.
+// MachineClass names a class of instances that the platform offers.
 type MachineClass string
 
-// Model names a language model as callers write it.
+// Model names a language model as requests name it.
 type Model string
 
 // ModelVersion names one set of weights of a model.
@@ -55,28 +56,29 @@
 // Release names one version of the software that an upstream runs.
 type Release string
 
-// CallID identifies one accepted call over all its attempts.
+// CallID identifies one accepted call across all its attempts.
 type CallID string
 
-// Fingerprint identifies what a caller asks for: equal requests of one account have the
-// same one, whatever their call ids.
+// Fingerprint identifies the content of a request: equal requests of one account have
+// the same fingerprint regardless of their call ids.
 type Fingerprint uint64
 
 // String returns the fingerprint in hexadecimal, as logs show it.
 func (f Fingerprint) String() string { return fmt.Sprintf("%016x", uint64(f)) }
 
-// CallRate is a number of calls a second.
+// CallRate is a number of calls per second.
 type CallRate float64
 
-// Life identifies one life of one upstream, from its start to its end.
+// Life identifies one incarnation of one upstream by a hash of both.
 type Life uint64
 
-// lifeMix is odd and has its bits spread.
-const lifeMix = 0x9e3779b97f4a7c15
+// incarnationMultiplier is odd, so that different incarnations have different products, and
+// has its bits spread, so that small incarnations change all bits of a Life.
+const incarnationMultiplier = 0x9e3779b97f4a7c15
 
-// LifeOf returns the life of an upstream that started then.
+// LifeOf returns the Life of an incarnation of an upstream.
 func LifeOf(upstream Upstream, incarnation Incarnation) Life {
-	return Life(xxhash.Sum64String(string(upstream)) ^ uint64(incarnation)*lifeMix)
+	return Life(xxhash.Sum64String(string(upstream)) ^ uint64(incarnation)*incarnationMultiplier)
 }
 
 // Term numbers a leadership period and serves as the fencing number of orders.
@@ -85,13 +87,13 @@
 // Index numbers a record of the replicated log, from 1.
 type Index uint64
 
-// Version numbers a configuration as operators submit it, from 1.
+// Version numbers a configuration, from 1; operators assign it.
 type Version uint64
 
-// Incarnation numbers the lives of one named process; a higher one wins.
+// Incarnation numbers the starts of one named process; a higher one supersedes a lower one.
 type Incarnation uint64
 
-// Attempt numbers the tries of one call, from 1.
+// Attempt numbers the attempts of one call, from 1.
 type Attempt uint32
 
 // Tokens counts model tokens.
