--- a/src/cmd/failures/main.go
+++ b/src/cmd/failures/main.go
@@ -20,19 +20,19 @@
 const maxSpan = 30 * time.Minute
 
 type options struct {
-	Program    string         `help:"Path of the rosecroft program." default:"bin/rosecroft"`
-	Standin    string         `help:"Path of the stand-in program." default:"bin/standin"`
-	Root       string         `help:"Root folder of the repository." default:"."`
-	Deployment string         `help:"Deployment to run." enum:"hearthline,cooperativa" default:"hearthline"`
-	Seed       uint64         `help:"Random seed of the schedule and the load." default:"1"`
-	Span       time.Duration  `help:"Duration of the load, at most 30m." default:"30s"`
-	Steps      int            `help:"Number of failures to inject." default:"12"`
-	Acts       []injector.Act `help:"Kinds of failure to draw from; all if omitted."`
-	Streams    float64        `help:"Streamed model calls per second." default:"20"`
-	Wholes     float64        `help:"Model calls per second that are not streamed." default:"4"`
-	Once       float64        `help:"Calls per second that must not run twice." default:"10"`
-	Reads      float64        `help:"Repeatable calls per second to plain services." default:"10"`
-	Keep       bool           `help:"Keep the temporary folder with logs and journals."`
+	Program    string               `help:"Path of the rosecroft program." default:"bin/rosecroft"`
+	Standin    string               `help:"Path of the stand-in program." default:"bin/standin"`
+	Root       string               `help:"Root folder of the repository." default:"."`
+	Deployment string               `help:"Deployment to run." enum:"hearthline,cooperativa" default:"hearthline"`
+	Seed       uint64               `help:"Random seed of the schedule and the load." default:"1"`
+	Span       time.Duration        `help:"Duration of the load, at most 30m." default:"30s"`
+	Steps      int                  `help:"Number of failures to inject." default:"12"`
+	Acts       []injector.FaultKind `help:"Kinds of failure to draw from; all if omitted."`
+	Streams    float64              `help:"Streamed model calls per second." default:"20"`
+	Wholes     float64              `help:"Model calls per second that are not streamed." default:"4"`
+	Once       float64              `help:"Calls per second that must not run twice." default:"10"`
+	Reads      float64              `help:"Repeatable calls per second to plain services." default:"10"`
+	Keep       bool                 `help:"Keep the temporary folder with logs and journals."`
 }
 
 func main() {
@@ -59,7 +59,7 @@
 	}
 	acts := opts.Acts
 	if len(acts) == 0 {
-		acts = injector.Acts
+		acts = injector.FaultKinds
 	}
 	experiment := &injector.Experiment{
 		Deployment: deployment(opts),
@@ -69,29 +69,29 @@
 			Standin: opts.Standin,
 		},
 		Rates: deployer.Rates{
-			Stream: opts.Streams,
-			Whole:  opts.Wholes,
-			Once:   opts.Once,
-			Read:   opts.Reads,
+			Stream:        opts.Streams,
+			Whole:         opts.Wholes,
+			NonRepeatable: opts.Once,
+			Read:          opts.Reads,
 		},
 		Span:     opts.Span,
 		Seed:     opts.Seed,
-		Schedule: injector.Draw(opts.Seed, opts.Span, opts.Steps, acts),
+		Schedule: injector.RandomSchedule(opts.Seed, opts.Span, opts.Steps, acts),
 		Log:      os.Stdout,
 	}
 	verdict, _, err := experiment.Run(ctx)
 	if err != nil {
 		return err
 	}
-	for _, fault := range verdict.Faults {
+	for _, fault := range verdict.Violations {
 		fmt.Println("FAULT", fault)
 	}
 	for _, refused := range verdict.Refused {
 		fmt.Println("refused", refused)
 	}
 	fmt.Printf("failures deployment=%s seed=%d %s\n", opts.Deployment, opts.Seed, verdict)
-	if len(verdict.Faults) > 0 {
-		return fmt.Errorf("the run showed %d faults", len(verdict.Faults))
+	if len(verdict.Violations) > 0 {
+		return fmt.Errorf("the run showed %d faults", len(verdict.Violations))
 	}
 	return nil
 }
--- a/src/cmd/load/main.go
+++ b/src/cmd/load/main.go
@@ -70,9 +70,9 @@
 		Balancer: &loader.Balancer{
 			Entries: opts.Entries,
 		},
-		Span: opts.Span,
-		Seed: opts.Seed,
-		Name: "load",
+		Duration: opts.Span,
+		Seed:     opts.Seed,
+		Name:     "load",
 		Workloads: []*loader.Workload{{
 			Name:         opts.Kind,
 			Kind:         loader.Kind(opts.Kind),
@@ -95,9 +95,9 @@
 	for _, result := range []loader.Result{loader.Answered, loader.NotRun, loader.Unknown, loader.Failed, loader.Lost} {
 		fmt.Printf("%s %d\n", result, report.Count("", result))
 	}
-	printHistogram("first-token", report.FirstTokens())
-	printHistogram("gap-p95", report.Gaps())
-	for _, kind := range []loader.Kind{loader.Stream, loader.Whole, loader.Read, loader.Once} {
+	printHistogram("first-token", report.FirstTokenLatencies())
+	printHistogram("gap-p95", report.TokenGaps())
+	for _, kind := range []loader.Kind{loader.Stream, loader.NonStreaming, loader.Read, loader.NonRepeatable} {
 		printHistogram("took-"+string(kind), report.Latencies(kind))
 	}
 }
--- a/src/cmd/standin/cloud.go
+++ b/src/cmd/standin/cloud.go
@@ -28,15 +28,15 @@
 		return fmt.Errorf("listen on %s: %w; choose a free port", c.Listen, err)
 	}
 	cloud := &standin.Cloud{
-		Listener: listener,
-		Entries:  c.Entries,
-		Boot:     c.Boot,
-		Notice:   c.Notice,
-		Slots:    c.Slots,
+		Listener:     listener,
+		Entries:      c.Entries,
+		BootTime:     c.Boot,
+		NoticePeriod: c.Notice,
+		Slots:        c.Slots,
 		Store: &standin.WeightStore{
 			BytesPerSecond: c.Rate,
-			LoadsAtOnce:    c.Loads,
-			Bytes:          c.Weights,
+			MaxLoads:       c.Loads,
+			VersionBytes:   c.Weights,
 		},
 	}
 	return cloud.Run(ctx)
--- a/src/cmd/standin/main.go
+++ b/src/cmd/standin/main.go
@@ -81,7 +81,7 @@
 			Model:            c.Model,
 			ModelVersion:     c.ModelVersion,
 			Slots:            c.Slots,
-			Step:             c.Step,
+			StepInterval:     c.Step,
 			PrefillPerStep:   c.Prefill,
 			CacheBlocks:      c.CacheBlocks,
 			KVBytesPerToken:  c.KVBytes,
@@ -97,19 +97,19 @@
 	if err != nil {
 		return err
 	}
-	host.About.Model = c.Model
-	host.About.ModelVersion = c.ModelVersion
-	host.About.Slots = uint32(c.Slots)
-	host.About.StepMs = float64(c.Step) / float64(time.Millisecond)
-	orders := &standin.Orders{
-		Server:   server,
-		About:    host.About,
-		Checks:   c.ChecksFencing,
-		Store:    c.Store,
-		LoadTime: c.LoadTime,
+	host.Announcement.Model = c.Model
+	host.Announcement.ModelVersion = c.ModelVersion
+	host.Announcement.Slots = uint32(c.Slots)
+	host.Announcement.StepMs = float64(c.Step) / float64(time.Millisecond)
+	orders := &standin.OrderHandler{
+		Server:        server,
+		About:         host.Announcement,
+		ChecksFencing: c.ChecksFencing,
+		StoreURL:      c.Store,
+		LoadDuration:  c.LoadTime,
 	}
 	host.Services = append(server.Services(), orders.Services()...)
-	host.Describe = orders.Describe
+	host.UpdateAnnouncement = orders.Describe
 	if host.Source != nil {
 		server.Client = &http.Client{
 			Transport: &http.Transport{
@@ -117,14 +117,14 @@
 			},
 		}
 	}
-	host.Leave = func() { server.Leaving.Store(true) }
-	host.About.PrefillPerStep = uint32(c.Prefill)
-	host.About.KvBytesPerToken = uint32(c.KVBytes)
-	host.About.KvBytesPerSecond = uint64(c.KVRate)
+	host.StopAccepting = func() { server.Leaving.Store(true) }
+	host.Announcement.PrefillPerStep = uint32(c.Prefill)
+	host.Announcement.KvBytesPerToken = uint32(c.KVBytes)
+	host.Announcement.KvBytesPerSecond = uint64(c.KVRate)
 	reporter := &standin.Reporter{
-		Engine: engine,
-		Lag:    c.LoadLag,
-		Gaps:   c.EventGaps,
+		Engine:        engine,
+		MinLoadAge:    c.LoadLag,
+		EventLossRate: c.EventGaps,
 	}
 	host.Load = reporter.Load
 	host.CacheEvents = reporter.CacheEvents
@@ -135,17 +135,17 @@
 
 // Run runs a stand-in plain service until the notice period after the signal has passed.
 func (c *plainCommand) Run(ctx context.Context) error {
-	plain := &standin.Plain{
-		Ledger: &standin.Ledger{},
-		Faults: &standin.Faults{},
-		Work:   c.Work,
+	plain := &standin.PlainService{
+		Ledger:       &standin.Ledger{},
+		Faults:       &standin.Faults{},
+		CallDuration: c.Work,
 	}
 	host, err := c.newHost(plain.Ledger, plain.Faults)
 	if err != nil {
 		return err
 	}
 	host.Services = plain.Services()
-	host.Leave = func() { plain.Leaving.Store(true) }
+	host.StopAccepting = func() { plain.Leaving.Store(true) }
 	return host.Run(ctx)
 }
 
@@ -170,13 +170,13 @@
 		scheme = "https"
 	}
 	return &standin.Host{
-		Source:   source,
-		Listener: listener,
-		Entries:  c.Entries,
-		Ledger:   ledger,
-		Faults:   faults,
-		Notice:   c.Notice,
-		About: &messages.Announcement{
+		Source:       source,
+		Listener:     listener,
+		Entries:      c.Entries,
+		Ledger:       ledger,
+		Faults:       faults,
+		NoticePeriod: c.Notice,
+		Announcement: &messages.Announcement{
 			Upstream:     c.Name,
 			Service:      c.Service,
 			Address:      scheme + "://" + listener.Addr().String(),
--- a/src/control/control.go
+++ b/src/control/control.go
@@ -40,7 +40,7 @@
 func (c *Control) Run(ctx context.Context) error {
 	folder, kept, err := keeper.Open(c.Settings.DataFolder, c.Settings.Name)
 	if err != nil {
-		return fmt.Errorf("open the data folder: %w; check that it is on a disk with free space that this process can write to", err)
+		return fmt.Errorf("open the data folder: %w; check that it is on a disk with free space that this process may write to", err)
 	}
 	defer func() { _ = folder.Close() }()
 	out := newOutbox(c.Client, c.Settings)
--- a/src/control/coordinator.go
+++ b/src/control/coordinator.go
@@ -75,7 +75,7 @@
 			Client: out.client,
 		},
 		proof: distributor.Proof{
-			LeaseDuration: settings.Timing.Fence,
+			LeaseDuration: settings.Timing.FenceTimeout,
 		},
 		entries: make(map[units.Instance]*entryState),
 	}
@@ -127,9 +127,9 @@
 		DataCentre:        settings.DataCentre,
 		Instances:         eligible,
 		VoterCount:        settings.Voters,
-		HeartbeatInterval: settings.Timing.Heartbeat,
-		ElectionTimeout:   settings.Timing.Election,
-		RepairTimeout:     settings.Timing.Repair,
+		HeartbeatInterval: settings.Timing.HeartbeatInterval,
+		ElectionTimeout:   settings.Timing.ElectionTimeout,
+		RepairTimeout:     settings.Timing.ReplacementDelay,
 		SnapshotRecords:   snapshotRecords,
 		SnapshotBytes:     snapshotBytes,
 		Random:            rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
--- a/src/control/orders.go
+++ b/src/control/orders.go
@@ -77,7 +77,7 @@
 		client: &http.Client{},
 		orderer: &orderer.Orderer{
 			Options: orderer.Options{
-				Lease:             settings.Timing.Election,
+				Lease:             settings.Timing.ElectionTimeout,
 				MaxClockDrift:     clockDrift,
 				Timeout:           orderTimeout,
 				AnnounceDelay:     orderObservePeriod,
@@ -112,7 +112,7 @@
 		Upstreams: orderUpstreams(d.fleet.upstreams(now)),
 		StoreLimits: orderer.StoreLimits{
 			BytesPerSecond:     configuration.Fleet.WeightStore.BytesPerSecond,
-			MaxConcurrentLoads: configuration.Fleet.WeightStore.LoadsAtOnce,
+			MaxConcurrentLoads: configuration.Fleet.WeightStore.MaxConcurrentLoads,
 		},
 	})
 	for _, send := range sends {
@@ -156,14 +156,14 @@
 	var services []orderer.Service
 	for i := range c.Services {
 		s := &c.Services[i]
-		if !s.Fleet.Orders {
+		if !s.Fleet.AllowOrders {
 			continue
 		}
 		service := orderer.Service{
 			Name:       s.Name,
 			Versions:   []units.ModelVersion{s.ModelVersion},
-			MinServing: s.Fleet.Floor,
-			Bytes:      c.Fleet.Bytes(s.WantedVersion()),
+			MinServing: s.Fleet.MinInService,
+			Bytes:      c.Fleet.WeightBytes(s.WantedVersion()),
 			Wanted: &messages.Wanted{
 				Model:        string(s.Models[0]),
 				ModelVersion: string(s.WantedVersion()),
--- a/src/control/outbox.go
+++ b/src/control/outbox.go
@@ -26,7 +26,7 @@
 	o := &outbox{
 		client:  client,
 		queues:  make(map[units.Instance]chan *messages.LogMessage),
-		timeout: settings.Timing.Election / 2,
+		timeout: settings.Timing.ElectionTimeout / 2,
 	}
 	for _, instance := range settings.Control {
 		if instance.Name == settings.Name {
--- a/src/control/purchases.go
+++ b/src/control/purchases.go
@@ -99,7 +99,7 @@
 		Offers:      offersOf(configuration),
 		Demands:     d.demands(now, configuration),
 		Upstreams:   d.upstreams(now),
-		MaxStarting: startingPerLoad * configuration.Fleet.WeightStore.LoadsAtOnce,
+		MaxStarting: startingPerLoad * configuration.Fleet.WeightStore.MaxConcurrentLoads,
 	}))
 }
 
@@ -168,7 +168,7 @@
 				OnDemand:        offer.OnDemand,
 				Price:           offer.Price,
 				ReclaimsPerHour: offer.ReclaimsPerHour,
-				Slots:           c.Fleet.Slots(offer.Class),
+				Slots:           c.Fleet.SlotsOf(offer.Class),
 			})
 		}
 	}
@@ -184,19 +184,19 @@
 	var demands []buyer.Demand
 	for i := range c.Services {
 		s := &c.Services[i]
-		if s.Fleet.Most == 0 {
+		if s.Fleet.MaxInstances == 0 {
 			continue
 		}
 		load := bootTime
 		if rate := c.Fleet.WeightStore.BytesPerSecond; rate > 0 {
-			load += time.Duration(float64(c.Fleet.Bytes(s.WantedVersion())) / float64(rate) * float64(time.Second))
+			load += time.Duration(float64(c.Fleet.WeightBytes(s.WantedVersion())) / float64(rate) * float64(time.Second))
 		}
 		demands = append(demands, buyer.Demand{
 			Service:          s.Name,
-			MinSlots:         s.Fleet.Slots,
+			MinSlots:         s.Fleet.MinSlots,
 			UsedSlots:        used[s.Name],
-			MinOnDemandSlots: s.Fleet.OnDemand,
-			MaxInstances:     s.Fleet.Most,
+			MinOnDemandSlots: s.Fleet.MinOnDemand,
+			MaxInstances:     s.Fleet.MaxInstances,
 			LoadTime:         load,
 		})
 	}
--- a/src/control/view.go
+++ b/src/control/view.go
@@ -64,12 +64,12 @@
 		log: log,
 		registrar: &registrar.Registrar{
 			Options: registrar.Options{
-				Suspicion: timing.Fence + fenceMargin,
-				Steady:    steadyPeriod,
-				Gap:       maxHeartbeatGap,
-				Settle:    viewSettlePeriod,
-				Between:   minViewInterval,
-				Hold:      majorityHoldPeriod,
+				SuspicionTimeout: timing.FenceTimeout + fenceMargin,
+				SteadyPeriod:     steadyPeriod,
+				MaxHeartbeatGap:  maxHeartbeatGap,
+				SettlePeriod:     viewSettlePeriod,
+				MinViewInterval:  minViewInterval,
+				HoldPeriod:       majorityHoldPeriod,
 			},
 		},
 	}
@@ -112,7 +112,7 @@
 // if there is one.
 func (r *registry) HandleHeartbeat(now time.Time, heartbeat *messages.EntryHeartbeat, response *messages.EntryHeartbeatResponse) {
 	r.updateRegistrar(now)
-	r.registrar.Step(now, registrar.Heard{
+	r.registrar.Step(now, registrar.HeartbeatReceived{
 		Member: &messages.EntryMember{
 			Entry:       heartbeat.GetEntry(),
 			DataCentre:  heartbeat.GetDataCentre(),
@@ -138,7 +138,7 @@
 		switch a := action.(type) {
 		case registrar.Propose:
 			commands = append(commands, r.propose(a))
-		case registrar.Held:
+		case registrar.RemovalHeld:
 			r.log.Warn().
 				Int("silent", a.Silent).
 				Int("members", a.Members).
@@ -151,16 +151,16 @@
 // StopLeading notifies the registrar that the leadership has ended.
 func (r *registry) StopLeading() {
 	r.leading = false
-	r.registrar.Step(time.Time{}, registrar.Lost{})
+	r.registrar.Step(time.Time{}, registrar.LeadershipLost{})
 }
 
 // updateRegistrar notifies the registrar of a new leadership or a newly applied view.
 func (r *registry) updateRegistrar(now time.Time) {
 	switch {
 	case !r.leading:
-		r.registrar.Step(now, registrar.Led{View: r.view})
+		r.registrar.Step(now, registrar.LeadershipGained{View: r.view})
 	case r.view.GetNumber() != r.registrarView:
-		r.registrar.Step(now, registrar.Applied{View: r.view})
+		r.registrar.Step(now, registrar.ViewApplied{View: r.view})
 	}
 	r.leading = true
 	r.registrarView = r.view.GetNumber()
--- a/src/deployer/deployment.go
+++ b/src/deployer/deployment.go
@@ -41,10 +41,10 @@
 // Pool is a group of equal upstreams of one service.
 type Pool struct {
 	Service units.Service
-	// Kind is "engine" or "plain".
-	Kind  string
-	Name  string
-	Count int
+	// UpstreamKind is "engine" or "plain".
+	UpstreamKind string
+	Name         string
+	Count        int
 	// Arguments are additional command line arguments of the stand-in.
 	Arguments []string
 	// Offers are assigned to the upstreams in turn.
@@ -78,19 +78,19 @@
 		Controls:      controlCount,
 		Pools: []Pool{
 			{
-				Service:   "ember-llm",
-				Kind:      "engine",
-				Name:      "ember",
-				Count:     18,
-				Arguments: []string{"--model", "ember-1", "--step", "2ms"},
-				Offers:    offers,
+				Service:      "ember-llm",
+				UpstreamKind: "engine",
+				Name:         "ember",
+				Count:        18,
+				Arguments:    []string{"--model", "ember-1", "--step", "2ms"},
+				Offers:       offers,
 			},
 			{
-				Service: "diary-app",
-				Kind:    "plain",
-				Name:    "diary",
-				Count:   4,
-				Offers:  offers,
+				Service:      "diary-app",
+				UpstreamKind: "plain",
+				Name:         "diary",
+				Count:        4,
+				Offers:       offers,
 			},
 		},
 		Host: "hearthline.example",
@@ -115,19 +115,19 @@
 		Controls:      controlCount,
 		Pools: []Pool{
 			{
-				Service:   "redactor",
-				Kind:      "engine",
-				Name:      "redactor",
-				Count:     12,
-				Arguments: []string{"--model", "redactor-1", "--step", "3ms"},
-				Offers:    offers,
+				Service:      "redactor",
+				UpstreamKind: "engine",
+				Name:         "redactor",
+				Count:        12,
+				Arguments:    []string{"--model", "redactor-1", "--step", "3ms"},
+				Offers:       offers,
 			},
 			{
-				Service: "registro",
-				Kind:    "plain",
-				Name:    "registro",
-				Count:   4,
-				Offers:  offers,
+				Service:      "registro",
+				UpstreamKind: "plain",
+				Name:         "registro",
+				Count:        4,
+				Offers:       offers,
 			},
 		},
 		Host: "avisos.example",
@@ -202,7 +202,7 @@
 	if offer.OnDemand {
 		arguments = append(arguments, "--on-demand")
 	}
-	upstream, err := f.Stage.StartUpstream(pool.Kind, name, append(arguments, pool.Arguments...)...)
+	upstream, err := f.Stage.StartUpstream(pool.UpstreamKind, name, append(arguments, pool.Arguments...)...)
 	if err != nil {
 		return nil, err
 	}
@@ -240,22 +240,22 @@
 
 // Rates is the number of calls of each kind per second in a mixed load.
 type Rates struct {
-	Stream float64
-	Whole  float64
-	Once   float64
-	Read   float64
+	Stream        float64
+	Whole         float64
+	NonRepeatable float64
+	Read          float64
 }
 
-// Mixed returns workloads of every kind, spread evenly over the client accounts.
-func (d *Deployment) Mixed(rates Rates) []*loader.Workload {
+// MixedWorkloads returns workloads of every kind, spread evenly over the client accounts.
+func (d *Deployment) MixedWorkloads(rates Rates) []*loader.Workload {
 	var workloads []*loader.Workload
 	share := 1 / float64(len(d.Keys))
 	for i, key := range d.Keys {
 		suffix := strconv.Itoa(i + 1)
 		workloads = append(workloads,
 			d.modelWorkload("stream-"+suffix, loader.Stream, key, rates.Stream*share),
-			d.modelWorkload("whole-"+suffix, loader.Whole, key, rates.Whole*share),
-			d.plainWorkload("once-"+suffix, loader.Once, key, d.OncePath, rates.Once*share),
+			d.modelWorkload("whole-"+suffix, loader.NonStreaming, key, rates.Whole*share),
+			d.plainWorkload("once-"+suffix, loader.NonRepeatable, key, d.OncePath, rates.NonRepeatable*share),
 			d.plainWorkload("read-"+suffix, loader.Read, key, d.ReadPath, rates.Read*share),
 		)
 	}
--- a/src/entry/controlclient.go
+++ b/src/entry/controlclient.go
@@ -199,7 +199,7 @@
 	return &messages.EntryHeartbeat{
 		Entry:          string(c.settings.Name),
 		DataCentre:     string(c.settings.DataCentre),
-		PeerAddress:    c.settings.Peers.Listen,
+		PeerAddress:    c.settings.Peers.Address,
 		Incarnation:    c.incarnation,
 		VersionInForce: c.coordinator.versionInForce.Load(),
 		Fenced:         isFenced(c.leaseExpiry),
--- a/src/entry/entry.go
+++ b/src/entry/entry.go
@@ -85,7 +85,7 @@
 	e.incarnation = units.Incarnation(time.Now().UnixNano())
 	e.coordinator = newCoordinator(e.Settings, e.Log, &e.snapshot, &e.view)
 	e.coordinator.gossipSender = newGossipSender(e.Client, e.coordinator.events, e.Meter.Scope)
-	e.shares = newShares(e.Client, e.View, e.Settings.Name, uint64(e.incarnation), e.Settings.Timing.Fence)
+	e.shares = newShares(e.Client, e.View, e.Settings.Name, uint64(e.incarnation), e.Settings.Timing.FenceTimeout)
 	e.shares.limiter = &limiter.Limiter{
 		Snapshot:   &e.snapshot,
 		Shares:     e.shares,
@@ -160,7 +160,7 @@
 			Observer:  e.traffic.router,
 		},
 		Ready:         e.isReady,
-		DrainTimeout:  e.Settings.Timing.Drain,
+		DrainTimeout:  e.Settings.Timing.DrainTimeout,
 		UnreadyPeriod: unreadyFor,
 		Adopter:       e,
 		Records:       e.recorder,
@@ -208,7 +208,7 @@
 		leaseExpiry:       &e.leaseExpiry,
 		heartbeatRequests: make(chan struct{}, 1),
 		lease: distributor.Lease{
-			Duration: e.Settings.Timing.Fence,
+			Duration: e.Settings.Timing.FenceTimeout,
 		},
 	}
 }
--- a/src/entry/record.go
+++ b/src/entry/record.go
@@ -31,7 +31,7 @@
 		return 0, 0
 	}
 	bounds := snapshot.Configuration.Record
-	return bounds.KeepFor, bounds.KeepBytes
+	return bounds.TTL, bounds.MaxBytes
 }
 
 // drainRecord waits until the outcomes of the last calls are stored. A peer that is asked for one
--- a/src/entry/relay.go
+++ b/src/entry/relay.go
@@ -68,7 +68,7 @@
 		Update:          source.Update(units.Version(heartbeat.GetVersionInForce())),
 		// A relay that is cut off reports it early: its children need the rest of their leases to
 		// find another way to control.
-		InContact: age < c.settings.Timing.Fence/peerContactDivisor,
+		InContact: age < c.settings.Timing.FenceTimeout/peerContactDivisor,
 	}
 	if response.GetInContact() {
 		response.ContactAgeMs = uint64(age.Milliseconds()) + 1
@@ -148,7 +148,7 @@
 // duration divided by peerContactDivisor. While control is in reach, no peer is contacted.
 func (c *controlClient) contactPeers(ctx context.Context) {
 	view := c.view.Load()
-	if c.controlContactAge() < c.settings.Timing.Fence/peerContactDivisor || c.coordinator.versionInForce.Load() == 0 {
+	if c.controlContactAge() < c.settings.Timing.FenceTimeout/peerContactDivisor || c.coordinator.versionInForce.Load() == 0 {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, contactTimeout)
--- a/src/forwarder/event_test.go
+++ b/src/forwarder/event_test.go
@@ -73,7 +73,7 @@
 			Model:          "ember-1",
 			ModelVersion:   "1",
 			Slots:          4,
-			Step:           200_000,
+			StepInterval:   200_000,
 			PrefillPerStep: 512,
 			CacheBlocks:    8,
 		},
@@ -89,7 +89,7 @@
 		container.Add(service)
 	}
 	host := httptest.NewUnstartedServer(container)
-	host.Config.ConnContext = server.Faults.Number
+	host.Config.ConnContext = server.Faults.NumberConnection
 	host.Start()
 	t.Cleanup(host.Close)
 	go engine.Run(t.Context())
--- a/src/gateway/gateway.go
+++ b/src/gateway/gateway.go
@@ -38,7 +38,7 @@
 
 // Gateway is one entry process; its exported fields are set before Run.
 type Gateway struct {
-	Settings *parser.Deployment
+	Settings *parser.PlatformSettings
 	Log      zerolog.Logger
 	Meter    *meter.Meter
 	// Decode parses a configuration in the operators' format.
@@ -153,7 +153,7 @@
 }
 
 // Reload applies new settings. Only the seeds take effect while the process runs.
-func (g *Gateway) Reload(settings *parser.Deployment) {
+func (g *Gateway) Reload(settings *parser.PlatformSettings) {
 	seeds := settings.SeedPeers()
 	g.seeds.Store(&seeds)
 }
@@ -172,7 +172,7 @@
 		return false
 	}
 	// The lease ends leaseFraction of the revocation period after the last contact.
-	margin := time.Duration((leaseFraction - readyFraction) * float64(g.Settings.Revocation))
+	margin := time.Duration((leaseFraction - readyFraction) * float64(g.Settings.RevocationTimeout))
 	return timekeeper.Now().Add(margin).Before(w.lease)
 }
 
--- a/src/gateway/limit_sync.go
+++ b/src/gateway/limit_sync.go
@@ -15,7 +15,7 @@
 func (g *Gateway) recordLimit(upstream *tracker.Upstream, limit exchanger.Limit, sentAt time.Time) {
 	now := timekeeper.Now()
 	changed := g.gate.RecordObservation(pacer.Observation{
-		Life:       units.LifeOf(upstream.Name, upstream.Incarnation),
+		Life:       units.NewLife(upstream.Name, upstream.Incarnation),
 		HasLimit:   limit.HasRate,
 		Rate:       limit.Rate,
 		AnsweredAt: now,
--- a/src/gateway/loss_detector.go
+++ b/src/gateway/loss_detector.go
@@ -54,7 +54,7 @@
 		l.connectionCut(ctx, upstream, lostCall{
 			loss: quarantiner.Loss{
 				Request:   call.Fingerprint,
-				Life:      units.LifeOf(upstream.Name, upstream.Incarnation),
+				Life:      units.NewLife(upstream.Name, upstream.Incarnation),
 				Answering: result.AnswerDuration > 0,
 			},
 			id: call.ID,
--- a/src/gateway/poller.go
+++ b/src/gateway/poller.go
@@ -349,7 +349,7 @@
 func (p *poller) handleLeaderResponse(now, sentAt time.Time, r *messages.EntryPollResponse) {
 	// The lease starts when the poll was sent: what the leader knew then may have changed by
 	// the time its response arrives.
-	p.snapshot.lease = sentAt.Add(time.Duration(leaseFraction * float64(p.gateway.Settings.Revocation)))
+	p.snapshot.lease = sentAt.Add(time.Duration(leaseFraction * float64(p.gateway.Settings.RevocationTimeout)))
 	p.snapshot.trueTimeOffset = time.Unix(0, r.GetTrueTimeNs()).Sub(now)
 	p.updateSuspects(now, r)
 	p.snapshot.entries = entryCount(p.snapshot.entries, r)
--- a/src/gateway/traffic_stats.go
+++ b/src/gateway/traffic_stats.go
@@ -291,7 +291,7 @@
 		answered = timekeeper.Now().Sub(belief.AnsweredAt).Milliseconds()
 	}
 	var limit *float64
-	if rate, limited := g.gate.Limits()[units.LifeOf(c.Name, c.Incarnation)]; limited {
+	if rate, limited := g.gate.Limits()[units.NewLife(c.Name, c.Incarnation)]; limited {
 		value := float64(rate)
 		limit = &value
 	}
--- a/src/governor/coordinator.go
+++ b/src/governor/coordinator.go
@@ -50,7 +50,7 @@
 
 // coordinator owns the state of one control process.
 type coordinator struct {
-	settings *parser.Deployment
+	settings *parser.PlatformSettings
 	log      zerolog.Logger
 	decode   func([]byte) (*matcher.Configuration, error)
 	keeper   *keeper.Keeper
@@ -109,8 +109,8 @@
 		state: &state{
 			ledger: &tallier.Ledger{
 				WindowLength: g.Settings.Usage.Window,
-				MaxWait:      time.Duration(reportWaitFraction * float64(g.Settings.Usage.Lateness)),
-				MaxServing:   g.Settings.Revocation,
+				MaxWait:      time.Duration(reportWaitFraction * float64(g.Settings.Usage.MaxDelay)),
+				MaxServing:   g.Settings.RevocationTimeout,
 			},
 		},
 		outbox: &outbox{client: g.Client},
@@ -299,7 +299,7 @@
 	if c.leaderSince.IsZero() {
 		c.leaderSince = now
 		c.divider = &apportioner.Allocator{
-			Lease:  c.settings.Revocation,
+			Lease:  c.settings.RevocationTimeout,
 			Window: apportioner.NewWindow(c.settings.Quota),
 			Since:  now,
 		}
--- a/src/governor/coordinator_test.go
+++ b/src/governor/coordinator_test.go
@@ -25,21 +25,21 @@
 func newInstance(t testing.TB) (*Governor, *coordinator) {
 	t.Helper()
 	g := &Governor{
-		Settings: &parser.Deployment{
-			Name:       "c1",
-			DataFolder: t.TempDir(),
-			FirstStart: true,
-			Address:    "127.0.0.1",
-			DataCentre: "dc",
-			Seeds:      []string{"127.0.0.1:7000"},
-			PeerPorts:  []int{7600, 7615},
-			Revocation: 5 * time.Second,
+		Settings: &parser.PlatformSettings{
+			Name:              "c1",
+			DataFolder:        t.TempDir(),
+			FirstStart:        true,
+			Address:           "127.0.0.1",
+			DataCentre:        "dc",
+			Seeds:             []string{"127.0.0.1:7000"},
+			PeerPorts:         []int{7600, 7615},
+			RevocationTimeout: 5 * time.Second,
 			Quota: parser.Quota{
 				Window: 8 * time.Second,
 			},
 			Usage: parser.Usage{
 				Window:   5 * time.Second,
-				Lateness: 10 * time.Second,
+				MaxDelay: 10 * time.Second,
 			},
 		},
 		Log:    zerolog.Nop(),
--- a/src/governor/dump.go
+++ b/src/governor/dump.go
@@ -86,7 +86,7 @@
 			HeardMs:  now.Sub(e.HeartbeatAt).Milliseconds(),
 			InFlight: load.Calls,
 			Unread:   load.Prefill,
-			Limit:    limits[units.LifeOf(e.ID, e.Incarnation)],
+			Limit:    limits[units.NewLife(e.ID, e.Incarnation)],
 		})
 	}
 	return d
--- a/src/governor/event.go
+++ b/src/governor/event.go
@@ -135,7 +135,7 @@
 
 // settingsReloaded carries new settings, of which only the seeds are applied.
 type settingsReloaded struct {
-	settings *parser.Deployment
+	settings *parser.PlatformSettings
 }
 
 // dumpRequested requests a dump of the state.
--- a/src/governor/governor.go
+++ b/src/governor/governor.go
@@ -43,7 +43,7 @@
 
 // Governor is one control process; its fields are set before Run.
 type Governor struct {
-	Settings *parser.Deployment
+	Settings *parser.PlatformSettings
 	Log      zerolog.Logger
 	Meter    *meter.Meter
 	// Decode decodes a configuration in the operators' format. A configuration that it
@@ -260,7 +260,7 @@
 }
 
 // Reload applies new settings; while the process runs, only the seeds take effect.
-func (g *Governor) Reload(ctx context.Context, settings *parser.Deployment) {
+func (g *Governor) Reload(ctx context.Context, settings *parser.PlatformSettings) {
 	if err := g.post(ctx, settingsReloaded{settings: settings}); err != nil {
 		g.Log.Warn().Err(err).Msg("settings-not-taken")
 	}
--- a/src/governor/ratelimits.go
+++ b/src/governor/ratelimits.go
@@ -90,7 +90,7 @@
 	present := make(map[units.Life]bool)
 	for _, e := range l.coordinator.table.Upstreams() {
 		if e.State != enroller.Gone {
-			present[units.LifeOf(e.ID, e.Incarnation)] = true
+			present[units.NewLife(e.ID, e.Incarnation)] = true
 		}
 	}
 	l.divider.RetainLimits(now, func(life units.Life) bool { return present[life] })
@@ -99,7 +99,7 @@
 // upstreamName returns the name of the upstream with a life, "" where it is unknown.
 func (l *rateLimits) upstreamName(life units.Life) units.Upstream {
 	for _, e := range l.coordinator.table.Upstreams() {
-		if units.LifeOf(e.ID, e.Incarnation) == life {
+		if units.NewLife(e.ID, e.Incarnation) == life {
 			return e.ID
 		}
 	}
@@ -129,7 +129,7 @@
 	}
 	count := 0
 	for _, e := range l.coordinator.table.Upstreams() {
-		if e.Service == service && e.State == enroller.Ready && l.divider.HasShortage(now, units.LifeOf(e.ID, e.Incarnation)) {
+		if e.Service == service && e.State == enroller.Ready && l.divider.HasShortage(now, units.NewLife(e.ID, e.Incarnation)) {
 			count++
 		}
 	}
--- a/src/governor/ratelimits_test.go
+++ b/src/governor/ratelimits_test.go
@@ -27,7 +27,7 @@
 		Incarnation: 1,
 		Sequence:    1,
 	}, 0)
-	return c, units.LifeOf("u", 1)
+	return c, units.NewLife("u", 1)
 }
 
 // limitsPoll returns an entry's poll that reports the given limits and requests permits.
--- a/src/governor/registry.go
+++ b/src/governor/registry.go
@@ -81,7 +81,7 @@
 // syncUpstreams merges the upstreams that another control instance received.
 func (c *coordinator) syncUpstreams(batch *messages.UpstreamBatch) *messages.UpstreamBatchResponse {
 	now := timekeeper.Now()
-	c.estimator.Take(now, units.Instance(batch.GetFrom()), time.Unix(0, batch.GetWallNs()))
+	c.estimator.Record(now, units.Instance(batch.GetFrom()), time.Unix(0, batch.GetWallNs()))
 	for _, message := range batch.GetUpstreams() {
 		c.table.Merge(now, message)
 	}
@@ -126,7 +126,7 @@
 	}
 	entry := units.Instance(poll.GetEntry())
 	response.Counted = uint64(c.inFlight.LastCounted(entry))
-	c.estimator.Take(now, entry, time.Unix(0, poll.GetWallNs()))
+	c.estimator.Record(now, entry, time.Unix(0, poll.GetWallNs()))
 	c.recordEntry(now, entry, poll)
 	c.rateLimits.report(now, poll, response)
 	response.TrueTimeNs = trueTime.UnixNano()
--- a/src/governor/rollout.go
+++ b/src/governor/rollout.go
@@ -100,7 +100,7 @@
 	case !declared:
 		return messages.RolloutOutcome_ROLLOUT_OUTCOME_INVALID,
 			fmt.Sprintf("the configuration has no service %q; declare it first", order.Service)
-	case sameTarget && (running || age < c.settings.Rollouts.Resend || last.GetState() == messages.RolloutState_ROLLOUT_STATE_COMPLETED):
+	case sameTarget && (running || age < c.settings.Rollouts.ResendPeriod || last.GetState() == messages.RolloutState_ROLLOUT_STATE_COMPLETED):
 		return messages.RolloutOutcome_ROLLOUT_OUTCOME_ACCEPTED, ""
 	case running:
 		return messages.RolloutOutcome_ROLLOUT_OUTCOME_BUSY,
--- a/src/governor/rollout_test.go
+++ b/src/governor/rollout_test.go
@@ -45,7 +45,7 @@
 // sent again.
 func TestRolloutOrdersAtTheLeader(t *testing.T) {
 	_, c := newLeader(t)
-	c.settings.Rollouts.Resend = 5 * time.Second
+	c.settings.Rollouts.ResendPeriod = 5 * time.Second
 	c.configuration = &matcher.Configuration{Services: []matcher.Service{{Name: "s"}}}
 	v2 := RolloutOrder{Service: "s", Target: "v2", Duration: 10 * time.Second}
 	v3 := RolloutOrder{Service: "s", Target: "v3", Duration: 10 * time.Second}
--- a/src/indexer/snapshot.go
+++ b/src/indexer/snapshot.go
@@ -29,7 +29,7 @@
 // Service is one configured service with the upstreams that it may use, sorted by name.
 type Service struct {
 	parser.Service
-	Usable []*tracker.Upstream
+	UsableUpstreams []*tracker.Upstream
 }
 
 type accountKey struct {
@@ -87,10 +87,10 @@
 		}
 		for _, upstream := range s.usableByService[configured.Name] {
 			if isAllowed(&service.Service, upstream) {
-				service.Usable = append(service.Usable, upstream)
+				service.UsableUpstreams = append(service.UsableUpstreams, upstream)
 			}
 		}
-		slices.SortFunc(service.Usable, func(a, b *tracker.Upstream) int {
+		slices.SortFunc(service.UsableUpstreams, func(a, b *tracker.Upstream) int {
 			return strings.Compare(string(a.Name), string(b.Name))
 		})
 		s.services = append(s.services, service)
@@ -108,7 +108,7 @@
 	if len(rule.MachineClasses) > 0 && !slices.Contains(rule.MachineClasses, upstream.MachineClass) {
 		return false
 	}
-	if !service.Accepts(upstream.ModelVersion) {
+	if !service.AcceptsVersion(upstream.ModelVersion) {
 		return false
 	}
 	return len(rule.Names) == 0 || slices.ContainsFunc(rule.Names, func(pattern string) bool {
--- a/src/injector/checker.go
+++ b/src/injector/checker.go
@@ -21,11 +21,11 @@
 // GroundTruth is what the upstreams actually did, according to their journals.
 type GroundTruth struct {
 	// runs holds the starts of each call, with the upstream, by the caller's reference.
-	runs map[string][]standin.Line
+	runs map[string][]standin.JournalEvent
 	// noticedAt is when each upstream received its notice.
 	noticedAt map[string]time.Time
 	// Recomputed holds the events of tokens computed again for retried or resumed calls.
-	Recomputed []standin.Line
+	Recomputed []standin.JournalEvent
 }
 
 // RecomputedTokens returns the total number of recomputed tokens.
@@ -37,10 +37,10 @@
 	return total
 }
 
-// ReadTruth reads every journal in a folder.
-func ReadTruth(folder string) (*GroundTruth, error) {
+// ReadGroundTruth reads every journal in a folder.
+func ReadGroundTruth(folder string) (*GroundTruth, error) {
 	truth := &GroundTruth{
-		runs:      make(map[string][]standin.Line),
+		runs:      make(map[string][]standin.JournalEvent),
 		noticedAt: make(map[string]time.Time),
 	}
 	files, err := os.ReadDir(folder)
@@ -60,7 +60,7 @@
 	return truth, nil
 }
 
-func (t *GroundTruth) add(lines []standin.Line) {
+func (t *GroundTruth) add(lines []standin.JournalEvent) {
 	for _, line := range lines {
 		switch line.Kind {
 		case standin.CallStarted:
@@ -84,14 +84,14 @@
 	// CutStreams counts streams that ended early at the caller and were requested
 	// again. Only an entry that dies or freezes may cause one.
 	CutStreams int
-	Faults     []string
+	Violations []string
 	// Refused describes the last refusal of each call that was refused in the end.
 	Refused []string
 }
 
 // Check compares the outcomes that callers observed under a schedule with what the
 // upstreams actually did.
-func Check(report *loader.Report, truth *GroundTruth, schedule []Step) *Verdict {
+func Check(report *loader.Report, truth *GroundTruth, schedule []ScheduledFault) *Verdict {
 	v := &Verdict{}
 	for _, outcome := range report.Outcomes {
 		v.countOutcome(outcome)
@@ -105,8 +105,8 @@
 
 // checkCuts reports streams that ended early although the schedule kills or
 // freezes no entry.
-func (v *Verdict) checkCuts(report *loader.Report, schedule []Step) {
-	if slices.ContainsFunc(schedule, func(s Step) bool { return s.Act == KillEntry || s.Act == FreezeEntry }) {
+func (v *Verdict) checkCuts(report *loader.Report, schedule []ScheduledFault) {
+	if slices.ContainsFunc(schedule, func(s ScheduledFault) bool { return s.Kind == KillEntry || s.Kind == FreezeEntry }) {
 		return
 	}
 	for _, outcome := range report.Outcomes {
@@ -135,11 +135,11 @@
 	v.CutStreams += outcome.Cuts
 }
 
-func (v *Verdict) checkRuns(outcome *loader.Outcome, runs []standin.Line) {
+func (v *Verdict) checkRuns(outcome *loader.Outcome, runs []standin.JournalEvent) {
 	if outcome.Result == loader.Answered && len(runs) == 0 {
 		v.addFault(outcome, "answered without a run")
 	}
-	if outcome.Kind != loader.Once {
+	if outcome.Kind != loader.NonRepeatable {
 		return
 	}
 	if len(runs) > 1 {
@@ -169,7 +169,7 @@
 		for _, run := range runs {
 			noticedAt, noticed := truth.noticedAt[run.Upstream]
 			if noticed && run.At.After(noticedAt.Add(newWorkGrace)) {
-				v.Faults = append(v.Faults, fmt.Sprintf("%s: new work at %s %s after its notice",
+				v.Violations = append(v.Violations, fmt.Sprintf("%s: new work at %s %s after its notice",
 					reference, run.Upstream, run.At.Sub(noticedAt)))
 			}
 		}
@@ -182,11 +182,11 @@
 }
 
 func (v *Verdict) addFault(outcome *loader.Outcome, detail string) {
-	v.Faults = append(v.Faults, fmt.Sprintf("%s (%s, key %s): %s", outcome.Reference, outcome.Workload, outcome.Key, detail))
+	v.Violations = append(v.Violations, fmt.Sprintf("%s (%s, key %s): %s", outcome.Reference, outcome.Workload, outcome.Key, detail))
 }
 
 // String returns the verdict's counts as one line.
 func (v *Verdict) String() string {
 	return fmt.Sprintf("answered=%d not-run=%d unknown=%d lost=%d doubled=%d cut=%d faults=%d",
-		v.Answered, v.NotRun, v.Unknown, v.Lost, v.DuplicateRuns, v.CutStreams, len(v.Faults))
+		v.Answered, v.NotRun, v.Unknown, v.Lost, v.DuplicateRuns, v.CutStreams, len(v.Violations))
 }
--- a/src/injector/injector.go
+++ b/src/injector/injector.go
@@ -19,7 +19,7 @@
 // Injector executes a schedule of faults; its fields are set before Run.
 type Injector struct {
 	Fleet    *deployer.Fleet
-	Schedule []Step
+	Schedule []ScheduledFault
 	// Log receives a line for each step when it is executed.
 	Log io.Writer
 
@@ -52,10 +52,10 @@
 	return inj.failure
 }
 
-func (inj *Injector) execute(ctx context.Context, step Step) {
+func (inj *Injector) execute(ctx context.Context, step ScheduledFault) {
 	entries := inj.Fleet.Stage.Entries
 	controls := inj.Fleet.Stage.Controls
-	switch step.Act {
+	switch step.Kind {
 	case KillEntry:
 		inj.disruptNode(entries, step, inj.killAndRestart)
 	case StopEntry:
@@ -70,9 +70,9 @@
 		inj.disruptNode(controls, step, inj.deleteDisk)
 	case NoticeUpstream, KillUpstream, FreezeUpstream:
 		inj.disruptUpstream(step)
-	case Wave:
+	case ReclaimDataCentre:
 		inj.reclaimDataCentre(step)
-	case RacingOperators:
+	case SubmitConcurrently:
 		inj.pending.Go(func() { inj.submitConcurrently(ctx, step) })
 	}
 }
@@ -80,7 +80,7 @@
 // disruptNode runs act on one node of a group, unless a node of the group is
 // already affected: at most one node of a group is down at a time, and a later
 // step may disrupt another one once the first runs again.
-func (inj *Injector) disruptNode(group []*stager.Node, step Step, act func(*stager.Node, Step) error) {
+func (inj *Injector) disruptNode(group []*stager.Node, step ScheduledFault, act func(*stager.Node, ScheduledFault) error) {
 	inj.mu.Lock()
 	for _, node := range group {
 		if inj.affected[node] {
@@ -102,42 +102,42 @@
 	})
 }
 
-func (inj *Injector) killAndRestart(node *stager.Node, step Step) error {
+func (inj *Injector) killAndRestart(node *stager.Node, step ScheduledFault) error {
 	node.Kill()
-	time.Sleep(step.Lasts)
+	time.Sleep(step.Duration)
 	return inj.Fleet.Stage.Start(node)
 }
 
-func (inj *Injector) stopAndRestart(node *stager.Node, step Step) error {
+func (inj *Injector) stopAndRestart(node *stager.Node, step ScheduledFault) error {
 	node.Stop()
-	time.Sleep(step.Lasts)
+	time.Sleep(step.Duration)
 	return inj.Fleet.Stage.Start(node)
 }
 
-func (inj *Injector) deleteDisk(node *stager.Node, step Step) error {
+func (inj *Injector) deleteDisk(node *stager.Node, step ScheduledFault) error {
 	node.Kill()
 	if err := os.RemoveAll(node.Settings.DataFolder); err != nil {
 		return fmt.Errorf("delete the disk of %s: %w", node.Settings.Name, err)
 	}
-	time.Sleep(step.Lasts)
+	time.Sleep(step.Duration)
 	return inj.Fleet.Stage.Start(node)
 }
 
-func freezeNode(node *stager.Node, step Step) error {
+func freezeNode(node *stager.Node, step ScheduledFault) error {
 	node.Signal(syscall.SIGSTOP)
-	time.Sleep(step.Lasts)
+	time.Sleep(step.Duration)
 	node.Signal(syscall.SIGCONT)
 	return nil
 }
 
-func (inj *Injector) disruptUpstream(step Step) {
+func (inj *Injector) disruptUpstream(step ScheduledFault) {
 	running := inj.runningUpstreams("engine")
 	if len(running) == 0 {
 		return
 	}
 	member := running[step.Target%len(running)]
 	inj.pending.Go(func() {
-		switch step.Act {
+		switch step.Kind {
 		case NoticeUpstream:
 			inj.reclaim(member)
 		case KillUpstream:
@@ -145,7 +145,7 @@
 			inj.replace(member)
 		default:
 			member.Signal(syscall.SIGSTOP)
-			time.Sleep(step.Lasts)
+			time.Sleep(step.Duration)
 			member.Signal(syscall.SIGCONT)
 		}
 	})
@@ -167,7 +167,7 @@
 }
 
 // reclaimDataCentre reclaims all model engines of one data centre at once.
-func (inj *Injector) reclaimDataCentre(step Step) {
+func (inj *Injector) reclaimDataCentre(step ScheduledFault) {
 	dataCentre := inj.Fleet.DataCentres[step.Target%len(inj.Fleet.DataCentres)]
 	for _, member := range inj.runningUpstreams("engine") {
 		if member.DataCentre == dataCentre {
@@ -181,7 +181,7 @@
 	defer inj.mu.Unlock()
 	var running []*deployer.Member
 	for _, member := range inj.Fleet.Upstreams {
-		if member.Pool.Kind == kind && member.Stopped.IsZero() {
+		if member.Pool.UpstreamKind == kind && member.Stopped.IsZero() {
 			running = append(running, member)
 		}
 	}
@@ -190,7 +190,7 @@
 
 // submitConcurrently lets two operators submit different contents under the same
 // version; at most one may be accepted.
-func (inj *Injector) submitConcurrently(ctx context.Context, step Step) {
+func (inj *Injector) submitConcurrently(ctx context.Context, step ScheduledFault) {
 	inj.mu.Lock()
 	inj.lastVersion++
 	version := inj.lastVersion
--- a/src/injector/run.go
+++ b/src/injector/run.go
@@ -18,7 +18,7 @@
 	Rates      deployer.Rates
 	Span       time.Duration
 	Seed       uint64
-	Schedule   []Step
+	Schedule   []ScheduledFault
 	Log        io.Writer
 }
 
@@ -34,11 +34,11 @@
 		Balancer: &loader.Balancer{
 			Entries: fleet.EntryURLs(),
 		},
-		Workloads: e.Deployment.Mixed(e.Rates),
-		Span:      e.Span,
-		Seed:      e.Seed,
-		Name:      e.Deployment.Name,
-		Resend:    true,
+		Workloads:    e.Deployment.MixedWorkloads(e.Rates),
+		Duration:     e.Span,
+		Seed:         e.Seed,
+		Name:         e.Deployment.Name,
+		RetryRefused: true,
 	}
 	injector := &Injector{
 		Fleet:    fleet,
@@ -55,11 +55,11 @@
 	if err := <-injected; err != nil {
 		return nil, report, fmt.Errorf("execute the schedule: %w", err)
 	}
-	truth, err := ReadTruth(fleet.Journals)
+	truth, err := ReadGroundTruth(fleet.Journals)
 	if err != nil {
 		return nil, report, err
 	}
 	verdict := Check(report, truth, e.Schedule)
-	verdict.Faults = append(verdict.Faults, watcher.faults()...)
+	verdict.Violations = append(verdict.Violations, watcher.faults()...)
 	return verdict, report, nil
 }
--- a/src/injector/schedule.go
+++ b/src/injector/schedule.go
@@ -8,43 +8,43 @@
 	"time"
 )
 
-// Act is a kind of fault.
-type Act string
+// FaultKind is a kind of fault.
+type FaultKind string
 
 // The faults that a schedule can contain.
 const (
-	KillEntry       Act = "kill-entry"
-	StopEntry       Act = "stop-entry"
-	FreezeEntry     Act = "freeze-entry"
-	KillControl     Act = "kill-control"
-	FreezeControl   Act = "freeze-control"
-	LoseDisk        Act = "lose-disk"
-	NoticeUpstream  Act = "notice-upstream"
-	KillUpstream    Act = "kill-upstream"
-	FreezeUpstream  Act = "freeze-upstream"
-	Wave            Act = "wave"
-	RacingOperators Act = "racing-operators"
+	KillEntry          FaultKind = "kill-entry"
+	StopEntry          FaultKind = "stop-entry"
+	FreezeEntry        FaultKind = "freeze-entry"
+	KillControl        FaultKind = "kill-control"
+	FreezeControl      FaultKind = "freeze-control"
+	LoseDisk           FaultKind = "lose-disk"
+	NoticeUpstream     FaultKind = "notice-upstream"
+	KillUpstream       FaultKind = "kill-upstream"
+	FreezeUpstream     FaultKind = "freeze-upstream"
+	ReclaimDataCentre  FaultKind = "wave"
+	SubmitConcurrently FaultKind = "racing-operators"
 )
 
-// Acts lists all kinds of faults, in a fixed order so that equal seeds draw equal schedules.
-var Acts = []Act{
+// FaultKinds lists all kinds of faults, in a fixed order so that equal seeds draw equal schedules.
+var FaultKinds = []FaultKind{
 	KillEntry, StopEntry, FreezeEntry, KillControl, FreezeControl, LoseDisk,
-	NoticeUpstream, KillUpstream, FreezeUpstream, Wave, RacingOperators,
+	NoticeUpstream, KillUpstream, FreezeUpstream, ReclaimDataCentre, SubmitConcurrently,
 }
 
-// Step is one fault at its time.
-type Step struct {
-	At  time.Duration
-	Act Act
+// ScheduledFault is one fault at its time.
+type ScheduledFault struct {
+	At   time.Duration
+	Kind FaultKind
 	// Target selects one of the processes to which the act applies, modulo their number.
 	Target int
-	// Lasts is how long a process stays frozen or down.
-	Lasts time.Duration
+	// Duration is how long a process stays frozen or down.
+	Duration time.Duration
 }
 
 // String returns the step as it appears in the log of a run.
-func (s Step) String() string {
-	return fmt.Sprintf("%s %s target=%d lasts=%s", s.At.Round(time.Millisecond), s.Act, s.Target, s.Lasts.Round(time.Millisecond))
+func (s ScheduledFault) String() string {
+	return fmt.Sprintf("%s %s target=%d lasts=%s", s.At.Round(time.Millisecond), s.Kind, s.Target, s.Duration.Round(time.Millisecond))
 }
 
 const (
@@ -53,18 +53,18 @@
 	maxFaultDuration = 5 * time.Second
 )
 
-// Draw returns a random schedule of count steps over a span; equal seeds give equal schedules.
-func Draw(seed uint64, span time.Duration, count int, acts []Act) []Step {
+// RandomSchedule returns a random schedule of count steps over a span; equal seeds give equal schedules.
+func RandomSchedule(seed uint64, span time.Duration, count int, acts []FaultKind) []ScheduledFault {
 	random := rand.New(rand.NewPCG(seed, seed))
-	steps := make([]Step, 0, count)
+	steps := make([]ScheduledFault, 0, count)
 	for range count {
-		steps = append(steps, Step{
-			At:     warmUp + time.Duration(random.Int64N(int64(span-warmUp))),
-			Act:    acts[random.IntN(len(acts))],
-			Target: random.IntN(1 << 16),
-			Lasts:  minFaultDuration + time.Duration(random.Int64N(int64(maxFaultDuration-minFaultDuration))),
+		steps = append(steps, ScheduledFault{
+			At:       warmUp + time.Duration(random.Int64N(int64(span-warmUp))),
+			Kind:     acts[random.IntN(len(acts))],
+			Target:   random.IntN(1 << 16),
+			Duration: minFaultDuration + time.Duration(random.Int64N(int64(maxFaultDuration-minFaultDuration))),
 		})
 	}
-	slices.SortStableFunc(steps, func(a, b Step) int { return cmp.Compare(a.At, b.At) })
+	slices.SortStableFunc(steps, func(a, b ScheduledFault) int { return cmp.Compare(a.At, b.At) })
 	return steps
 }
--- a/src/launcher/processes.go
+++ b/src/launcher/processes.go
@@ -71,15 +71,15 @@
 	control := shared
 	control.Name = "control"
 	control.DataFolder = filepath.Clean(c.DataFolder)
-	control.Peers.Listen = peers
-	control.Operators.Listen = c.Operators
+	control.Peers.Address = peers
+	control.Operators.Address = c.Operators
 	control.FillDefaults()
 	entry := shared
 	entry.Name = "entry"
-	entry.Callers.Listen = c.Callers
-	entry.Upstreams.Listen = c.Upstreams
-	entry.Operators.Listen = entryOperators
-	entry.Peers.Listen = entryPeers
+	entry.Callers.Address = c.Callers
+	entry.Upstreams.Address = c.Upstreams
+	entry.Operators.Address = entryOperators
+	entry.Peers.Address = entryPeers
 	entry.FillDefaults()
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { return runControl(ctx, console, &control) })
@@ -140,9 +140,9 @@
 }
 
 func listen(l parser.Listener) (net.Listener, error) {
-	listener, err := net.Listen("tcp", l.Listen)
+	listener, err := net.Listen("tcp", l.Address)
 	if err != nil {
-		return nil, fmt.Errorf("listen on %s: %w; choose a free port or stop the process that uses it", l.Listen, err)
+		return nil, fmt.Errorf("listen on %s: %w; choose a free port or stop the process that uses it", l.Address, err)
 	}
 	return listener, nil
 }
--- a/src/limiter/limiter.go
+++ b/src/limiter/limiter.go
@@ -257,7 +257,7 @@
 	serviceQueue.maxWait = service.Target.FirstToken / queueWaitDivisor
 	serviceUpstreams, _ := snapshot.Service(service.Name)
 	slots, free := 0, 0
-	for _, upstream := range serviceUpstreams.Usable {
+	for _, upstream := range serviceUpstreams.UsableUpstreams {
 		slots += upstream.Slots
 		free += max(0, upstream.Slots-upstream.Load.Running-upstream.Load.Queued)
 	}
--- a/src/loader/caller.go
+++ b/src/loader/caller.go
@@ -114,7 +114,7 @@
 	// An upstream that is called without an entry identifies calls by this header;
 	// an entry replaces it.
 	request.Header.Set(headerCall, c.outcome.Reference)
-	if c.workload.Kind == Once {
+	if c.workload.Kind == NonRepeatable {
 		request.Header["Idempotency-Key"] = []string{c.outcome.Key}
 		request.GetBody = nil
 	}
@@ -187,7 +187,7 @@
 		c.outcome.Detail = "the answer is not whole JSON"
 		return attempt{result: Failed}
 	}
-	if c.workload.Kind == Whole {
+	if c.workload.Kind == NonStreaming {
 		c.outcome.Tokens = c.workload.OutputTokens
 	}
 	return attempt{result: Answered}
--- a/src/loader/loader.go
+++ b/src/loader/loader.go
@@ -16,14 +16,14 @@
 type Loader struct {
 	Balancer  *Balancer
 	Workloads []*Workload
-	// Span is how long new calls are made.
-	Span time.Duration
+	// Duration is how long new calls are made.
+	Duration time.Duration
 	// Seed determines the arrivals and prompts.
 	Seed uint64
 	// Name is the prefix of the references, which distinguishes them from those of other loads.
 	Name string
-	// Resend makes callers retry refused calls after Retry-After.
-	Resend bool
+	// RetryRefused makes callers retry refused calls after Retry-After.
+	RetryRefused bool
 }
 
 // Run makes the calls and returns their outcomes once all have ended.
@@ -37,10 +37,10 @@
 		},
 	}
 	defer client.CloseIdleConnections()
-	arrivals := drawArrivals(l.Workloads, l.Span, l.Seed)
+	arrivals := drawArrivals(l.Workloads, l.Duration, l.Seed)
 	report := &Report{
 		Outcomes: make([]*Outcome, 0, len(arrivals)),
-		Span:     l.Span,
+		Duration: l.Duration,
 	}
 	start := time.Now()
 	var calls sync.WaitGroup
@@ -65,7 +65,7 @@
 		workload:     next.workload,
 		body:         next.body(),
 		due:          due,
-		retryRefused: l.Resend,
+		retryRefused: l.RetryRefused,
 		outcome: &Outcome{
 			Reference: reference,
 			Workload:  next.workload.Name,
--- a/src/loader/outcome.go
+++ b/src/loader/outcome.go
@@ -59,7 +59,7 @@
 // Report holds the outcomes of a load.
 type Report struct {
 	Outcomes []*Outcome
-	Span     time.Duration
+	Duration time.Duration
 }
 
 const (
@@ -78,15 +78,15 @@
 	return count
 }
 
-// FirstTokens returns the times to the first token of the answered streams.
-func (r *Report) FirstTokens() *hdrhistogram.Histogram {
+// FirstTokenLatencies returns the times to the first token of the answered streams.
+func (r *Report) FirstTokenLatencies() *hdrhistogram.Histogram {
 	return r.histogram(func(o *Outcome) (time.Duration, bool) {
 		return o.FirstToken, o.Kind == Stream && o.Result == Answered
 	})
 }
 
-// Gaps returns the 95th percentiles of the time between tokens of the answered streams.
-func (r *Report) Gaps() *hdrhistogram.Histogram {
+// TokenGaps returns the 95th percentiles of the time between tokens of the answered streams.
+func (r *Report) TokenGaps() *hdrhistogram.Histogram {
 	return r.histogram(func(o *Outcome) (time.Duration, bool) {
 		return o.GapP95, o.Kind == Stream && o.Result == Answered
 	})
@@ -99,15 +99,15 @@
 	})
 }
 
-// Refusals returns the latencies of the final refusals of calls that were not run.
-func (r *Report) Refusals() *hdrhistogram.Histogram {
+// RefusalLatencies returns the latencies of the final refusals of calls that were not run.
+func (r *Report) RefusalLatencies() *hdrhistogram.Histogram {
 	return r.histogram(func(o *Outcome) (time.Duration, bool) {
 		return o.RefusalLatency, o.Result == NotRun
 	})
 }
 
-// Within returns how many answered streams met both latency targets.
-func (r *Report) Within(firstToken, between time.Duration) int {
+// CountWithinTargets returns how many answered streams met both latency targets.
+func (r *Report) CountWithinTargets(firstToken, between time.Duration) int {
 	count := 0
 	for _, o := range r.Outcomes {
 		if o.Kind == Stream && o.Result == Answered && o.FirstToken <= firstToken && o.GapP95 <= between {
--- a/src/loader/workload.go
+++ b/src/loader/workload.go
@@ -15,12 +15,12 @@
 const (
 	// Stream is a streamed model call.
 	Stream Kind = "stream"
-	// Whole is a model call that is not streamed.
-	Whole Kind = "whole"
+	// NonStreaming is a model call that is not streamed.
+	NonStreaming Kind = "whole"
 	// Read is a repeatable call to a plain service.
 	Read Kind = "read"
-	// Once is a call to a plain service that must not run more than once.
-	Once Kind = "once"
+	// NonRepeatable is a call to a plain service that must not run more than once.
+	NonRepeatable Kind = "once"
 )
 
 // Workload describes similar calls from one client account.
@@ -83,7 +83,7 @@
 
 // prompt draws a prompt whose prefix other prompts of the workload share.
 func (w *Workload) prompt(random *rand.Rand) string {
-	if w.Kind != Stream && w.Kind != Whole {
+	if w.Kind != Stream && w.Kind != NonStreaming {
 		return ""
 	}
 	prefix := fillerText(fmt.Sprintf("%s-%d", w.Name, random.IntN(max(1, w.Prefixes))), w.PrefixBytes)
@@ -92,11 +92,11 @@
 
 func (a *arrival) body() string {
 	switch a.workload.Kind {
-	case Once:
+	case NonRepeatable:
 		return fmt.Sprintf(`{"number":%d}`, a.sequence)
 	case Read:
 		return ""
-	case Stream, Whole:
+	case Stream, NonStreaming:
 	}
 	return fmt.Sprintf(`{"model":%q,"stream":%t,"seed":%d,"max_tokens":%d,"prompt":%q}`,
 		a.workload.Model, a.workload.Kind == Stream, a.sequence, a.workload.OutputTokens, a.prompt)
--- a/src/measurer/bench.go
+++ b/src/measurer/bench.go
@@ -116,11 +116,11 @@
 		Balancer: &loader.Balancer{
 			Entries: urls,
 		},
-		Workloads: workloads,
-		Span:      duration,
-		Seed:      b.Seed,
-		Name:      name,
-		Resend:    resend,
+		Workloads:    workloads,
+		Duration:     duration,
+		Seed:         b.Seed,
+		Name:         name,
+		RetryRefused: resend,
 	}
 	return generator.Run(ctx)
 }
--- a/src/measurer/entry.go
+++ b/src/measurer/entry.go
@@ -51,7 +51,7 @@
 	if err != nil {
 		return nil, err
 	}
-	workloads := fleet.Mixed(deployer.Rates{Stream: latencyRate})
+	workloads := fleet.MixedWorkloads(deployer.Rates{Stream: latencyRate})
 	for _, workload := range workloads {
 		workload.PrefixBytes = 0
 		workload.OutputTokens = latencyOutputTokens
@@ -86,8 +86,8 @@
 }
 
 func addLatency(result *Result, viaEntry, direct *loader.Report) {
-	viaEntryTimes := viaEntry.FirstTokens()
-	directTimes := direct.FirstTokens()
+	viaEntryTimes := viaEntry.FirstTokenLatencies()
+	directTimes := direct.FirstTokenLatencies()
 	result.Add("first token through the entry", formatPercentiles(viaEntryTimes), fmt.Sprintf("%d streams", viaEntryTimes.TotalCount()), "")
 	result.Add("first token straight", formatPercentiles(directTimes), fmt.Sprintf("%d streams", directTimes.TotalCount()), "")
 	result.Add("added at p50", formatDuration(durationAt(viaEntryTimes, 50)-durationAt(directTimes, 50)), "", "at most 0.5ms")
@@ -142,7 +142,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, openStreamTimeout)
 	defer cancel()
-	workloads := fleet.Mixed(deployer.Rates{Stream: openStreamCount})
+	workloads := fleet.MixedWorkloads(deployer.Rates{Stream: openStreamCount})
 	for _, workload := range workloads {
 		workload.OutputTokens = openStreamTokens
 		workload.PrefixBytes = 0
--- a/src/measurer/failures.go
+++ b/src/measurer/failures.go
@@ -27,7 +27,7 @@
 				return nil, err
 			}
 			result.Add(fmt.Sprintf("%s, seed %d", name, seed), verdict.String(), "", "lost=0 doubled=0 faults=0")
-			for _, fault := range verdict.Faults {
+			for _, fault := range verdict.Violations {
 				fmt.Println("FAULT", fault)
 			}
 		}
@@ -46,14 +46,14 @@
 		Deployment: b.deployment(name),
 		Stage:      stage,
 		Rates: deployer.Rates{
-			Stream: 20,
-			Whole:  4,
-			Once:   10,
-			Read:   10,
+			Stream:        20,
+			Whole:         4,
+			NonRepeatable: 10,
+			Read:          10,
 		},
 		Span:     duration,
 		Seed:     seed,
-		Schedule: injector.Draw(seed, duration, failureCount, injector.Acts),
+		Schedule: injector.RandomSchedule(seed, duration, failureCount, injector.FaultKinds),
 		Log:      io.Discard,
 	}
 	verdict, _, err := experiment.Run(ctx)
--- a/src/measurer/overload.go
+++ b/src/measurer/overload.go
@@ -35,12 +35,12 @@
 		if err != nil {
 			return nil, err
 		}
-		goodput := float64(report.Within(firstTokenTarget, time.Second)) / report.Span.Seconds()
+		goodput := float64(report.CountWithinTargets(firstTokenTarget, time.Second)) / report.Duration.Seconds()
 		peakGoodput = max(peakGoodput, goodput)
 		prefix := fmt.Sprintf("%.1f times the capacity: ", factor)
 		result.Add(prefix+"goodput", fmt.Sprintf("%.1f calls/s (%.0f%% of the peak so far)", goodput, 100*goodput/peakGoodput),
 			fmt.Sprintf("%d calls made", len(report.Outcomes)), "at 2.0: 90% of the peak")
-		refusals := report.Refusals()
+		refusals := report.RefusalLatencies()
 		if refusals.TotalCount() > 0 {
 			result.Add(prefix+"refusals", formatPercentiles(refusals), fmt.Sprintf("%d refused", refusals.TotalCount()), "within 50ms")
 		}
@@ -68,7 +68,7 @@
 	if err != nil {
 		return nil, err
 	}
-	workloads := fleet.Mixed(deployer.Rates{Stream: rate})
+	workloads := fleet.MixedWorkloads(deployer.Rates{Stream: rate})
 	var chosen []*loader.Workload
 	for _, workload := range workloads {
 		workload.PrefixBytes = 0
--- a/src/measurer/plot.go
+++ b/src/measurer/plot.go
@@ -36,7 +36,7 @@
 		}
 		for _, t := range trials[policy] {
 			curve.points = append(curve.points, plotter.XY{
-				X: t.engineCost / t.report.Span.Hours(),
+				X: t.engineCost / t.report.Duration.Hours(),
 				Y: percent * float64(t.metTarget) / float64(max(1, len(t.report.Outcomes))),
 			})
 		}
@@ -53,7 +53,7 @@
 			name:   string(t.policy),
 			points: plotter.XYs{{}},
 		}
-		slices.SortFunc(t.recomputations, func(a, b standin.Line) int { return a.At.Compare(b.At) })
+		slices.SortFunc(t.recomputations, func(a, b standin.JournalEvent) int { return a.At.Compare(b.At) })
 		total := 0
 		for _, line := range t.recomputations {
 			total += line.Tokens
@@ -63,7 +63,7 @@
 			})
 		}
 		curve.points = append(curve.points, plotter.XY{
-			X: t.report.Span.Seconds(),
+			X: t.report.Duration.Seconds(),
 			Y: float64(total),
 		})
 		curves = append(curves, curve)
--- a/src/measurer/policy.go
+++ b/src/measurer/policy.go
@@ -55,7 +55,7 @@
 	// startedAt is when the load started; recomputations are the recomputed tokens from
 	// the engines' journals.
 	startedAt      time.Time
-	recomputations []standin.Line
+	recomputations []standin.JournalEvent
 }
 
 // costPerThousand returns the engines' price per 1,000 calls that met the target.
@@ -150,7 +150,7 @@
 type trialConditions struct {
 	rate         float64
 	outputTokens int
-	schedule     []injector.Step
+	schedule     []injector.ScheduledFault
 	// engineArguments are extra command-line arguments of the engines.
 	engineArguments []string
 }
@@ -167,9 +167,9 @@
 	return trialConditions{
 		rate:         rate * waveRateFraction,
 		outputTokens: waveOutputTokens,
-		schedule: []injector.Step{{
-			At:  waveAt,
-			Act: injector.Wave,
+		schedule: []injector.ScheduledFault{{
+			At:   waveAt,
+			Kind: injector.ReclaimDataCentre,
 		}},
 		engineArguments: []string{"--notice", waveNotice.String()},
 	}
@@ -194,7 +194,7 @@
 	if err != nil {
 		return nil, err
 	}
-	workloads := fleet.Mixed(deployer.Rates{Stream: conditions.rate})
+	workloads := fleet.MixedWorkloads(deployer.Rates{Stream: conditions.rate})
 	for _, workload := range workloads {
 		workload.Prefixes = policyPrefixes
 		workload.PrefixBytes = policyPrefixBytes
@@ -214,7 +214,7 @@
 	if err := <-injected; err != nil {
 		return nil, err
 	}
-	truth, err := injector.ReadTruth(fleet.Journals)
+	truth, err := injector.ReadGroundTruth(fleet.Journals)
 	if err != nil {
 		return nil, err
 	}
@@ -223,14 +223,14 @@
 		engines:        engines,
 		report:         report,
 		engineCost:     engineCostBetween(fleet, startedAt, time.Now()),
-		metTarget:      report.Within(firstTokenTarget, tokenGapTarget),
+		metTarget:      report.CountWithinTargets(firstTokenTarget, tokenGapTarget),
 		recomputed:     truth.RecomputedTokens(),
 		verdict:        injector.Check(report, truth, conditions.schedule),
 		startedAt:      startedAt,
 		recomputations: truth.Recomputed,
 	}
 	fmt.Printf("%s %s engines=%d good=%d of %d first-token %s cost=%.4f recomputed=%.1f %s\n", name, policy, engines, t.metTarget,
-		len(report.Outcomes), formatPercentiles(report.FirstTokens()), t.costPerThousand(), t.recomputedPerThousand(), t.verdict)
+		len(report.Outcomes), formatPercentiles(report.FirstTokenLatencies()), t.costPerThousand(), t.recomputedPerThousand(), t.verdict)
 	return t, nil
 }
 
@@ -238,7 +238,7 @@
 func engineCostBetween(fleet *deployer.Fleet, from, to time.Time) float64 {
 	total := 0.0
 	for _, member := range fleet.Upstreams {
-		if member.Pool.Kind != "engine" {
+		if member.Pool.UpstreamKind != "engine" {
 			continue
 		}
 		end := to
--- a/src/measurer/record.go
+++ b/src/measurer/record.go
@@ -30,12 +30,12 @@
 	if err != nil {
 		return nil, err
 	}
-	workloads := fleet.Mixed(deployer.Rates{
-		Once: recordRate,
-		Read: recordRate,
+	workloads := fleet.MixedWorkloads(deployer.Rates{
+		NonRepeatable: recordRate,
+		Read:          recordRate,
 	})
 	report := b.runLoad(ctx, "record", fleet.EntryURLs(), workloads, b.loadDuration(recordLoadDuration), false)
-	once := report.Latencies(loader.Once)
+	once := report.Latencies(loader.NonRepeatable)
 	read := report.Latencies(loader.Read)
 	result := b.newResult("record", "The cost of the record: calls that may not be repeated beside repeatable ones, 100 of each a second, 9 entries, 4 plain services that work 5 ms a call.")
 	result.Add("not repeatable", formatPercentiles(once), formatCallCount(once.TotalCount()), "")
--- a/src/measurer/repair.go
+++ b/src/measurer/repair.go
@@ -51,7 +51,7 @@
 	}
 	defer cleanup()
 	stage.Voters = repairVoters
-	stage.Timing.Repair = repairDelay
+	stage.Timing.ReplacementDelay = repairDelay
 	d := b.deployment("hearthline")
 	d.Controls = controls
 	d.Entries = 2
--- a/src/parser/configuration.go
+++ b/src/parser/configuration.go
@@ -34,7 +34,7 @@
 	Brands         []Brand         `yaml:"brands"`
 	ClientAccounts []ClientAccount `yaml:"client-accounts"`
 	Services       []Service       `yaml:"services"`
-	Record         Record          `yaml:"record"`
+	Record         RecordRetention `yaml:"record"`
 	Fleet          Fleet           `yaml:"fleet"`
 }
 
@@ -89,10 +89,10 @@
 	Upstreams UpstreamRule  `yaml:"upstreams"`
 	Policy    Policy        `yaml:"policy"`
 	Deadline  time.Duration `yaml:"deadline"`
-	// Calls override whether calls are repeatable, which their method decides otherwise.
-	Calls  []CallRule `yaml:"calls"`
-	Limits Limits     `yaml:"limits"`
-	Target Target     `yaml:"target"`
+	// CallRules override whether calls are repeatable, which their method decides otherwise.
+	CallRules []CallRule    `yaml:"calls"`
+	Limits    Limits        `yaml:"limits"`
+	Target    LatencyTarget `yaml:"target"`
 }
 
 // UpstreamRule restricts which announced upstreams a service may use; an empty list allows all.
@@ -110,16 +110,16 @@
 	Repeatable bool   `yaml:"repeatable"`
 }
 
-// Target is the latency target for the 95th percentile of calls.
-type Target struct {
+// LatencyTarget is the latency target for the 95th percentile of calls.
+type LatencyTarget struct {
 	FirstToken    time.Duration `yaml:"first-token"`
-	BetweenTokens time.Duration `yaml:"between-tokens"`
+	TokenInterval time.Duration `yaml:"between-tokens"`
 }
 
-// Record bounds the answers of completed calls that are retained for resent requests.
-type Record struct {
-	KeepFor   time.Duration `yaml:"keep-for"`
-	KeepBytes int64         `yaml:"keep-bytes"`
+// RecordRetention bounds the answers of completed calls that are retained for resent requests.
+type RecordRetention struct {
+	TTL      time.Duration `yaml:"keep-for"`
+	MaxBytes int64         `yaml:"keep-bytes"`
 }
 
 // Defaults for omitted values of a configuration.
@@ -146,9 +146,9 @@
 }
 
 func (c *Configuration) fillDefaults() {
-	c.Fleet.WeightStore.LoadsAtOnce = orDefault(c.Fleet.WeightStore.LoadsAtOnce, defaultLoadsAtOnce)
-	c.Record.KeepFor = orDefault(c.Record.KeepFor, defaultKeepFor)
-	c.Record.KeepBytes = orDefault(c.Record.KeepBytes, defaultKeepBytes)
+	c.Fleet.WeightStore.MaxConcurrentLoads = orDefault(c.Fleet.WeightStore.MaxConcurrentLoads, defaultLoadsAtOnce)
+	c.Record.TTL = orDefault(c.Record.TTL, defaultKeepFor)
+	c.Record.MaxBytes = orDefault(c.Record.MaxBytes, defaultKeepBytes)
 	for i := range c.ClientAccounts {
 		c.ClientAccounts[i].Weight = orDefault(c.ClientAccounts[i].Weight, 1)
 	}
@@ -157,7 +157,7 @@
 		s.Policy = orDefault(s.Policy, PrefixCost)
 		s.Deadline = orDefault(s.Deadline, defaultDeadline)
 		s.Target.FirstToken = orDefault(s.Target.FirstToken, defaultFirstToken)
-		s.Target.BetweenTokens = orDefault(s.Target.BetweenTokens, defaultBetweenTokens)
+		s.Target.TokenInterval = orDefault(s.Target.TokenInterval, defaultBetweenTokens)
 	}
 }
 
@@ -169,13 +169,13 @@
 	return value
 }
 
-// Repeatable reports whether a call may run more than once. The rule with the
+// IsRepeatable reports whether a call may run more than once. The rule with the
 // longest matching path decides; without a match, all calls of model services and
 // calls with an idempotent method are repeatable.
-func (s *Service) Repeatable(method, path string) bool {
+func (s *Service) IsRepeatable(method, path string) bool {
 	longest := -1
 	repeatable := s.Kind == ModelService || method == "GET" || method == "HEAD" || method == "PUT" || method == "DELETE"
-	for _, rule := range s.Calls {
+	for _, rule := range s.CallRules {
 		if rule.Method == method && strings.HasPrefix(path, rule.Path) && len(rule.Path) > longest {
 			longest = len(rule.Path)
 			repeatable = rule.Repeatable
--- a/src/parser/deployment.go
+++ b/src/parser/deployment.go
@@ -8,9 +8,9 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// Deployment is the settings of one process on a managed platform, where upstreams
+// PlatformSettings is the settings of one process on a managed platform, where upstreams
 // announce themselves to control and control instances discover each other through seeds.
-type Deployment struct {
+type PlatformSettings struct {
 	Name       units.Instance   `yaml:"name"`
 	Address    string           `yaml:"address"`
 	DataCentre units.DataCentre `yaml:"data-centre"`
@@ -30,19 +30,19 @@
 	FirstStart bool `yaml:"first-start"`
 	// LostDisks is the number of simultaneous disk losses to tolerate.
 	LostDisks int `yaml:"lost-disks"`
-	// Memory is the memory limit of a process in MiB.
-	Memory            int           `yaml:"memory"`
+	// MemoryLimitMiB is the memory limit of a process in MiB.
+	MemoryLimitMiB    int           `yaml:"memory"`
 	Descriptors       int           `yaml:"descriptors"`
 	HeartbeatInterval time.Duration `yaml:"heartbeat-interval"`
-	// Contact is how long an instance must be reachable before its guarantees apply again.
-	Contact time.Duration `yaml:"contact"`
-	// Revocation is the maximum time for which any entry may accept a key after its removal.
-	Revocation time.Duration `yaml:"revocation"`
-	// Drain is how long a process may continue after the signal to stop.
-	Drain   time.Duration `yaml:"drain"`
-	Retries Retries       `yaml:"retries"`
-	Quota   Quota         `yaml:"quota"`
-	Usage   Usage         `yaml:"usage"`
+	// ContactPeriod is how long an instance must be reachable before its guarantees apply again.
+	ContactPeriod time.Duration `yaml:"contact"`
+	// RevocationTimeout is the maximum time for which any entry may accept a key after its removal.
+	RevocationTimeout time.Duration `yaml:"revocation"`
+	// DrainTimeout is how long a process may continue after the signal to stop.
+	DrainTimeout time.Duration `yaml:"drain"`
+	Retries      Retries       `yaml:"retries"`
+	Quota        Quota         `yaml:"quota"`
+	Usage        Usage         `yaml:"usage"`
 	// DutyLease is the period in which duties must not alternate between holders.
 	DutyLease time.Duration `yaml:"duty-lease"`
 	Rollouts  Rollouts      `yaml:"rollouts"`
@@ -71,15 +71,15 @@
 	// ExposureSlack is a number of calls allowed in addition.
 	ExposureShare float64 `yaml:"exposure-share"`
 	ExposureSlack float64 `yaml:"exposure-slack"`
-	// Resend is the period after an order in which an identical one is taken for a resend of it.
-	Resend time.Duration `yaml:"resend"`
+	// ResendPeriod is the period after an order in which an identical one is taken for a resend of it.
+	ResendPeriod time.Duration `yaml:"resend"`
 }
 
 // Usage configures usage reports: the calls are counted per Window, and a window is reported
 // at most Lateness after its end.
 type Usage struct {
 	Window   time.Duration `yaml:"window"`
-	Lateness time.Duration `yaml:"lateness"`
+	MaxDelay time.Duration `yaml:"lateness"`
 }
 
 // Cloud is the platform's API for usage reports and orders; an empty address means that there is none.
@@ -104,9 +104,9 @@
 	minPeerPorts = 3
 )
 
-// ParseDeployment returns the complete, valid settings of a process, or an error of type Problems.
-func ParseDeployment(file string, content []byte, role Role) (*Deployment, error) {
-	s := &Deployment{}
+// ParsePlatformSettings returns the complete, valid settings of a process, or an error of type Problems.
+func ParsePlatformSettings(file string, content []byte, role Role) (*PlatformSettings, error) {
+	s := &PlatformSettings{}
 	d := decode(file, content, s)
 	if !d.unreadable {
 		d.validateDeployment(s, role)
@@ -118,25 +118,25 @@
 	return s, nil
 }
 
-func (s *Deployment) fillDefaults() {
+func (s *PlatformSettings) fillDefaults() {
 	s.HeartbeatInterval = orDefault(s.HeartbeatInterval, defaultHeartbeatInterval)
-	s.Contact = orDefault(s.Contact, defaultContact)
-	s.Revocation = orDefault(s.Revocation, defaultRevocation)
-	s.Drain = orDefault(s.Drain, defaultDeploymentDrain)
+	s.ContactPeriod = orDefault(s.ContactPeriod, defaultContact)
+	s.RevocationTimeout = orDefault(s.RevocationTimeout, defaultRevocation)
+	s.DrainTimeout = orDefault(s.DrainTimeout, defaultDeploymentDrain)
 	s.Retries.Window = orDefault(s.Retries.Window, defaultWindow)
 	s.Quota.Window = orDefault(s.Quota.Window, defaultWindow)
 	s.Usage.Window = orDefault(s.Usage.Window, defaultUsageWindow)
 	s.DutyLease = orDefault(s.DutyLease, defaultDutyLease)
-	s.Rollouts.Resend = orDefault(s.Rollouts.Resend, defaultResend)
+	s.Rollouts.ResendPeriod = orDefault(s.Rollouts.ResendPeriod, defaultResend)
 	if s.Rollouts.ExposureShare == 0 {
 		s.Rollouts.ExposureShare = defaultExposureShare
 	}
-	if s.Memory == 0 {
-		s.Memory = defaultMemory
+	if s.MemoryLimitMiB == 0 {
+		s.MemoryLimitMiB = defaultMemory
 	}
 }
 
-func (d *document) validateDeployment(s *Deployment, role Role) {
+func (d *document) validateDeployment(s *PlatformSettings, role Role) {
 	if s.Name == "" {
 		d.report("name", "", "a name", "name the instance")
 	}
@@ -176,20 +176,20 @@
 }
 
 // PeerAddress returns the address at which the control process on a host serves other processes.
-func (s *Deployment) PeerAddress(host string) string {
+func (s *PlatformSettings) PeerAddress(host string) string {
 	return fmt.Sprintf("%s:%d", host, s.PeerPorts[0])
 }
 
 // OwnPeerAddress returns the address at which this process serves other processes.
-func (s *Deployment) OwnPeerAddress() string { return s.PeerAddress(s.Address) }
+func (s *PlatformSettings) OwnPeerAddress() string { return s.PeerAddress(s.Address) }
 
 // MetricsAddress returns the address at which this process serves its metrics and its dump.
-func (s *Deployment) MetricsAddress() string {
+func (s *PlatformSettings) MetricsAddress() string {
 	return fmt.Sprintf("%s:%d", s.Address, s.PeerPorts[0]+2)
 }
 
 // SeedPeers returns the addresses at which the seeds serve other processes, in the order of the settings.
-func (s *Deployment) SeedPeers() []string {
+func (s *PlatformSettings) SeedPeers() []string {
 	peers := make([]string, 0, len(s.Seeds))
 	for _, seed := range s.Seeds {
 		if address, err := netip.ParseAddrPort(seed); err == nil {
@@ -201,4 +201,4 @@
 
 // Voters returns the number of control instances that vote in the replicated log:
 // the smallest of which a majority remains after the loss of LostDisks disks.
-func (s *Deployment) Voters() int { return 2*s.LostDisks + 1 }
+func (s *PlatformSettings) Voters() int { return 2*s.LostDisks + 1 }
--- a/src/parser/deployment_test.go
+++ b/src/parser/deployment_test.go
@@ -24,7 +24,7 @@
 `
 
 func TestParseDeployment(t *testing.T) {
-	s, err := ParseDeployment("f", []byte(deploymentDocument), Control)
+	s, err := ParsePlatformSettings("f", []byte(deploymentDocument), Control)
 	if err != nil {
 		t.Fatalf("settings: got error %v, want none", err)
 	}
@@ -51,7 +51,7 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			_, err := ParseDeployment("f", []byte(strings.Replace(deploymentDocument, c.old, c.changed, 1)), Control)
+			_, err := ParsePlatformSettings("f", []byte(strings.Replace(deploymentDocument, c.old, c.changed, 1)), Control)
 			var problems Problems
 			if !errors.As(err, &problems) || !strings.Contains(err.Error(), c.want) {
 				t.Errorf("error: got %v, want problems with %q", err, c.want)
--- a/src/parser/fleet.go
+++ b/src/parser/fleet.go
@@ -10,19 +10,19 @@
 // Fleet is what the platform offers and how much of it may be used.
 type Fleet struct {
 	// Cloud is the base URL of the platform's cloud API; if it is empty, no instances are bought.
-	Cloud          string         `yaml:"cloud"`
-	WeightStore    WeightStore    `yaml:"weight-store"`
-	DataCentres    []DataCentre   `yaml:"data-centres"`
-	MachineClasses []MachineClass `yaml:"machine-classes"`
-	ModelVersions  []Weights      `yaml:"model-versions"`
+	Cloud          string           `yaml:"cloud"`
+	WeightStore    WeightStore      `yaml:"weight-store"`
+	DataCentres    []DataCentre     `yaml:"data-centres"`
+	MachineClasses []MachineClass   `yaml:"machine-classes"`
+	ModelVersions  []VersionWeights `yaml:"model-versions"`
 }
 
 // WeightStore bounds the concurrent loading of model weights by upstreams.
 type WeightStore struct {
 	// BytesPerSecond is the rate that all concurrent loads share; 0 means no limit.
 	BytesPerSecond int64 `yaml:"bytes-per-second"`
-	// LoadsAtOnce is the maximum number of concurrent loads.
-	LoadsAtOnce int `yaml:"loads-at-once"`
+	// MaxConcurrentLoads is the maximum number of concurrent loads.
+	MaxConcurrentLoads int `yaml:"loads-at-once"`
 }
 
 // DataCentre is one data centre and the machine classes that it offers.
@@ -48,26 +48,26 @@
 	Slots int `yaml:"slots"`
 }
 
-// Weights is a model version and the size of its weights.
-type Weights struct {
+// VersionWeights is a model version and the size of its weights.
+type VersionWeights struct {
 	Version units.ModelVersion `yaml:"version"`
 	Bytes   int64              `yaml:"bytes"`
 }
 
 // ServiceFleet configures how control manages a service's upstreams.
 type ServiceFleet struct {
-	// Orders allows control to order upstreams to load model versions.
-	Orders   bool     `yaml:"orders"`
-	Adapters []string `yaml:"adapters"`
-	Role     string   `yaml:"role"`
-	// Floor is the minimum number of upstreams in service during a version change.
-	Floor int `yaml:"floor"`
-	// Slots is the minimum capacity that must remain after the loss of any one data centre.
-	Slots int `yaml:"slots"`
-	// OnDemand is the minimum capacity on instances that cannot be reclaimed.
-	OnDemand int `yaml:"on-demand"`
-	// Most is the maximum number of bought instances; 0 disables buying.
-	Most int `yaml:"most"`
+	// AllowOrders allows control to order upstreams to load model versions.
+	AllowOrders bool     `yaml:"orders"`
+	Adapters    []string `yaml:"adapters"`
+	Role        string   `yaml:"role"`
+	// MinInService is the minimum number of upstreams in service during a version change.
+	MinInService int `yaml:"floor"`
+	// MinSlots is the minimum capacity that must remain after the loss of any one data centre.
+	MinSlots int `yaml:"slots"`
+	// MinOnDemand is the minimum capacity on instances that cannot be reclaimed.
+	MinOnDemand int `yaml:"on-demand"`
+	// MaxInstances is the maximum number of bought instances; 0 disables buying.
+	MaxInstances int `yaml:"most"`
 }
 
 // defaultLoadsAtOnce applies where the configuration omits weight-store.loads-at-once.
@@ -81,14 +81,14 @@
 	return s.ModelVersion
 }
 
-// Accepts reports whether the service may use upstreams with a version: its model
+// AcceptsVersion reports whether the service may use upstreams with a version: its model
 // version or, during a change, the next version.
-func (s *Service) Accepts(version units.ModelVersion) bool {
+func (s *Service) AcceptsVersion(version units.ModelVersion) bool {
 	return s.ModelVersion == "" || version == s.ModelVersion || (s.NextVersion != "" && version == s.NextVersion)
 }
 
-// Bytes returns the size of a version's weights, or 0 if the configuration does not state it.
-func (f *Fleet) Bytes(version units.ModelVersion) int64 {
+// WeightBytes returns the size of a version's weights, or 0 if the configuration does not state it.
+func (f *Fleet) WeightBytes(version units.ModelVersion) int64 {
 	for _, weights := range f.ModelVersions {
 		if weights.Version == version {
 			return weights.Bytes
@@ -97,8 +97,8 @@
 	return 0
 }
 
-// Slots returns the number of slots of a machine class, or 0 for an unknown class.
-func (f *Fleet) Slots(class units.MachineClass) int {
+// SlotsOf returns the number of slots of a machine class, or 0 for an unknown class.
+func (f *Fleet) SlotsOf(class units.MachineClass) int {
 	for _, known := range f.MachineClasses {
 		if known.Name == class {
 			return known.Slots
@@ -150,17 +150,17 @@
 	for i := range c.Services {
 		s := &c.Services[i]
 		servicePath := fmt.Sprintf("services[%d]", i)
-		if s.Kind != ModelService && (s.Fleet.Orders || s.Fleet.Most > 0) {
+		if s.Kind != ModelService && (s.Fleet.AllowOrders || s.Fleet.MaxInstances > 0) {
 			d.report(servicePath+".fleet", string(s.Kind), "orders and purchases for model services only", "remove them")
 		}
 		if s.NextVersion != "" && s.ModelVersion == "" {
 			d.report(servicePath+".next-version", string(s.NextVersion), "a next version in addition to a model-version", "set model-version to the version in service")
 		}
-		if s.Fleet.Orders && s.ModelVersion == "" {
+		if s.Fleet.AllowOrders && s.ModelVersion == "" {
 			d.report(servicePath+".model-version", "", "a version where orders are allowed", "set the version that upstreams should load")
 		}
-		if s.Fleet.Most > 0 && (!s.Fleet.Orders || len(c.Fleet.DataCentres) == 0) {
-			d.report(servicePath+".fleet.most", fmt.Sprint(s.Fleet.Most), "purchases only with orders and offers", "allow orders and list the data centres under fleet")
+		if s.Fleet.MaxInstances > 0 && (!s.Fleet.AllowOrders || len(c.Fleet.DataCentres) == 0) {
+			d.report(servicePath+".fleet.most", fmt.Sprint(s.Fleet.MaxInstances), "purchases only with orders and offers", "allow orders and list the data centres under fleet")
 		}
 	}
 }
--- a/src/parser/settings.go
+++ b/src/parser/settings.go
@@ -35,7 +35,7 @@
 
 // Listener is a listening address with the certificate presented on it.
 type Listener struct {
-	Listen      string `yaml:"listen"`
+	Address     string `yaml:"listen"`
 	Certificate string `yaml:"certificate"`
 	PrivateKey  string `yaml:"private-key"`
 	// Authorities is the file with the CA certificates that verify the peer's certificate.
@@ -51,14 +51,14 @@
 
 // Timing holds the intervals and timeouts that can be tuned to a network; each has a default.
 type Timing struct {
-	Heartbeat time.Duration `yaml:"heartbeat"`
-	Election  time.Duration `yaml:"election"`
-	// Fence is how long an entry continues to serve without contact to a majority.
-	Fence time.Duration `yaml:"fence"`
-	// Repair is how long a voter may be unreachable before a spare replaces it.
-	Repair time.Duration `yaml:"repair"`
-	// Drain is how long a planned stop waits for calls in flight to finish.
-	Drain time.Duration `yaml:"drain"`
+	HeartbeatInterval time.Duration `yaml:"heartbeat"`
+	ElectionTimeout   time.Duration `yaml:"election"`
+	// FenceTimeout is how long an entry continues to serve without contact to a majority.
+	FenceTimeout time.Duration `yaml:"fence"`
+	// ReplacementDelay is how long a voter may be unreachable before a spare replaces it.
+	ReplacementDelay time.Duration `yaml:"repair"`
+	// DrainTimeout is how long a planned stop waits for calls in flight to finish.
+	DrainTimeout time.Duration `yaml:"drain"`
 }
 
 // Defaults for omitted settings.
@@ -97,11 +97,11 @@
 
 // FillDefaults sets the omitted timing and number of voters.
 func (s *Settings) FillDefaults() {
-	s.Timing.Heartbeat = orDefault(s.Timing.Heartbeat, defaultHeartbeat)
-	s.Timing.Election = orDefault(s.Timing.Election, defaultElection)
-	s.Timing.Fence = orDefault(s.Timing.Fence, defaultFence)
-	s.Timing.Drain = orDefault(s.Timing.Drain, defaultDrain)
-	s.Timing.Repair = orDefault(s.Timing.Repair, defaultRepair)
+	s.Timing.HeartbeatInterval = orDefault(s.Timing.HeartbeatInterval, defaultHeartbeat)
+	s.Timing.ElectionTimeout = orDefault(s.Timing.ElectionTimeout, defaultElection)
+	s.Timing.FenceTimeout = orDefault(s.Timing.FenceTimeout, defaultFence)
+	s.Timing.DrainTimeout = orDefault(s.Timing.DrainTimeout, defaultDrain)
+	s.Timing.ReplacementDelay = orDefault(s.Timing.ReplacementDelay, defaultRepair)
 	if s.Voters == 0 {
 		s.Voters = min((len(s.Control)+1)/2*2-1, maxDefaultVoters)
 	}
@@ -146,7 +146,7 @@
 }
 
 func (d *document) checkListener(listenerPath string, l Listener, insecureLoopback bool) {
-	checkAddress(d, listenerPath+".listen", l.Listen)
+	checkAddress(d, listenerPath+".listen", l.Address)
 	if l.Certificate != "" && l.PrivateKey != "" {
 		return
 	}
@@ -155,7 +155,7 @@
 			"name both files, or neither on a loopback address with insecure-loopback")
 		return
 	}
-	address, err := netip.ParseAddrPort(l.Listen)
+	address, err := netip.ParseAddrPort(l.Address)
 	loopback := err == nil && address.Addr().IsLoopback()
 	if !insecureLoopback || !loopback {
 		d.report(listenerPath+".certificate", l.Certificate, "a certificate and its private key",
--- a/src/parser/validator.go
+++ b/src/parser/validator.go
@@ -102,7 +102,7 @@
 		}
 		d.checkPolicy(servicePath, service.Policy)
 		d.checkPatterns(servicePath, service.Upstreams.Names)
-		d.checkCalls(servicePath, service.Calls)
+		d.checkCalls(servicePath, service.CallRules)
 		switch service.Kind {
 		case ModelService:
 			d.validateModels(servicePath, service, models)
--- a/src/placer/gate_test.go
+++ b/src/placer/gate_test.go
@@ -38,7 +38,7 @@
 	return left > 0
 }
 
-func lifeOf(name units.Upstream) units.Life { return units.LifeOf(name, 0) }
+func lifeOf(name units.Upstream) units.Life { return units.NewLife(name, 0) }
 
 // Guards against calls to an upstream beyond its limit: when all others have been tried, are
 // silent or are busier, and when another call has taken the last permit.
--- a/src/placer/placer.go
+++ b/src/placer/placer.go
@@ -177,7 +177,7 @@
 		Silent:   silent,
 		stats:    s,
 		hash:     hash,
-		life:     units.LifeOf(u.Name, u.Incarnation),
+		life:     units.NewLife(u.Name, u.Incarnation),
 		position: positionOf(hash),
 	}
 }
--- a/src/prover/adoption_test.go
+++ b/src/prover/adoption_test.go
@@ -68,7 +68,7 @@
 func TestStoppingEntryRedirectsBookingCaller(t *testing.T) {
 	stage, diary := startDiary(t, 4, 3*time.Second, hearthline)
 	stage.Entries[3].Kill()
-	stage.Timing.Drain = shortDrain
+	stage.Timing.DrainTimeout = shortDrain
 	if err := stage.Start(stage.Entries[3]); err != nil {
 		t.Fatal(err)
 	}
@@ -113,7 +113,7 @@
 func TestStoppingEntryHandsOverStream(t *testing.T) {
 	const tokens = 1500
 	stage := newStage(t)
-	stage.Timing.Drain = shortDrain
+	stage.Timing.DrainTimeout = shortDrain
 	startFleet(t, stage, 1, 3)
 	if _, err := stage.StartUpstream("engine", "ember-1", "--service", "ember-llm", "--model", "ember-1", "--data-centre", "dc-a"); err != nil {
 		t.Fatal(err)
--- a/src/prover/control_test.go
+++ b/src/prover/control_test.go
@@ -33,7 +33,7 @@
 	t.Helper()
 	stage := newStage(t)
 	stage.Timing = parser.Timing{
-		Repair: time.Second,
+		ReplacementDelay: time.Second,
 	}
 	return stage
 }
@@ -272,7 +272,7 @@
 // outcome of the first change must still be known, also if this voter leads.
 func TestRestartCatchesUpWith500Changes(t *testing.T) {
 	stage := newControlStage(t)
-	stage.Timing.Repair = time.Minute
+	stage.Timing.ReplacementDelay = time.Minute
 	startFleet(t, stage, 3, 1)
 	awaitAccepted(t, stage.Controls, 1)
 	leader := awaitLeader(t, stage.Controls)
--- a/src/prover/controlpartition_test.go
+++ b/src/prover/controlpartition_test.go
@@ -129,7 +129,7 @@
 func startConfigured(t *testing.T) *stager.Stage {
 	t.Helper()
 	stage := newControlStage(t)
-	stage.Timing.Fence = 2 * time.Second
+	stage.Timing.FenceTimeout = 2 * time.Second
 	startFleet(t, stage, 3, 3)
 	apply(t, stage, "../../examples/hearthline.yaml")
 	return stage
@@ -212,7 +212,7 @@
 func fenceTime(stage *stager.Stage) time.Duration {
 	settings := &parser.Settings{Timing: stage.Timing}
 	settings.FillDefaults()
-	return settings.Timing.Fence
+	return settings.Timing.FenceTimeout
 }
 
 // postBooking makes one call that must not run twice, and returns its status code, 0
--- a/src/prover/failures_test.go
+++ b/src/prover/failures_test.go
@@ -20,22 +20,22 @@
 		Deployment: deployer.Hearthline(filepath.Join("..", "..")),
 		Stage:      newStage(t),
 		Rates: deployer.Rates{
-			Stream: 8,
-			Whole:  2,
-			Once:   8,
-			Read:   4,
+			Stream:        8,
+			Whole:         2,
+			NonRepeatable: 8,
+			Read:          4,
 		},
 		Span: 9 * time.Second,
 		Seed: 1,
 		Log:  t.Output(),
-		Schedule: []injector.Step{
-			{At: 1500 * time.Millisecond, Act: injector.NoticeUpstream, Target: 3},
-			{At: 2000 * time.Millisecond, Act: injector.StopEntry, Target: 4, Lasts: time.Second},
-			{At: 2500 * time.Millisecond, Act: injector.KillControl, Target: 1, Lasts: time.Second},
-			{At: 3000 * time.Millisecond, Act: injector.RacingOperators, Target: 1},
-			{At: 4000 * time.Millisecond, Act: injector.FreezeUpstream, Target: 9, Lasts: 2 * time.Second},
-			{At: 5500 * time.Millisecond, Act: injector.Wave, Target: 2},
-			{At: 6500 * time.Millisecond, Act: injector.KillEntry, Target: 7, Lasts: time.Second},
+		Schedule: []injector.ScheduledFault{
+			{At: 1500 * time.Millisecond, Kind: injector.NoticeUpstream, Target: 3},
+			{At: 2000 * time.Millisecond, Kind: injector.StopEntry, Target: 4, Duration: time.Second},
+			{At: 2500 * time.Millisecond, Kind: injector.KillControl, Target: 1, Duration: time.Second},
+			{At: 3000 * time.Millisecond, Kind: injector.SubmitConcurrently, Target: 1},
+			{At: 4000 * time.Millisecond, Kind: injector.FreezeUpstream, Target: 9, Duration: 2 * time.Second},
+			{At: 5500 * time.Millisecond, Kind: injector.ReclaimDataCentre, Target: 2},
+			{At: 6500 * time.Millisecond, Kind: injector.KillEntry, Target: 7, Duration: time.Second},
 		},
 	}
 	verdict, _, err := experiment.Run(t.Context())
@@ -43,7 +43,7 @@
 		t.Fatal(err)
 	}
 	t.Log(verdict, verdict.Refused)
-	if got, want := verdict.Faults, 0; len(got) != want {
+	if got, want := verdict.Violations, 0; len(got) != want {
 		t.Errorf("faults: got %q, want %d", got, want)
 	}
 	if got, want := verdict.Answered, 1; got < want {
--- a/src/prover/fleet_test.go
+++ b/src/prover/fleet_test.go
@@ -103,7 +103,7 @@
 	announcement := fmt.Sprintf(`{"upstream":"ember-1","service":"ember-llm","address":%q,"incarnation":"%d",`+
 		`"sequence":"1000000","leaving":true,"leavingWithinMs":"60000"}`, upstream.URL, entryDump(t, stage.Entries[0]).Upstreams[0].Incarnation)
 	await(t, "leaving announcement accepted", func() bool {
-		return postJSON(t, "http://"+stage.Entries[0].Settings.Upstreams.Listen+"/v1/announcements", announcement) == http.StatusNoContent
+		return postJSON(t, "http://"+stage.Entries[0].Settings.Upstreams.Address+"/v1/announcements", announcement) == http.StatusNoContent
 	})
 	stage.Entries[0].Kill()
 	await(t, "leaving state at every other entry", func() bool {
--- a/src/prover/input_test.go
+++ b/src/prover/input_test.go
@@ -39,8 +39,8 @@
 		DataCentre:       "dc-a",
 		DataFolder:       filepath.Join(stage.Folder, "data"),
 		Control:          []parser.ControlAddress{{Name: "c1", DataCentre: "dc-a", Address: peers}},
-		Peers:            parser.Listener{Listen: peers},
-		Operators:        parser.Listener{Listen: stage.FreeAddress()},
+		Peers:            parser.Listener{Address: peers},
+		Operators:        parser.Listener{Address: stage.FreeAddress()},
 		InsecureLoopback: true,
 	}
 	change(settings)
@@ -70,7 +70,7 @@
 		remedy string
 	}{
 		"port in use": {
-			change: func(s *parser.Settings) { s.Operators.Listen = occupied.Addr().String() },
+			change: func(s *parser.Settings) { s.Operators.Address = occupied.Addr().String() },
 			want:   launcher.ExitPortInUse, remedy: "choose a free port",
 		},
 		"folder under a file": {
@@ -82,7 +82,7 @@
 			want:   launcher.ExitFailed, remedy: "may write to",
 		},
 		"plain beyond loopback": {
-			change: func(s *parser.Settings) { s.Peers.Listen = "10.0.0.1:1" },
+			change: func(s *parser.Settings) { s.Peers.Address = "10.0.0.1:1" },
 			want:   launcher.ExitInvalid, remedy: "name both files",
 		},
 		"no such certificate": {
--- a/src/prover/record_test.go
+++ b/src/prover/record_test.go
@@ -36,7 +36,7 @@
 func startDiary(t testing.TB, entries int, work time.Duration, configuration string) (*stager.Stage, *stager.Upstream) {
 	t.Helper()
 	stage := newStage(t)
-	stage.Timing.Fence = 500 * time.Millisecond
+	stage.Timing.FenceTimeout = 500 * time.Millisecond
 	startFleet(t, stage, 1, entries)
 	diary, err := stage.StartUpstream("plain", "diary-1",
 		"--service", "diary-app", "--data-centre", "dc-a", "--work", work.String())
--- a/src/prover/tls_test.go
+++ b/src/prover/tls_test.go
@@ -201,7 +201,7 @@
 		"an operator":      {client: clientWithIdentity(t, stage, certifier.Operator, "ember-1"), want: http.StatusForbidden},
 		"no certificate":   {client: callerClient(t, stage), want: 0},
 	}
-	url := "https://" + entry.Settings.Upstreams.Listen + "/v1/announcements"
+	url := "https://" + entry.Settings.Upstreams.Address + "/v1/announcements"
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			got, body := send(t.Context(), t, c.client, http.MethodPost, url, "application/json", forged)
@@ -222,7 +222,7 @@
 // be refused.
 func TestForgedPeerIdentityIsRefused(t *testing.T) {
 	stage := startTLSFleet(t, 1, 1)
-	address := stage.Controls[0].Settings.Peers.Listen
+	address := stage.Controls[0].Settings.Peers.Address
 	cases := map[string]struct {
 		role   certifier.Role
 		name   string
@@ -298,7 +298,7 @@
 	dialer := &tls.Dialer{
 		Config: &tls.Config{RootCAs: readCertPool(t, node.Settings.Peers.Authorities)},
 	}
-	conn, err := dialer.DialContext(t.Context(), "tcp", node.Settings.Callers.Listen)
+	conn, err := dialer.DialContext(t.Context(), "tcp", node.Settings.Callers.Address)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/src/registrar/event.go
+++ b/src/registrar/event.go
@@ -8,34 +8,34 @@
 // Event is an input to Registrar.Step.
 type Event interface{ event() }
 
-// Led reports that this instance has become the leader, with the view that its log holds.
-type Led struct {
+// LeadershipGained reports that this instance has become the leader, with the view that its log holds.
+type LeadershipGained struct {
 	View *messages.EntryView
 }
 
-// Lost reports that this instance is no longer the leader.
-type Lost struct{}
+// LeadershipLost reports that this instance is no longer the leader.
+type LeadershipLost struct{}
 
-// Heard reports that an entry's heartbeat has arrived.
-type Heard struct {
+// HeartbeatReceived reports that an entry's heartbeat has arrived.
+type HeartbeatReceived struct {
 	Member *messages.EntryMember
 	// Stopping reports that the entry has announced its stop.
 	Stopping bool
 }
 
-// Applied reports that the log has committed a new view.
-type Applied struct {
+// ViewApplied reports that the log has committed a new view.
+type ViewApplied struct {
 	View *messages.EntryView
 }
 
 // Ticked reports that time has passed.
 type Ticked struct{}
 
-func (Led) event()     {}
-func (Lost) event()    {}
-func (Heard) event()   {}
-func (Applied) event() {}
-func (Ticked) event()  {}
+func (LeadershipGained) event()  {}
+func (LeadershipLost) event()    {}
+func (HeartbeatReceived) event() {}
+func (ViewApplied) event()       {}
+func (Ticked) event()            {}
 
 // Action is an output of Registrar.Step that the caller must carry out.
 type Action interface{ action() }
@@ -46,14 +46,14 @@
 	Changes []Change
 }
 
-// Held reports that silent entries stay in the view because too many fell silent at once.
-type Held struct {
+// RemovalHeld reports that silent entries stay in the view because too many fell silent at once.
+type RemovalHeld struct {
 	Silent  int
 	Members int
 }
 
-func (Propose) action() {}
-func (Held) action()    {}
+func (Propose) action()     {}
+func (RemovalHeld) action() {}
 
 // Change is the change of one entry's membership from the previous view, with its reason.
 type Change struct {
--- a/src/registrar/registrar.go
+++ b/src/registrar/registrar.go
@@ -16,18 +16,18 @@
 
 // Options are the timeouts and intervals of a registrar.
 type Options struct {
-	// Suspicion is how long a member may be silent before it is removed.
-	Suspicion time.Duration
-	// Steady is how long an entry must send heartbeats without a gap before it joins.
-	Steady time.Duration
-	// Gap is the maximum time between two heartbeats without a gap.
-	Gap time.Duration
-	// Settle is how long a change is delayed so that further changes share its view.
-	Settle time.Duration
-	// Between is the minimum time between two views.
-	Between time.Duration
-	// Hold is how long silent members stay when half of the view or more is silent.
-	Hold time.Duration
+	// SuspicionTimeout is how long a member may be silent before it is removed.
+	SuspicionTimeout time.Duration
+	// SteadyPeriod is how long an entry must send heartbeats without a gap before it joins.
+	SteadyPeriod time.Duration
+	// MaxHeartbeatGap is the maximum time between two heartbeats without a gap.
+	MaxHeartbeatGap time.Duration
+	// SettlePeriod is how long a change is delayed so that further changes share its view.
+	SettlePeriod time.Duration
+	// MinViewInterval is the minimum time between two views.
+	MinViewInterval time.Duration
+	// HoldPeriod is how long silent members stay when half of the view or more is silent.
+	HoldPeriod time.Duration
 }
 
 // Registrar is the leader's state machine for the entry view; Options are set before the first Step.
@@ -56,14 +56,14 @@
 // Step takes one event and returns the actions to carry out, in order.
 func (r *Registrar) Step(now time.Time, event Event) []Action {
 	switch e := event.(type) {
-	case Led:
+	case LeadershipGained:
 		r.onLeadershipGained(now, e.View)
-	case Lost:
+	case LeadershipLost:
 		r.leading = false
 		r.entries = nil
-	case Applied:
+	case ViewApplied:
 		r.applyView(now, e.View)
-	case Heard:
+	case HeartbeatReceived:
 		r.onHeartbeat(now, e)
 	case Ticked:
 		return r.onTick(now)
@@ -104,7 +104,7 @@
 	}
 }
 
-func (r *Registrar) onHeartbeat(now time.Time, e Heard) {
+func (r *Registrar) onHeartbeat(now time.Time, e HeartbeatReceived) {
 	if !r.leading {
 		return
 	}
@@ -117,7 +117,7 @@
 	}
 	restartSteadiness := known == nil ||
 		e.Member.GetIncarnation() > known.member.GetIncarnation() ||
-		now.Sub(known.lastHeartbeatAt) > r.Options.Gap
+		now.Sub(known.lastHeartbeatAt) > r.Options.MaxHeartbeatGap
 	if restartSteadiness {
 		known = &entryState{steadySince: now}
 		r.entries[name] = known
@@ -164,27 +164,27 @@
 
 // isProposalDue reports whether the next view may be proposed now.
 func (r *Registrar) isProposalDue(now time.Time) bool {
-	if now.Sub(r.changePendingSince) < r.Options.Settle {
+	if now.Sub(r.changePendingSince) < r.Options.SettlePeriod {
 		return false
 	}
 	first := r.view.GetNumber() == 0
-	if !first && now.Sub(r.viewAppliedAt) < r.Options.Between {
+	if !first && now.Sub(r.viewAppliedAt) < r.Options.MinViewInterval {
 		return false
 	}
 	proposalPending := r.proposedNumber == r.view.GetNumber()+1
-	return !proposalPending || now.Sub(r.proposedAt) >= r.Options.Between
+	return !proposalPending || now.Sub(r.proposedAt) >= r.Options.MinViewInterval
 }
 
 // nextMembers returns the members that the next view should have, sorted by name, and
 // the changes from the current view.
-func (r *Registrar) nextMembers(now time.Time) ([]*messages.EntryMember, []Change, *Held) {
+func (r *Registrar) nextMembers(now time.Time) ([]*messages.EntryMember, []Change, *RemovalHeld) {
 	var changes []Change
 	wanted := make(map[string]*messages.EntryMember)
 	var silent []*messages.EntryMember
 	for _, member := range r.view.GetMembers() {
 		c := r.entries[units.Instance(member.GetEntry())]
 		switch {
-		case c == nil || now.Sub(c.lastHeartbeatAt) >= r.Options.Suspicion:
+		case c == nil || now.Sub(c.lastHeartbeatAt) >= r.Options.SuspicionTimeout:
 			silent = append(silent, member)
 			wanted[member.GetEntry()] = member
 		case c.stopping:
@@ -218,7 +218,7 @@
 	var changes []Change
 	for _, name := range slices.Sorted(maps.Keys(r.entries)) {
 		c := r.entries[name]
-		steady := c.lastHeartbeatAt.Sub(c.steadySince) >= r.Options.Steady && now.Sub(c.lastHeartbeatAt) <= r.Options.Gap
+		steady := c.lastHeartbeatAt.Sub(c.steadySince) >= r.Options.SteadyPeriod && now.Sub(c.lastHeartbeatAt) <= r.Options.MaxHeartbeatGap
 		if c.stopping || !steady || present[string(name)] {
 			continue
 		}
@@ -235,7 +235,7 @@
 // previous owners could be read, so that answered calls would end as unknown. One view
 // therefore removes less than half of the previous one's members, and none while half
 // or more are silent, until Hold has passed and a transient partition is ruled out.
-func (r *Registrar) removableMembers(now time.Time, silent []*messages.EntryMember) ([]*messages.EntryMember, *Held) {
+func (r *Registrar) removableMembers(now time.Time, silent []*messages.EntryMember) ([]*messages.EntryMember, *RemovalHeld) {
 	total := len(r.view.GetMembers())
 	maxRemoved := max((total-1)/2, 0)
 	// With two members, both hold every record, so the remaining one has them all.
@@ -245,11 +245,11 @@
 	if len(silent) <= maxRemoved {
 		return silent, nil
 	}
-	held := &Held{
+	held := &RemovalHeld{
 		Silent:  len(silent),
 		Members: total,
 	}
-	if r.heldSince.IsZero() || now.Sub(r.heldSince) < r.Options.Hold {
+	if r.heldSince.IsZero() || now.Sub(r.heldSince) < r.Options.HoldPeriod {
 		return nil, held
 	}
 	slices.SortFunc(silent, func(a, b *messages.EntryMember) int {
@@ -272,7 +272,7 @@
 		present[units.Instance(member.GetEntry())] = true
 	}
 	maps.DeleteFunc(r.entries, func(name units.Instance, c *entryState) bool {
-		return !present[name] && now.Sub(c.lastHeartbeatAt) > r.Options.Hold
+		return !present[name] && now.Sub(c.lastHeartbeatAt) > r.Options.HoldPeriod
 	})
 }
 
--- a/src/registrar/registrar_test.go
+++ b/src/registrar/registrar_test.go
@@ -20,12 +20,12 @@
 }
 
 var testOptions = Options{
-	Suspicion: 4 * time.Second,
-	Steady:    600 * time.Millisecond,
-	Gap:       time.Second,
-	Settle:    200 * time.Millisecond,
-	Between:   time.Second,
-	Hold:      30 * time.Second,
+	SuspicionTimeout: 4 * time.Second,
+	SteadyPeriod:     600 * time.Millisecond,
+	MaxHeartbeatGap:  time.Second,
+	SettlePeriod:     200 * time.Millisecond,
+	MinViewInterval:  time.Second,
+	HoldPeriod:       30 * time.Second,
 }
 
 // The control leader is partitioned from all entries for ten seconds while they
@@ -62,7 +62,7 @@
 	f.run(3*time.Second, nil)
 	f.incarnations[1] = 2
 	f.run(3*time.Second, nil)
-	f.registrar.Step(f.now, Heard{Member: member(1, 1)})
+	f.registrar.Step(f.now, HeartbeatReceived{Member: member(1, 1)})
 	f.run(time.Second, []int{1})
 	f.run(3*time.Second, nil)
 	if got, want := f.view.GetMembers()[1].GetIncarnation(), uint64(2); got != want {
@@ -91,12 +91,12 @@
 				f.incarnations[who]++
 			}
 			if rapid.IntRange(0, 19).Draw(t, "election") == 0 {
-				f.registrar.Step(f.now, Lost{})
-				f.registrar.Step(f.now, Led{View: f.view})
+				f.registrar.Step(f.now, LeadershipLost{})
+				f.registrar.Step(f.now, LeadershipGained{View: f.view})
 				f.viewCommittedAt = f.now
 			}
 			if len(late) > 0 && rapid.Bool().Draw(t, "late") {
-				f.registrar.Step(f.now, Heard{Member: late[0]})
+				f.registrar.Step(f.now, HeartbeatReceived{Member: late[0]})
 				late = late[1:]
 			}
 			f.dropProposals = rapid.IntRange(0, 3).Draw(t, "drop") == 0
@@ -109,8 +109,8 @@
 	if got, want := after.GetNumber(), before.GetNumber()+1; got != want {
 		t.Fatalf("view number: got %d, want %d", got, want)
 	}
-	if got, want := f.now.Sub(f.viewCommittedAt) >= testOptions.Between || before.GetNumber() == 0, true; got != want {
-		t.Fatalf("time since the previous view: got %s, want at least %s", f.now.Sub(f.viewCommittedAt), testOptions.Between)
+	if got, want := f.now.Sub(f.viewCommittedAt) >= testOptions.MinViewInterval || before.GetNumber() == 0, true; got != want {
+		t.Fatalf("time since the previous view: got %s, want at least %s", f.now.Sub(f.viewCommittedAt), testOptions.MinViewInterval)
 	}
 	silent := 0
 	for _, c := range changes {
@@ -156,7 +156,7 @@
 	for i := range f.incarnations {
 		f.incarnations[i] = 1
 	}
-	f.registrar.Step(f.now, Led{View: f.view})
+	f.registrar.Step(f.now, LeadershipGained{View: f.view})
 	return f
 }
 
@@ -170,7 +170,7 @@
 		f.now = f.now.Add(200 * time.Millisecond)
 		for i, incarnation := range f.incarnations {
 			if !isSilent[i] {
-				f.registrar.Step(f.now, Heard{Member: member(i, incarnation)})
+				f.registrar.Step(f.now, HeartbeatReceived{Member: member(i, incarnation)})
 			}
 		}
 		for _, action := range f.registrar.Step(f.now, Ticked{}) {
@@ -187,7 +187,7 @@
 	}
 	f.view = propose.View
 	f.viewCommittedAt = f.now
-	f.registrar.Step(f.now, Applied{View: f.view})
+	f.registrar.Step(f.now, ViewApplied{View: f.view})
 }
 
 func member(i int, incarnation uint64) *messages.EntryMember {
--- a/src/router/observer.go
+++ b/src/router/observer.go
@@ -37,7 +37,7 @@
 	if !known {
 		return 0
 	}
-	return len(service.Usable)
+	return len(service.UsableUpstreams)
 }
 
 func (r *Router) stepEjector(upstream *tracker.Upstream, event ejector.Event) {
--- a/src/router/router_test.go
+++ b/src/router/router_test.go
@@ -75,7 +75,7 @@
 		Services: []parser.Service{{
 			Name:   "ember-llm",
 			Kind:   parser.ModelService,
-			Target: parser.Target{FirstToken: time.Second},
+			Target: parser.LatencyTarget{FirstToken: time.Second},
 		}},
 	}, usable))
 }
--- a/src/router/subset.go
+++ b/src/router/subset.go
@@ -97,10 +97,10 @@
 		service: service,
 	}
 	maxPrice := units.Price(0)
-	for _, upstream := range service.Usable {
+	for _, upstream := range service.UsableUpstreams {
 		maxPrice = max(maxPrice, upstream.Price)
 	}
-	for _, upstream := range r.selectUpstreams(service.Usable) {
+	for _, upstream := range r.selectUpstreams(service.UsableUpstreams) {
 		s.candidates = append(s.candidates, r.newCandidate(upstream, maxPrice))
 	}
 	return s
--- a/src/server/server.go
+++ b/src/server/server.go
@@ -241,8 +241,8 @@
 	call.Kind = service.Kind
 	call.Policy = service.Policy
 	call.Deadline = startedAt.Add(service.Deadline)
-	call.InterTokenLatency = service.Target.BetweenTokens
-	call.Repeatable = service.Repeatable(call.Method, call.Path)
+	call.InterTokenLatency = service.Target.TokenInterval
+	call.Repeatable = service.IsRepeatable(call.Method, call.Path)
 }
 
 // setModelFields sets the fields of a call that come from its model request.
--- a/src/stager/secure.go
+++ b/src/stager/secure.go
@@ -19,9 +19,9 @@
 
 func baseURL(l parser.Listener) string {
 	if l.Certificate == "" {
-		return "http://" + l.Listen
+		return "http://" + l.Address
 	}
-	return "https://" + l.Listen
+	return "https://" + l.Address
 }
 
 func (s *Stage) scheme() string {
@@ -47,9 +47,9 @@
 	for _, listener := range []*parser.Listener{
 		&node.Settings.Peers, &node.Settings.Operators, &node.Settings.Upstreams, &node.Settings.Callers,
 	} {
-		address := listener.Listen
+		address := listener.Address
 		*listener = files
-		listener.Listen = address
+		listener.Address = address
 	}
 	// Callers authenticate with API keys, not with certificates.
 	node.Settings.Callers.Authorities = ""
--- a/src/stager/stage.go
+++ b/src/stager/stage.go
@@ -126,7 +126,7 @@
 				DataCentre: address.DataCentre,
 				DataFolder: filepath.Join(s.Folder, string(address.Name)),
 				Control:    addresses,
-				Peers:      parser.Listener{Listen: address.Address},
+				Peers:      parser.Listener{Address: address.Address},
 			},
 		}
 		if err := s.Start(node); err != nil {
@@ -141,9 +141,9 @@
 				Name:       units.Instance(fmt.Sprintf("e%d", i+1)),
 				DataCentre: dataCentres[i%len(dataCentres)],
 				Control:    addresses,
-				Peers:      parser.Listener{Listen: s.FreeAddress()},
-				Callers:    parser.Listener{Listen: s.FreeAddress()},
-				Upstreams:  parser.Listener{Listen: s.FreeAddress()},
+				Peers:      parser.Listener{Address: s.FreeAddress()},
+				Callers:    parser.Listener{Address: s.FreeAddress()},
+				Upstreams:  parser.Listener{Address: s.FreeAddress()},
 			},
 		}
 		if err := s.Start(node); err != nil {
@@ -156,8 +156,8 @@
 
 // Start starts a node, or restarts it with the settings that it had.
 func (s *Stage) Start(node *Node) error {
-	if node.Settings.Operators.Listen == "" {
-		node.Settings.Operators.Listen = s.FreeAddress()
+	if node.Settings.Operators.Address == "" {
+		node.Settings.Operators.Address = s.FreeAddress()
 	}
 	if err := s.configureTLS(node); err != nil {
 		return err
--- a/src/standin/cloud.go
+++ b/src/standin/cloud.go
@@ -27,10 +27,10 @@
 	Listener net.Listener
 	// Entries are the base URLs to which the engines announce themselves.
 	Entries []string
-	// Boot is the time from a launch until the engine runs.
-	Boot time.Duration
-	// Notice is the time between an instance's notice and its end.
-	Notice time.Duration
+	// BootTime is the time from a launch until the engine runs.
+	BootTime time.Duration
+	// NoticePeriod is the time between an instance's notice and its end.
+	NoticePeriod time.Duration
 	// Slots is how many sequences each engine runs at once.
 	Slots int
 	Store *WeightStore
@@ -230,7 +230,7 @@
 		return
 	}
 	instance.Noticed = true
-	instance.stopsAt = time.Now().Add(c.Notice)
+	instance.stopsAt = time.Now().Add(c.NoticePeriod)
 	instance.cancel()
 }
 
@@ -245,7 +245,7 @@
 	select {
 	case <-ctx.Done():
 		return
-	case <-time.After(c.Boot):
+	case <-time.After(c.BootTime):
 	}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -259,7 +259,7 @@
 		Options: EngineOptions{
 			Model:          instance.request.Model,
 			Slots:          c.Slots,
-			Step:           engineStep,
+			StepInterval:   engineStep,
 			PrefillPerStep: enginePrefill,
 			CacheBlocks:    engineBlocks,
 		},
@@ -271,13 +271,13 @@
 	}
 	server.Loading.Store(true)
 	host := &Host{
-		Listener: listener,
-		Entries:  c.Entries,
-		Ledger:   server.Ledger,
-		Faults:   server.Faults,
-		Notice:   c.Notice,
-		Leave:    func() { server.Leaving.Store(true) },
-		About: &messages.Announcement{
+		Listener:      listener,
+		Entries:       c.Entries,
+		Ledger:        server.Ledger,
+		Faults:        server.Faults,
+		NoticePeriod:  c.NoticePeriod,
+		StopAccepting: func() { server.Leaving.Store(true) },
+		Announcement: &messages.Announcement{
 			Upstream:     "cloud-" + instance.ID,
 			Service:      instance.request.Service,
 			Address:      "http://" + listener.Addr().String(),
@@ -292,14 +292,14 @@
 			Instance:     instance.ID,
 		},
 	}
-	orders := &Orders{
-		Server: server,
-		About:  host.About,
-		Checks: true,
-		Store:  "http://" + c.Listener.Addr().String(),
+	orders := &OrderHandler{
+		Server:        server,
+		About:         host.Announcement,
+		ChecksFencing: true,
+		StoreURL:      "http://" + c.Listener.Addr().String(),
 	}
 	host.Services = append(server.Services(), orders.Services()...)
-	host.Describe = orders.Describe
+	host.UpdateAnnouncement = orders.Describe
 	host.Load = func() *messages.Load {
 		running, queued, tokens := engine.Load()
 		return &messages.Load{
--- a/src/standin/engine.go
+++ b/src/standin/engine.go
@@ -21,8 +21,8 @@
 	ModelVersion string
 	// Slots is how many sequences run at once.
 	Slots int
-	// Step is the duration of one step.
-	Step time.Duration
+	// StepInterval is the duration of one step.
+	StepInterval time.Duration
 	// PrefillPerStep is how many prompt tokens one step computes.
 	PrefillPerStep int
 	// CacheBlocks is the capacity of the prefix cache.
@@ -82,7 +82,7 @@
 	e.mu.Lock()
 	e.init()
 	e.mu.Unlock()
-	ticker := time.NewTicker(e.Options.Step)
+	ticker := time.NewTicker(e.Options.StepInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -140,7 +140,7 @@
 		return
 	}
 	e.work.Recomputed += s.prefillLeft
-	e.Journal.Write(Line{
+	e.Journal.Write(JournalEvent{
 		Kind:   TokensRecomputed,
 		Call:   s.call,
 		Tokens: s.prefillLeft,
--- a/src/standin/faults.go
+++ b/src/standin/faults.go
@@ -47,9 +47,9 @@
 
 type connectionKey struct{}
 
-// Number stores a connection's number in its context; it serves as an
+// NumberConnection stores a connection's number in its context; it serves as an
 // http.Server's ConnContext.
-func (f *Faults) Number(ctx context.Context, _ net.Conn) context.Context {
+func (f *Faults) NumberConnection(ctx context.Context, _ net.Conn) context.Context {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.connections++
--- a/src/standin/host.go
+++ b/src/standin/host.go
@@ -33,22 +33,22 @@
 	Source *certifier.Source
 	// Entries are the base URLs to which announcements are sent.
 	Entries []string
-	// About holds the constant fields of each announcement.
-	About    *messages.Announcement
-	Services []*restful.WebService
-	Ledger   *Ledger
-	Faults   *Faults
+	// Announcement holds the constant fields of each announcement.
+	Announcement *messages.Announcement
+	Services     []*restful.WebService
+	Ledger       *Ledger
+	Faults       *Faults
 	// CacheEvents returns the prefix cache events to send to the entries, or nil
 	// where there are none; it may be nil.
 	CacheEvents func() *messages.CacheEvents
-	// Describe sets the variable fields of an announcement; it may be nil.
-	Describe func(*messages.Announcement)
+	// UpdateAnnouncement sets the variable fields of an announcement; it may be nil.
+	UpdateAnnouncement func(*messages.Announcement)
 	// Load returns the load to announce; it may be nil.
 	Load func() *messages.Load
-	// Leave makes the upstream refuse new calls.
-	Leave func()
-	// Notice is the time between the notice and the stop.
-	Notice time.Duration
+	// StopAccepting makes the upstream refuse new calls.
+	StopAccepting func()
+	// NoticePeriod is the time between the notice and the stop.
+	NoticePeriod time.Duration
 
 	sequence       uint64
 	activeRequests atomic.Int64
@@ -74,7 +74,7 @@
 	server := &http.Server{
 		Handler:           container,
 		ReadHeaderTimeout: headerTimeout,
-		ConnContext:       h.Faults.Number,
+		ConnContext:       h.Faults.NumberConnection,
 	}
 	listener := h.Listener
 	h.client = http.DefaultClient
@@ -94,8 +94,8 @@
 		return err
 	default:
 	}
-	h.Ledger.Journal.Write(Line{Kind: NoticeReceived})
-	h.Leave()
+	h.Ledger.Journal.Write(JournalEvent{Kind: NoticeReceived})
+	h.StopAccepting()
 	h.drain(context.WithoutCancel(ctx))
 	return server.Close()
 }
@@ -104,7 +104,7 @@
 // New connections are still accepted, since running streams may be resumed and
 // their KV cache fetched over them.
 func (h *Host) drain(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, h.Notice)
+	ctx, cancel := context.WithTimeout(ctx, h.NoticePeriod)
 	defer cancel()
 	ticker := time.NewTicker(announceInterval)
 	defer ticker.Stop()
@@ -143,14 +143,14 @@
 
 func (h *Host) announce(ctx context.Context, leaving bool) {
 	h.sequence++
-	announcement := proto.CloneOf(h.About)
+	announcement := proto.CloneOf(h.Announcement)
 	announcement.Sequence = h.sequence
 	announcement.Leaving = leaving
-	if h.Describe != nil {
-		h.Describe(announcement)
+	if h.UpdateAnnouncement != nil {
+		h.UpdateAnnouncement(announcement)
 	}
 	if leaving && h.leavesAt.IsZero() {
-		h.leavesAt = time.Now().Add(h.Notice)
+		h.leavesAt = time.Now().Add(h.NoticePeriod)
 	}
 	if leaving {
 		announcement.LeavingWithinMs = time.Until(h.leavesAt).Milliseconds()
@@ -176,8 +176,8 @@
 	if events == nil {
 		return
 	}
-	events.Upstream = h.About.GetUpstream()
-	events.Incarnation = h.About.GetIncarnation()
+	events.Upstream = h.Announcement.GetUpstream()
+	events.Incarnation = h.Announcement.GetIncarnation()
 	content, err := protojson.Marshal(events)
 	if err != nil {
 		return
--- a/src/standin/journal.go
+++ b/src/standin/journal.go
@@ -26,8 +26,8 @@
 	NoticeReceived EventKind = "leaving"
 )
 
-// Line is one line of a journal.
-type Line struct {
+// JournalEvent is one line of a journal.
+type JournalEvent struct {
 	At       time.Time `json:"at"`
 	Upstream string    `json:"upstream"`
 	Kind     EventKind `json:"happening"`
@@ -60,7 +60,7 @@
 
 // Write appends a line with the current time and the upstream's name; a nil
 // journal discards it.
-func (j *Journal) Write(line Line) {
+func (j *Journal) Write(line JournalEvent) {
 	if j == nil {
 		return
 	}
@@ -77,13 +77,13 @@
 
 // ReadJournal returns the lines of a journal. An incomplete last line, which a
 // killed process may leave, is ignored.
-func ReadJournal(path string) ([]Line, error) {
+func ReadJournal(path string) ([]JournalEvent, error) {
 	file, err := os.Open(path)
 	if err != nil {
 		return nil, fmt.Errorf("open the journal: %w", err)
 	}
 	defer func() { _ = file.Close() }()
-	var lines []Line
+	var lines []JournalEvent
 	reader := bufio.NewReader(file)
 	for {
 		content, err := reader.ReadBytes('\n')
@@ -93,7 +93,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("read the journal: %w", err)
 		}
-		line := Line{}
+		line := JournalEvent{}
 		if err := json.Unmarshal(content, &line); err != nil {
 			return nil, fmt.Errorf("read the journal: %w", err)
 		}
--- a/src/standin/ledger.go
+++ b/src/standin/ledger.go
@@ -16,7 +16,7 @@
 
 // RecordRun counts one run of a call; reference is the caller's own identifier of it.
 func (l *Ledger) RecordRun(call, reference string) {
-	l.Journal.Write(Line{
+	l.Journal.Write(JournalEvent{
 		Kind:      CallStarted,
 		Call:      call,
 		Reference: reference,
--- a/src/standin/orders.go
+++ b/src/standin/orders.go
@@ -21,16 +21,16 @@
 	drainPollInterval = 20 * time.Millisecond
 )
 
-// Orders handles the orders to an engine to load models and adapters.
-type Orders struct {
+// OrderHandler handles the orders to an engine to load models and adapters.
+type OrderHandler struct {
 	Server *ModelServer
 	// About is the announcement, from which the engine's name and incarnation are taken.
 	About *messages.Announcement
-	// Checks makes the engine refuse orders with a fencing number lower than one it has seen.
-	Checks bool
-	// Store is the weight store's base URL; if it is empty, a load takes LoadTime.
-	Store    string
-	LoadTime time.Duration
+	// ChecksFencing makes the engine refuse orders with a fencing number lower than one it has seen.
+	ChecksFencing bool
+	// StoreURL is the weight store's base URL; if it is empty, a load takes LoadTime.
+	StoreURL     string
+	LoadDuration time.Duration
 
 	mu          sync.Mutex
 	fencing     uint64
@@ -56,7 +56,7 @@
 }
 
 // Services returns the routes to send an order and to read the order log.
-func (o *Orders) Services() []*restful.WebService {
+func (o *OrderHandler) Services() []*restful.WebService {
 	service := new(restful.WebService)
 	service.Path("/v1/orders")
 	service.Route(service.POST("").To(o.handleOrder))
@@ -72,20 +72,20 @@
 }
 
 // Describe sets the fields of an announcement that depend on orders.
-func (o *Orders) Describe(a *messages.Announcement) {
+func (o *OrderHandler) Describe(a *messages.Announcement) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	a.ModelVersion = o.Server.Engine.Version()
 	a.Adapters = o.adapters
 	a.Role = o.role
-	a.ChecksFencing = o.Checks
+	a.ChecksFencing = o.ChecksFencing
 	a.LoadingVersion = o.loading.GetModelVersion()
-	if o.Checks {
+	if o.ChecksFencing {
 		a.Fencing = o.fencing
 	}
 }
 
-func (o *Orders) handleOrder(request *restful.Request, response *restful.Response) {
+func (o *OrderHandler) handleOrder(request *restful.Request, response *restful.Response) {
 	content, err := io.ReadAll(http.MaxBytesReader(response, request.Request.Body, maxOrderBytes))
 	order := &messages.Order{}
 	if err == nil {
@@ -116,7 +116,7 @@
 	return http.StatusConflict
 }
 
-func (o *Orders) apply(order *messages.Order) *messages.OrderResult {
+func (o *OrderHandler) apply(order *messages.Order) *messages.OrderResult {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	result := &messages.OrderResult{
@@ -127,7 +127,7 @@
 		result.Detail = "the order is for another upstream or incarnation"
 		return result
 	}
-	if o.Checks && order.GetFencing() < o.fencing {
+	if o.ChecksFencing && order.GetFencing() < o.fencing {
 		result.Outcome = messages.OrderOutcome_ORDER_OUTCOME_OLD_FENCING
 		result.Detail = fmt.Sprintf("fencing number %d has been seen", o.fencing)
 		return result
@@ -139,7 +139,7 @@
 }
 
 // execute starts a load unless the engine already has the wanted state or is loading.
-func (o *Orders) execute(order *messages.Order) messages.OrderOutcome {
+func (o *OrderHandler) execute(order *messages.Order) messages.OrderOutcome {
 	wanted := order.GetWanted()
 	if wanted == nil {
 		return messages.OrderOutcome_ORDER_OUTCOME_DONE
@@ -163,7 +163,7 @@
 }
 
 // load waits for running calls, fetches the weights and resumes serving.
-func (o *Orders) load(wanted *messages.Wanted) {
+func (o *OrderHandler) load(wanted *messages.Wanted) {
 	ctx := context.Background()
 	o.drain()
 	err := o.fetchWeights(ctx, wanted.GetModelVersion())
@@ -179,7 +179,7 @@
 	o.Server.Loading.Store(o.Server.Engine.Version() == "")
 }
 
-func (o *Orders) drain() {
+func (o *OrderHandler) drain() {
 	for deadline := time.Now().Add(drainTimeout); time.Now().Before(deadline); time.Sleep(drainPollInterval) {
 		if running, queued, _ := o.Server.Engine.Load(); running+queued == 0 {
 			return
@@ -187,12 +187,12 @@
 	}
 }
 
-func (o *Orders) fetchWeights(ctx context.Context, version string) error {
-	if o.Store == "" {
-		time.Sleep(o.LoadTime)
+func (o *OrderHandler) fetchWeights(ctx context.Context, version string) error {
+	if o.StoreURL == "" {
+		time.Sleep(o.LoadDuration)
 		return nil
 	}
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, o.Store+"/v1/weights/"+version, nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, o.StoreURL+"/v1/weights/"+version, nil)
 	if err != nil {
 		return err
 	}
--- a/src/standin/plain.go
+++ b/src/standin/plain.go
@@ -11,12 +11,12 @@
 	"github.com/emicklei/go-restful/v3"
 )
 
-// Plain is a plain service: an appointment diary that numbers its bookings.
-type Plain struct {
+// PlainService is a plain service: an appointment diary that numbers its bookings.
+type PlainService struct {
 	Ledger *Ledger
 	Faults *Faults
-	// Work is how long a call takes.
-	Work time.Duration
+	// CallDuration is how long a call takes.
+	CallDuration time.Duration
 	// Leaving makes the service refuse new calls.
 	Leaving atomic.Bool
 
@@ -25,7 +25,7 @@
 }
 
 // Services returns the service's routes.
-func (p *Plain) Services() []*restful.WebService {
+func (p *PlainService) Services() []*restful.WebService {
 	service := new(restful.WebService)
 	service.Path("/")
 	service.Filter(p.handleCall)
@@ -36,7 +36,7 @@
 
 // handleCall is a filter that refuses calls while the service leaves, records the
 // others and applies the faults.
-func (p *Plain) handleCall(request *restful.Request, response *restful.Response, chain *restful.FilterChain) {
+func (p *PlainService) handleCall(request *restful.Request, response *restful.Response, chain *restful.FilterChain) {
 	call := request.HeaderParameter(headerCall)
 	fault := p.Faults.Current()
 	response.AddHeader(headerCall, p.Faults.answerID(call))
@@ -45,7 +45,7 @@
 		return
 	}
 	p.Ledger.RecordRun(call, request.HeaderParameter(headerReference))
-	time.Sleep(p.Work)
+	time.Sleep(p.CallDuration)
 	ctx := request.Request.Context()
 	p.Faults.blockIfSilent(ctx)
 	p.Faults.delay(ctx)
@@ -59,13 +59,13 @@
 	}
 }
 
-func (p *Plain) handleList(_ *restful.Request, response *restful.Response) {
+func (p *PlainService) handleList(_ *restful.Request, response *restful.Response) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	writeJSON(response, p.bookings)
 }
 
-func (p *Plain) handleBook(request *restful.Request, response *restful.Response) {
+func (p *PlainService) handleBook(request *restful.Request, response *restful.Response) {
 	content, err := io.ReadAll(request.Request.Body)
 	if err != nil || !json.Valid(content) {
 		http.Error(response, "the booking is not JSON", http.StatusBadRequest)
--- a/src/standin/reporter.go
+++ b/src/standin/reporter.go
@@ -11,10 +11,10 @@
 // cache events that are delayed by one announcement and partly lost.
 type Reporter struct {
 	Engine *Engine
-	// Lag is the minimum age of the reported load once a measurement of that age exists.
-	Lag time.Duration
-	// Gaps is the fraction of cache event messages that is dropped.
-	Gaps float64
+	// MinLoadAge is the minimum age of the reported load once a measurement of that age exists.
+	MinLoadAge time.Duration
+	// EventLossRate is the fraction of cache event messages that is dropped.
+	EventLossRate float64
 
 	measurements []measurement
 	delayed      *messages.CacheEvents
@@ -39,7 +39,7 @@
 		},
 		measuredAt: now,
 	})
-	for len(r.measurements) > 1 && now.Sub(r.measurements[1].measuredAt) >= r.Lag {
+	for len(r.measurements) > 1 && now.Sub(r.measurements[1].measuredAt) >= r.MinLoadAge {
 		r.measurements = r.measurements[1:]
 	}
 	oldest := r.measurements[0]
@@ -63,7 +63,7 @@
 			Removed:  removed,
 		}
 	}
-	if rand.Float64() < r.Gaps {
+	if rand.Float64() < r.EventLossRate {
 		return nil
 	}
 	return ready
--- a/src/standin/store.go
+++ b/src/standin/store.go
@@ -18,10 +18,10 @@
 type WeightStore struct {
 	// BytesPerSecond is the rate that all loads share.
 	BytesPerSecond int64
-	// LoadsAtOnce is the limit beyond which a load is refused.
-	LoadsAtOnce int
-	// Bytes is the size of each model version.
-	Bytes int64
+	// MaxLoads is the limit beyond which a load is refused.
+	MaxLoads int
+	// VersionBytes is the size of each model version.
+	VersionBytes int64
 
 	mu          sync.Mutex
 	activeLoads int
@@ -46,7 +46,7 @@
 	}
 	defer w.endLoad()
 	chunk := make([]byte, storeChunkBytes)
-	for remaining := w.Bytes; remaining > 0; remaining -= storeChunkBytes {
+	for remaining := w.VersionBytes; remaining > 0; remaining -= storeChunkBytes {
 		time.Sleep(w.reserveRate(min(remaining, storeChunkBytes)))
 		if _, err := response.Write(chunk[:min(remaining, storeChunkBytes)]); err != nil {
 			return
@@ -70,7 +70,7 @@
 func (w *WeightStore) beginLoad() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.activeLoads >= w.LoadsAtOnce {
+	if w.activeLoads >= w.MaxLoads {
 		w.refused++
 		return false
 	}
--- a/src/timekeeper/estimator.go
+++ b/src/timekeeper/estimator.go
@@ -31,8 +31,8 @@
 	offset time.Duration
 }
 
-// Take records another instance's time of day, received at now.
-func (e *Estimator) Take(now time.Time, from units.Instance, wall time.Time) {
+// Record records another instance's time of day, received at now.
+func (e *Estimator) Record(now time.Time, from units.Instance, wall time.Time) {
 	if e.readings == nil {
 		e.readings = make(map[units.Instance]reading)
 	}
--- a/src/timekeeper/estimator_test.go
+++ b/src/timekeeper/estimator_test.go
@@ -28,7 +28,7 @@
 		t.Run(name, func(t *testing.T) {
 			var e Estimator
 			for i, off := range c.others {
-				e.Take(now, units.Instance(rune('a'+i)), truth.Add(off))
+				e.Record(now, units.Instance(rune('a'+i)), truth.Add(off))
 			}
 			got := e.TrueTime(now, truth.Add(c.own)).Sub(truth)
 			if got != c.want {
@@ -43,8 +43,8 @@
 	var e Estimator
 	now := time.Unix(100, 0)
 	truth := time.Unix(1_700_000_000, 0)
-	e.Take(now, "a", truth.Add(-time.Hour))
-	e.Take(now, "b", truth.Add(-time.Hour))
+	e.Record(now, "a", truth.Add(-time.Hour))
+	e.Record(now, "b", truth.Add(-time.Hour))
 	later := now.Add(readingExpiry + time.Second)
 	got := e.TrueTime(later, truth)
 	if want := truth; !got.Equal(want) {
--- a/src/units/units.go
+++ b/src/units/units.go
@@ -76,8 +76,8 @@
 // has its bits spread, so that small incarnations change all bits of a Life.
 const incarnationMultiplier = 0x9e3779b97f4a7c15
 
-// LifeOf returns the Life of an incarnation of an upstream.
-func LifeOf(upstream Upstream, incarnation Incarnation) Life {
+// NewLife returns the Life of an incarnation of an upstream.
+func NewLife(upstream Upstream, incarnation Incarnation) Life {
 	return Life(xxhash.Sum64String(string(upstream)) ^ uint64(incarnation)*incarnationMultiplier)
 }
 
