--- a/src/doorkeeper/listener.go
+++ b/src/acceptor/listener.go
@@ -1,4 +1,4 @@
-package doorkeeper
+package acceptor
 
 import (
 	"container/list"
--- a/src/tallier/doc.go
+++ b/src/aggregator/doc.go
@@ -1,7 +1,7 @@
-// Package tallier counts the calls of each client account in windows of true time.
+// Package aggregator counts the calls of each client account in windows of true time.
 //
 // Entries report their counts to control repeatedly, each count cumulative from the entry's
 // start, so that lost and repeated messages do no harm. Control adds them up. The counts of a
 // window are written to the log before they are reported, so that any later leader reports
 // the same counts.
-package tallier
+package aggregator
--- a/src/tallier/reporter.go
+++ b/src/aggregator/reporter.go
@@ -1,4 +1,4 @@
-package tallier
+package aggregator
 
 // DeltaReporter omits the counts that the ledger has already acknowledged from an entry's reports.
 //
--- a/src/tallier/reporter_test.go
+++ b/src/aggregator/reporter_test.go
@@ -1,4 +1,4 @@
-package tallier
+package aggregator
 
 import (
 	"testing"
--- a/src/apportioner/allocator.go
+++ b/src/allocator/allocator.go
@@ -1,4 +1,4 @@
-package apportioner
+package allocator
 
 import (
 	"time"
--- a/src/apportioner/doc.go
+++ b/src/allocator/doc.go
@@ -1,4 +1,4 @@
-// Package apportioner enforces the limits of client accounts across all entries.
+// Package allocator enforces the limits of client accounts across all entries.
 //
 // It is designed for two loads: an account that sends several times its limit
 // through a few entries while the others see little of it, and an account well
@@ -10,4 +10,4 @@
 // entry. The grants overcommit the bucket: what entries may admit beyond its level
 // before their next poll is bounded by the account's demand in that time, and the
 // window by which the limit is judged leaves room for it.
-package apportioner
+package allocator
--- a/src/control/control.go
+++ b/src/control/control.go
@@ -14,10 +14,10 @@
 	"github.com/rosecroft/rosecroft/src/certifier"
 	"github.com/rosecroft/rosecroft/src/connector"
 	"github.com/rosecroft/rosecroft/src/inspector"
-	"github.com/rosecroft/rosecroft/src/keeper"
 	"github.com/rosecroft/rosecroft/src/messages"
 	"github.com/rosecroft/rosecroft/src/meter"
 	"github.com/rosecroft/rosecroft/src/parser"
+	"github.com/rosecroft/rosecroft/src/persister"
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
@@ -38,7 +38,7 @@
 
 // Run serves until ctx ends; after an error the process must exit.
 func (c *Control) Run(ctx context.Context) error {
-	folder, kept, err := keeper.Open(c.Settings.DataFolder, c.Settings.Name)
+	folder, kept, err := persister.Open(c.Settings.DataFolder, c.Settings.Name)
 	if err != nil {
 		return fmt.Errorf("open the data folder: %w; check that it is on a disk with free space that this process may write to", err)
 	}
--- a/src/control/coordinator.go
+++ b/src/control/coordinator.go
@@ -10,9 +10,9 @@
 	"google.golang.org/protobuf/proto"
 
 	"github.com/rosecroft/rosecroft/src/distributor"
-	"github.com/rosecroft/rosecroft/src/keeper"
 	"github.com/rosecroft/rosecroft/src/messages"
 	"github.com/rosecroft/rosecroft/src/parser"
+	"github.com/rosecroft/rosecroft/src/persister"
 	"github.com/rosecroft/rosecroft/src/replicator"
 	"github.com/rosecroft/rosecroft/src/units"
 )
@@ -31,11 +31,11 @@
 
 // coordinator owns the state of one control process.
 type coordinator struct {
-	settings *parser.Settings
-	log      zerolog.Logger
-	keeper   *keeper.Keeper
-	node     *replicator.Node
-	state    *configurationMachine
+	settings  *parser.Settings
+	log       zerolog.Logger
+	persister *persister.Persister
+	node      *replicator.Node
+	state     *configurationMachine
 	// stateMachines hold the replicated state; each command is applied to all of them.
 	stateMachines     []stateMachine
 	leaderTasks       []leaderTask
@@ -62,8 +62,8 @@
 	reply chan<- submitReply
 }
 
-func newCoordinator(settings *parser.Settings, log zerolog.Logger, folder *keeper.Keeper,
-	kept *keeper.Contents, out *outbox,
+func newCoordinator(settings *parser.Settings, log zerolog.Logger, folder *persister.Persister,
+	kept *persister.Contents, out *outbox,
 ) (*coordinator, error) {
 	configuration := &configurationMachine{
 		log: log,
@@ -87,7 +87,7 @@
 	c := &coordinator{
 		settings:          settings,
 		log:               log,
-		keeper:            folder,
+		persister:         folder,
 		state:             configuration,
 		stateMachines:     []stateMachine{configuration, registry, entryDistribution, ledger},
 		leaderTasks:       []leaderTask{registry, entryDistribution, fleet, orders, purchases},
@@ -239,11 +239,11 @@
 	case replicator.Persist:
 		// A voter that continued after a failed sync would acknowledge records that
 		// a crash could lose. It stops instead, and the majority continues.
-		if err := c.keeper.Save(a.State, a.Records); err != nil {
+		if err := c.persister.Save(a.State, a.Records); err != nil {
 			return fmt.Errorf("store log records: %w", err)
 		}
 	case replicator.PersistSnapshot:
-		if err := c.keeper.SaveSnapshot(a.State, a.Snapshot, a.Base, a.Records); err != nil {
+		if err := c.persister.SaveSnapshot(a.State, a.Snapshot, a.Base, a.Records); err != nil {
 			return fmt.Errorf("store a snapshot: %w", err)
 		}
 	case replicator.TakeSnapshot:
--- a/src/control/recovery.go
+++ b/src/control/recovery.go
@@ -10,9 +10,9 @@
 	"slices"
 	"time"
 
-	"github.com/rosecroft/rosecroft/src/keeper"
 	"github.com/rosecroft/rosecroft/src/messages"
 	"github.com/rosecroft/rosecroft/src/parser"
+	"github.com/rosecroft/rosecroft/src/persister"
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
@@ -43,7 +43,7 @@
 
 // Run rewrites the data folder and returns the id of the new log.
 func (r *Recovery) Run(ctx context.Context) (logID string, err error) {
-	folder, kept, err := keeper.Open(r.Settings.DataFolder, r.Settings.Name)
+	folder, kept, err := persister.Open(r.Settings.DataFolder, r.Settings.Name)
 	if err != nil {
 		return "", fmt.Errorf("open the data folder: %w", err)
 	}
@@ -59,7 +59,7 @@
 }
 
 // check returns an error if the recovery is not needed or is for another log.
-func (r *Recovery) check(kept *keeper.Contents, membership *messages.Membership) error {
+func (r *Recovery) check(kept *persister.Contents, membership *messages.Membership) error {
 	if kept.Snapshot == nil || kept.Snapshot.GetLogId() != r.LogID {
 		return &RecoveryError{
 			Reason: fmt.Sprintf("the folder holds log %q and not %q", kept.Snapshot.GetLogId(), r.LogID),
@@ -117,7 +117,7 @@
 
 // writeNewLog stores the folder's records under a new log id and in a new term, with an
 // additional membership of this voter alone.
-func (r *Recovery) writeNewLog(folder *keeper.Keeper, kept *keeper.Contents, membership *messages.Membership) (string, error) {
+func (r *Recovery) writeNewLog(folder *persister.Persister, kept *persister.Contents, membership *messages.Membership) (string, error) {
 	random := make([]byte, logIDBytes)
 	_, _ = rand.Read(random)
 	logID := hex.EncodeToString(random)
@@ -146,7 +146,7 @@
 }
 
 // newestMembership returns the last membership that the folder holds, committed or not.
-func newestMembership(kept *keeper.Contents) *messages.Membership {
+func newestMembership(kept *persister.Contents) *messages.Membership {
 	membership := kept.Snapshot.GetMembership()
 	for _, record := range kept.Records {
 		if record.GetIndex() <= kept.Snapshot.GetIndex() {
--- a/src/gateway/control_session.go
+++ b/src/gateway/control_session.go
@@ -1,8 +1,8 @@
 package gateway
 
 import (
+	"github.com/rosecroft/rosecroft/src/aggregator"
 	"github.com/rosecroft/rosecroft/src/messages"
-	"github.com/rosecroft/rosecroft/src/tallier"
 )
 
 // controlSession is the state of the exchange between this entry and one control instance: what
@@ -14,11 +14,11 @@
 	cursor  uint64
 	// fullTable reports that the last response contained the whole table.
 	fullTable   bool
-	usageTeller tallier.DeltaReporter
+	usageTeller aggregator.DeltaReporter
 	// counts are the usage counts at the poll in flight, unreported those of them that the poll
 	// contains.
-	counts     []tallier.Count
-	unreported []tallier.Count
+	counts     []aggregator.Count
+	unreported []aggregator.Count
 }
 
 // handleResponse records a response. A different table id means that the control process has
--- a/src/gateway/control_session_test.go
+++ b/src/gateway/control_session_test.go
@@ -4,9 +4,9 @@
 	"testing"
 	"time"
 
+	"github.com/rosecroft/rosecroft/src/aggregator"
 	"github.com/rosecroft/rosecroft/src/enroller"
 	"github.com/rosecroft/rosecroft/src/messages"
-	"github.com/rosecroft/rosecroft/src/tallier"
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
@@ -116,8 +116,8 @@
 // reported to it.
 func TestResponseWithoutAVoterAcknowledgesNothing(t *testing.T) {
 	e := controlSession{
-		counts:     []tallier.Count{{Window: 1, Account: "a", Calls: 1}},
-		unreported: []tallier.Count{{Window: 1, Account: "a", Calls: 1}},
+		counts:     []aggregator.Count{{Window: 1, Account: "a", Calls: 1}},
+		unreported: []aggregator.Count{{Window: 1, Account: "a", Calls: 1}},
 	}
 	e.handleResponse(&messages.EntryPollResponse{})
 	if got, want := len(e.usageTeller.Unacknowledged(e.counts)), 1; got != want {
--- a/src/gateway/gateway.go
+++ b/src/gateway/gateway.go
@@ -9,7 +9,8 @@
 	"github.com/rs/zerolog"
 	"golang.org/x/sync/errgroup"
 
-	"github.com/rosecroft/rosecroft/src/apportioner"
+	"github.com/rosecroft/rosecroft/src/aggregator"
+	"github.com/rosecroft/rosecroft/src/allocator"
 	"github.com/rosecroft/rosecroft/src/connector"
 	"github.com/rosecroft/rosecroft/src/dispatcher"
 	"github.com/rosecroft/rosecroft/src/enroller"
@@ -23,7 +24,6 @@
 	"github.com/rosecroft/rosecroft/src/placer"
 	"github.com/rosecroft/rosecroft/src/quarantiner"
 	"github.com/rosecroft/rosecroft/src/retrier"
-	"github.com/rosecroft/rosecroft/src/tallier"
 	"github.com/rosecroft/rosecroft/src/timekeeper"
 	"github.com/rosecroft/rosecroft/src/tracker"
 	"github.com/rosecroft/rosecroft/src/units"
@@ -56,9 +56,9 @@
 	// seeds are the control instances that the current settings name.
 	seeds        atomic.Pointer[[]string]
 	placer       *placer.Placer
-	quota        *apportioner.LocalLimiter
+	quota        *allocator.LocalLimiter
 	retryBudget  *retrier.Budget
-	usageCounter *tallier.Counter
+	usageCounter *aggregator.Counter
 	trafficStats *trafficStats
 	rolloutStats rolloutStats
 	pool         *exchanger.Pool
@@ -87,14 +87,14 @@
 		MaxInFlight: g.connections,
 		Gate:        &g.gate,
 	}
-	g.quota = &apportioner.LocalLimiter{Window: apportioner.NewWindow(g.Settings.Quota)}
+	g.quota = &allocator.LocalLimiter{Window: allocator.NewWindow(g.Settings.Quota)}
 	g.retryBudget = &retrier.Budget{
 		Window: g.Settings.Retries.Window,
 		Ratio:  g.Settings.Retries.Ratio,
 		Slack:  g.Settings.Retries.Slack,
 		Now:    timekeeper.Now,
 	}
-	g.usageCounter = &tallier.Counter{WindowLength: g.Settings.Usage.Window}
+	g.usageCounter = &aggregator.Counter{WindowLength: g.Settings.Usage.Window}
 	g.pool = &exchanger.Pool{
 		MaxConnections: g.connections,
 		OpenedCounter:  g.trafficStats.connections,
--- a/src/gateway/traffic_stats_test.go
+++ b/src/gateway/traffic_stats_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"github.com/rosecroft/rosecroft/src/apportioner"
+	"github.com/rosecroft/rosecroft/src/allocator"
 	"github.com/rosecroft/rosecroft/src/dispatcher"
 	"github.com/rosecroft/rosecroft/src/matcher"
 	"github.com/rosecroft/rosecroft/src/meter"
@@ -57,7 +57,7 @@
 	t.Cleanup(func() { _ = m.Close() })
 	g := &Gateway{
 		trafficStats: newTrafficStats(m),
-		quota:        &apportioner.LocalLimiter{Window: apportioner.Window{Length: 8 * time.Second}},
+		quota:        &allocator.LocalLimiter{Window: allocator.Window{Length: 8 * time.Second}},
 		retryBudget:  &retrier.Budget{Window: time.Second, Now: timekeeper.Now},
 	}
 	g.snapshot.Store(&snapshot{
--- a/src/governor/coordinator.go
+++ b/src/governor/coordinator.go
@@ -10,15 +10,15 @@
 
 	"github.com/rs/zerolog"
 
-	"github.com/rosecroft/rosecroft/src/apportioner"
+	"github.com/rosecroft/rosecroft/src/aggregator"
+	"github.com/rosecroft/rosecroft/src/allocator"
 	"github.com/rosecroft/rosecroft/src/enroller"
-	"github.com/rosecroft/rosecroft/src/keeper"
 	"github.com/rosecroft/rosecroft/src/matcher"
 	"github.com/rosecroft/rosecroft/src/messages"
 	"github.com/rosecroft/rosecroft/src/parser"
+	"github.com/rosecroft/rosecroft/src/persister"
 	"github.com/rosecroft/rosecroft/src/placer"
 	"github.com/rosecroft/rosecroft/src/replicator"
-	"github.com/rosecroft/rosecroft/src/tallier"
 	"github.com/rosecroft/rosecroft/src/timekeeper"
 	"github.com/rosecroft/rosecroft/src/units"
 )
@@ -50,15 +50,15 @@
 
 // coordinator owns the state of one control process.
 type coordinator struct {
-	settings *parser.PlatformSettings
-	log      zerolog.Logger
-	decode   func([]byte) (*matcher.Configuration, error)
-	keeper   *keeper.Keeper
-	node     *replicator.Node
-	state    *state
-	outbox   *outbox
-	events   chan event
-	polls    chan pollReceived
+	settings  *parser.PlatformSettings
+	log       zerolog.Logger
+	decode    func([]byte) (*matcher.Configuration, error)
+	persister *persister.Persister
+	node      *replicator.Node
+	state     *state
+	outbox    *outbox
+	events    chan event
+	polls     chan pollReceived
 	// ctx ends the calls that the coordinator itself starts.
 	ctx context.Context
 
@@ -66,7 +66,7 @@
 	// unsent are the upstreams whose changes were not sent to the other control instances yet.
 	unsent      map[units.Upstream]bool
 	ticks       int
-	divider     *apportioner.Allocator
+	divider     *allocator.Allocator
 	estimator   timekeeper.Estimator
 	inFlight    placer.LoadSum
 	pollSummary *pollSummary
@@ -100,14 +100,14 @@
 	reply chan<- declareReply
 }
 
-func newCoordinator(g *Governor, storage *keeper.Keeper, stored *keeper.Contents) (*coordinator, error) {
+func newCoordinator(g *Governor, storage *persister.Persister, stored *persister.Contents) (*coordinator, error) {
 	c := &coordinator{
-		settings: g.Settings,
-		log:      g.Log,
-		decode:   g.Decode,
-		keeper:   storage,
+		settings:  g.Settings,
+		log:       g.Log,
+		decode:    g.Decode,
+		persister: storage,
 		state: &state{
-			ledger: &tallier.Ledger{
+			ledger: &aggregator.Ledger{
 				WindowLength: g.Settings.Usage.Window,
 				MaxWait:      time.Duration(reportWaitFraction * float64(g.Settings.Usage.MaxDelay)),
 				MaxServing:   g.Settings.RevocationTimeout,
@@ -124,7 +124,7 @@
 		// All control instances may have started at the same time, so there may be no leader
 		// yet.
 		leaderSeenAt:     timekeeper.Now().Add(startGraceHeartbeats * g.Settings.HeartbeatInterval),
-		divider:          &apportioner.Allocator{},
+		divider:          &allocator.Allocator{},
 		proposalsByToken: make(map[uint64]chan<- declareReply),
 		proposalsByIndex: make(map[units.Index]pendingProposal),
 	}
@@ -168,7 +168,7 @@
 
 // options configures the voter. Only the seeds may create a log, and only at the very first
 // start: any other instance may have lost a log that it had, and waits to be added to one.
-func (c *coordinator) options(stored *keeper.Contents) replicator.Options {
+func (c *coordinator) options(stored *persister.Contents) replicator.Options {
 	seeds := c.settings.SeedPeers()
 	own := c.settings.OwnPeerAddress()
 	options := replicator.Options{
@@ -298,9 +298,9 @@
 	c.leaderUntil.Store(end.UnixNano())
 	if c.leaderSince.IsZero() {
 		c.leaderSince = now
-		c.divider = &apportioner.Allocator{
+		c.divider = &allocator.Allocator{
 			Lease:  c.settings.RevocationTimeout,
-			Window: apportioner.NewWindow(c.settings.Quota),
+			Window: allocator.NewWindow(c.settings.Quota),
 			Since:  now,
 		}
 		// The cached summary counts the entries of an earlier leadership.
--- a/src/governor/coordinator_test.go
+++ b/src/governor/coordinator_test.go
@@ -8,15 +8,15 @@
 
 	"github.com/rs/zerolog"
 
-	"github.com/rosecroft/rosecroft/src/apportioner"
+	"github.com/rosecroft/rosecroft/src/aggregator"
+	"github.com/rosecroft/rosecroft/src/allocator"
 	"github.com/rosecroft/rosecroft/src/connector"
 	"github.com/rosecroft/rosecroft/src/enroller"
-	"github.com/rosecroft/rosecroft/src/keeper"
 	"github.com/rosecroft/rosecroft/src/matcher"
 	"github.com/rosecroft/rosecroft/src/messages"
 	"github.com/rosecroft/rosecroft/src/parser"
+	"github.com/rosecroft/rosecroft/src/persister"
 	"github.com/rosecroft/rosecroft/src/replicator"
-	"github.com/rosecroft/rosecroft/src/tallier"
 	"github.com/rosecroft/rosecroft/src/timekeeper"
 	"github.com/rosecroft/rosecroft/src/units"
 )
@@ -46,7 +46,7 @@
 		Client: &connector.Client{},
 	}
 	g.Prepare()
-	storage, stored, err := keeper.OpenWithoutInodeCheck(g.Settings.DataFolder, units.Instance(g.Settings.OwnPeerAddress()))
+	storage, stored, err := persister.OpenWithoutInodeCheck(g.Settings.DataFolder, units.Instance(g.Settings.OwnPeerAddress()))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -91,7 +91,7 @@
 	c.configuration = &matcher.Configuration{
 		Accounts: []matcher.Account{{Name: "hot", Rate: 1000, Burst: 1000}},
 	}
-	c.divider = &apportioner.Allocator{}
+	c.divider = &allocator.Allocator{}
 	response := c.poll(&messages.EntryPoll{
 		Entry:   "e1",
 		Serving: true,
@@ -134,7 +134,7 @@
 // low, unless the other instances that it polled meanwhile have recorded it.
 func TestUsageIsRecordedWithoutLeader(t *testing.T) {
 	g, c := newInstance(t)
-	window := tallier.WindowAt(time.Now(), g.Settings.Usage.Window)
+	window := aggregator.WindowAt(time.Now(), g.Settings.Usage.Window)
 	response := c.poll(&messages.EntryPoll{
 		Entry:       "e1",
 		Incarnation: 1,
--- a/src/governor/duties.go
+++ b/src/governor/duties.go
@@ -5,9 +5,9 @@
 	"errors"
 	"time"
 
+	"github.com/rosecroft/rosecroft/src/aggregator"
 	"github.com/rosecroft/rosecroft/src/messages"
 	"github.com/rosecroft/rosecroft/src/replicator"
-	"github.com/rosecroft/rosecroft/src/tallier"
 	"github.com/rosecroft/rosecroft/src/timekeeper"
 	"github.com/rosecroft/rosecroft/src/units"
 )
@@ -25,7 +25,7 @@
 type Cloud interface {
 	// ReportUsage reports one window. A *FencedError means that this instance no longer holds
 	// the duty.
-	ReportUsage(ctx context.Context, holder DutyHolder, report tallier.Report) error
+	ReportUsage(ctx context.Context, holder DutyHolder, report aggregator.Report) error
 	// Scale orders upstreams. A *FencedError means that this instance no longer holds the
 	// duty, an *UnavailableError that none are available now.
 	Scale(ctx context.Context, holder DutyHolder, order Order) error
@@ -50,8 +50,8 @@
 	cloud Cloud
 
 	// lastProposed is the last window whose usage this leader proposed to the log.
-	lastProposed tallier.Window
-	delivered    map[tallier.Window]bool
+	lastProposed aggregator.Window
+	delivered    map[aggregator.Window]bool
 	reporting    bool
 	retryAt      time.Time
 	fenced       bool
@@ -62,7 +62,7 @@
 // twice with the same counts does no harm, one that is never sent does.
 func (d *duties) startLeadership() {
 	d.lastProposed = 0
-	d.delivered = make(map[tallier.Window]bool)
+	d.delivered = make(map[aggregator.Window]bool)
 	d.fenced = false
 	d.retryAt = time.Time{}
 	d.orders.startLeadership()
@@ -113,7 +113,7 @@
 
 // sendReport reports one window, unless the leadership has ended meanwhile: a process that
 // was suspended at this point must not act when it resumes.
-func (d *duties) sendReport(ctx context.Context, term units.Term, report tallier.Report) {
+func (d *duties) sendReport(ctx context.Context, term units.Term, report aggregator.Report) {
 	c := d.coordinator
 	err := errLeadershipEnded
 	if timekeeper.Now().UnixNano() < c.leaderUntil.Load() {
--- a/src/governor/event.go
+++ b/src/governor/event.go
@@ -3,12 +3,12 @@
 import (
 	"time"
 
+	"github.com/rosecroft/rosecroft/src/aggregator"
 	"github.com/rosecroft/rosecroft/src/connector"
 	"github.com/rosecroft/rosecroft/src/enroller"
 	"github.com/rosecroft/rosecroft/src/messages"
 	"github.com/rosecroft/rosecroft/src/parser"
 	"github.com/rosecroft/rosecroft/src/scaler"
-	"github.com/rosecroft/rosecroft/src/tallier"
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
@@ -122,7 +122,7 @@
 // usageReportDone carries the result of a usage report to the platform.
 type usageReportDone struct {
 	term   units.Term
-	window tallier.Window
+	window aggregator.Window
 	err    error
 }
 
--- a/src/governor/governor.go
+++ b/src/governor/governor.go
@@ -13,11 +13,11 @@
 	"github.com/rosecroft/rosecroft/src/connector"
 	"github.com/rosecroft/rosecroft/src/enroller"
 	"github.com/rosecroft/rosecroft/src/inspector"
-	"github.com/rosecroft/rosecroft/src/keeper"
 	"github.com/rosecroft/rosecroft/src/matcher"
 	"github.com/rosecroft/rosecroft/src/messages"
 	"github.com/rosecroft/rosecroft/src/meter"
 	"github.com/rosecroft/rosecroft/src/parser"
+	"github.com/rosecroft/rosecroft/src/persister"
 	"github.com/rosecroft/rosecroft/src/timekeeper"
 	"github.com/rosecroft/rosecroft/src/units"
 )
@@ -100,7 +100,7 @@
 
 // runVoter runs one voter until ctx ends or its disk fails.
 func (g *Governor) runVoter(ctx context.Context) (err error) {
-	storage, stored, err := keeper.OpenWithoutInodeCheck(g.Settings.DataFolder, units.Instance(g.Settings.OwnPeerAddress()))
+	storage, stored, err := persister.OpenWithoutInodeCheck(g.Settings.DataFolder, units.Instance(g.Settings.OwnPeerAddress()))
 	if err != nil {
 		return fmt.Errorf("open the data folder: %w", err)
 	}
--- a/src/governor/registry.go
+++ b/src/governor/registry.go
@@ -3,11 +3,11 @@
 import (
 	"time"
 
-	"github.com/rosecroft/rosecroft/src/apportioner"
+	"github.com/rosecroft/rosecroft/src/aggregator"
+	"github.com/rosecroft/rosecroft/src/allocator"
 	"github.com/rosecroft/rosecroft/src/enroller"
 	"github.com/rosecroft/rosecroft/src/messages"
 	"github.com/rosecroft/rosecroft/src/placer"
-	"github.com/rosecroft/rosecroft/src/tallier"
 	"github.com/rosecroft/rosecroft/src/timekeeper"
 	"github.com/rosecroft/rosecroft/src/units"
 )
@@ -209,15 +209,15 @@
 
 // recordUsage records the calls that an entry has counted.
 func (c *coordinator) recordUsage(trueTime time.Time, poll *messages.EntryPoll) {
-	counts := make([]tallier.Count, 0, len(poll.GetUsage()))
+	counts := make([]aggregator.Count, 0, len(poll.GetUsage()))
 	for _, u := range poll.GetUsage() {
-		counts = append(counts, tallier.Count{
-			Window:  tallier.Window(u.GetWindow()),
+		counts = append(counts, aggregator.Count{
+			Window:  aggregator.Window(u.GetWindow()),
 			Account: units.Account(u.GetAccount()),
 			Calls:   u.GetCount(),
 		})
 	}
-	c.state.ledger.Record(trueTime, tallier.EntryRun{
+	c.state.ledger.Record(trueTime, aggregator.EntryRun{
 		Entry:       units.Instance(poll.GetEntry()),
 		Incarnation: units.Incarnation(poll.GetIncarnation()),
 	}, counts)
@@ -225,9 +225,9 @@
 
 // recordEntry records the demand, version figures, limits and loads that an entry reports.
 func (c *coordinator) recordEntry(now time.Time, entry units.Instance, poll *messages.EntryPoll) {
-	demand := make(map[units.Account]apportioner.Demand, len(poll.GetDemand()))
+	demand := make(map[units.Account]allocator.Demand, len(poll.GetDemand()))
 	for _, d := range poll.GetDemand() {
-		demand[units.Account(d.GetAccount())] = apportioner.Demand{
+		demand[units.Account(d.GetAccount())] = allocator.Demand{
 			Rate:           d.GetTokensPerSecond(),
 			Spent:          d.GetSpent(),
 			Unacknowledged: d.GetUnheard(),
--- a/src/governor/rollout_test.go
+++ b/src/governor/rollout_test.go
@@ -6,10 +6,10 @@
 
 	"pgregory.net/rapid"
 
+	"github.com/rosecroft/rosecroft/src/aggregator"
 	"github.com/rosecroft/rosecroft/src/enroller"
 	"github.com/rosecroft/rosecroft/src/matcher"
 	"github.com/rosecroft/rosecroft/src/messages"
-	"github.com/rosecroft/rosecroft/src/tallier"
 	"github.com/rosecroft/rosecroft/src/timekeeper"
 	"github.com/rosecroft/rosecroft/src/units"
 )
@@ -127,7 +127,7 @@
 // whatever order records are committed.
 func TestRolloutsNeverGoBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := &state{ledger: &tallier.Ledger{WindowLength: time.Second}}
+		s := &state{ledger: &aggregator.Ledger{WindowLength: time.Second}}
 		var last *messages.Rollout
 		for range rapid.IntRange(1, 30).Draw(t, "records") {
 			s.apply(&messages.Command{Change: &messages.Command_Rollout{Rollout: &messages.Rollout{
@@ -150,7 +150,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		restored := &state{ledger: &tallier.Ledger{WindowLength: time.Second}}
+		restored := &state{ledger: &aggregator.Ledger{WindowLength: time.Second}}
 		if err := restored.restore(content); err != nil {
 			t.Fatal(err)
 		}
--- a/src/governor/state.go
+++ b/src/governor/state.go
@@ -9,15 +9,15 @@
 
 	"google.golang.org/protobuf/proto"
 
+	"github.com/rosecroft/rosecroft/src/aggregator"
 	"github.com/rosecroft/rosecroft/src/messages"
-	"github.com/rosecroft/rosecroft/src/tallier"
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
 // state is the result of applying the replicated log.
 type state struct {
 	declaration *messages.Declaration
-	ledger      *tallier.Ledger
+	ledger      *aggregator.Ledger
 	// rollouts holds the last roll-out of each service.
 	rollouts map[units.Service]*messages.Rollout
 	// quarantines holds the requests that are or were quarantined; quarantineNumber increases
@@ -90,9 +90,9 @@
 	}
 }
 
-func reportFrom(m *messages.UsageReport) tallier.Report {
-	r := tallier.Report{
-		Window: tallier.Window(m.GetWindow()),
+func reportFrom(m *messages.UsageReport) aggregator.Report {
+	r := aggregator.Report{
+		Window: aggregator.Window(m.GetWindow()),
 		Counts: make(map[units.Account]int64),
 	}
 	for account, calls := range m.GetCounts() {
@@ -101,7 +101,7 @@
 	return r
 }
 
-func reportMessage(r tallier.Report) *messages.UsageReport {
+func reportMessage(r aggregator.Report) *messages.UsageReport {
 	m := &messages.UsageReport{
 		Window: int64(r.Window),
 		Counts: make(map[string]int64),
--- a/src/governor/state_test.go
+++ b/src/governor/state_test.go
@@ -6,13 +6,13 @@
 
 	"pgregory.net/rapid"
 
+	"github.com/rosecroft/rosecroft/src/aggregator"
 	"github.com/rosecroft/rosecroft/src/enroller"
 	"github.com/rosecroft/rosecroft/src/messages"
-	"github.com/rosecroft/rosecroft/src/tallier"
 )
 
 func newState() *state {
-	return &state{ledger: &tallier.Ledger{WindowLength: 5 * time.Second}}
+	return &state{ledger: &aggregator.Ledger{WindowLength: 5 * time.Second}}
 }
 
 func declaration(version uint64, document string) *messages.Command {
--- a/src/governor/voter.go
+++ b/src/governor/voter.go
@@ -23,11 +23,11 @@
 	case replicator.Persist:
 		// A voter that continued after a failed sync would acknowledge records that a crash
 		// can undo. It restarts from the contents of its disk instead.
-		if err := c.keeper.Save(a.State, a.Records); err != nil {
+		if err := c.persister.Save(a.State, a.Records); err != nil {
 			return fmt.Errorf("save log records: %w", err)
 		}
 	case replicator.PersistSnapshot:
-		if err := c.keeper.SaveSnapshot(a.State, a.Snapshot, a.Base, a.Records); err != nil {
+		if err := c.persister.SaveSnapshot(a.State, a.Snapshot, a.Base, a.Records); err != nil {
 			return fmt.Errorf("save a snapshot: %w", err)
 		}
 	case replicator.TakeSnapshot:
--- a/src/keeper/doc.go
+++ b/src/persister/doc.go
@@ -1,4 +1,4 @@
-// Package keeper stores a voter's state, snapshot and records on disk.
+// Package persister stores a voter's state, snapshot and records on disk.
 //
 // A record is durable once its sync has returned. Each frame on disk carries its
 // length, kind and a checksum. A seal frame follows each synced batch of records.
@@ -8,4 +8,4 @@
 //
 // The folder belongs to one instance: it holds the instance's name and a random
 // identity, and it is locked by the process that uses it.
-package keeper
+package persister
--- a/src/keeper/frame.go
+++ b/src/persister/frame.go
@@ -1,4 +1,4 @@
-package keeper
+package persister
 
 import (
 	"encoding/binary"
--- a/src/keeper/keeper.go
+++ b/src/persister/keeper.go
@@ -1,4 +1,4 @@
-package keeper
+package persister
 
 import (
 	"errors"
@@ -11,8 +11,8 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// Keeper reads and writes one data folder, which it holds locked.
-type Keeper struct {
+// Persister reads and writes one data folder, which it holds locked.
+type Persister struct {
 	folder string
 	// stableInodes reports that a file keeps its inode number for as long as it exists.
 	stableInodes bool
@@ -35,18 +35,18 @@
 
 // Open locks the data folder for an instance and returns what it holds. A new folder
 // gets a random identity.
-func Open(folder string, instance units.Instance) (*Keeper, *Contents, error) {
+func Open(folder string, instance units.Instance) (*Persister, *Contents, error) {
 	return openFolder(folder, instance, true)
 }
 
 // OpenWithoutInodeCheck is Open for storage whose inode numbers change at each start, as on
 // some platforms' virtual disks. A copy cannot be distinguished from the original
 // there, so the folder must not be copied.
-func OpenWithoutInodeCheck(folder string, instance units.Instance) (*Keeper, *Contents, error) {
+func OpenWithoutInodeCheck(folder string, instance units.Instance) (*Persister, *Contents, error) {
 	return openFolder(folder, instance, false)
 }
 
-func openFolder(folder string, instance units.Instance, stableInodes bool) (*Keeper, *Contents, error) {
+func openFolder(folder string, instance units.Instance, stableInodes bool) (*Persister, *Contents, error) {
 	if err := os.MkdirAll(folder, folderMode); err != nil {
 		return nil, nil, &WriteError{
 			Folder: folder,
@@ -57,7 +57,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	k := &Keeper{
+	k := &Persister{
 		folder:       folder,
 		stableInodes: stableInodes,
 		lock:         held,
@@ -70,7 +70,7 @@
 }
 
 // Close closes the files and unlocks the data folder.
-func (k *Keeper) Close() error {
+func (k *Persister) Close() error {
 	var err error
 	if k.records != nil {
 		err = k.records.file.Close()
@@ -78,7 +78,7 @@
 	return errors.Join(err, k.lock.Close())
 }
 
-func (k *Keeper) open(instance units.Instance) (*Contents, error) {
+func (k *Persister) open(instance units.Instance) (*Contents, error) {
 	identity, err := readIdentity(k.folder, instance, k.stableInodes)
 	if err != nil {
 		return nil, err
@@ -97,7 +97,7 @@
 
 // create initializes a new folder. The identity is written last, so that a folder
 // with an identity also has a state, and a missing state is damage.
-func (k *Keeper) create(instance units.Instance) (*messages.FolderIdentity, error) {
+func (k *Persister) create(instance units.Instance) (*messages.FolderIdentity, error) {
 	if err := checkNoLeftovers(k.folder); err != nil {
 		return nil, err
 	}
@@ -111,7 +111,7 @@
 	return identity, nil
 }
 
-func (k *Keeper) read(kept *Contents) error {
+func (k *Persister) read(kept *Contents) error {
 	kept.State = &messages.HardState{}
 	kept.Base = &messages.RecordsHeader{}
 	found, err := readFile(filepath.Join(k.folder, stateFile), kindState, kept.State)
@@ -145,7 +145,7 @@
 
 // missingFileError returns a DamageError for a file that is never removed but is
 // missing: with it, this voter's vote or acknowledged records are lost.
-func (k *Keeper) missingFileError(name string) error {
+func (k *Persister) missingFileError(name string) error {
 	return &DamageError{
 		Path:   filepath.Join(k.folder, name),
 		Reason: "it is missing",
@@ -154,7 +154,7 @@
 
 // dropReplacedRecords drops the records if the snapshot has replaced them, which is the
 // case after a crash between the writes of the two files.
-func (k *Keeper) dropReplacedRecords(kept *Contents) error {
+func (k *Persister) dropReplacedRecords(kept *Contents) error {
 	index, term := kept.Snapshot.GetIndex(), kept.Snapshot.GetTerm()
 	base := kept.Base
 	if base.GetBaseIndex() > index {
@@ -174,7 +174,7 @@
 	return nil
 }
 
-func (k *Keeper) resetRecords(kept *Contents) error {
+func (k *Persister) resetRecords(kept *Contents) error {
 	kept.Records = nil
 	kept.Base = &messages.RecordsHeader{
 		BaseIndex: kept.Snapshot.GetIndex(),
@@ -185,7 +185,7 @@
 
 // Save stores the state and the records and returns once both are synced.
 // The records replace all stored records from the first one's index on.
-func (k *Keeper) Save(state *messages.HardState, records []*messages.LogRecord) error {
+func (k *Persister) Save(state *messages.HardState, records []*messages.LogRecord) error {
 	if err := k.saveState(state); err != nil {
 		return k.writeError(err)
 	}
@@ -199,7 +199,7 @@
 }
 
 // SaveSnapshot stores a snapshot with the records that remain after base.
-func (k *Keeper) SaveSnapshot(state *messages.HardState, snapshot *messages.LogSnapshot,
+func (k *Persister) SaveSnapshot(state *messages.HardState, snapshot *messages.LogSnapshot,
 	base *messages.RecordsHeader, records []*messages.LogRecord,
 ) error {
 	if err := replaceMessage(filepath.Join(k.folder, snapshotFile), kindSnapshot, snapshot); err != nil {
@@ -216,7 +216,7 @@
 	return nil
 }
 
-func (k *Keeper) replaceRecordFile(base *messages.RecordsHeader, records []*messages.LogRecord) error {
+func (k *Persister) replaceRecordFile(base *messages.RecordsHeader, records []*messages.LogRecord) error {
 	replacement, err := replaceRecords(k.folder, base, records)
 	if err != nil {
 		return err
@@ -229,7 +229,7 @@
 	return old.file.Close()
 }
 
-func (k *Keeper) saveState(state *messages.HardState) error {
+func (k *Persister) saveState(state *messages.HardState) error {
 	if proto.Equal(state, k.state) {
 		return nil
 	}
@@ -240,7 +240,7 @@
 	return nil
 }
 
-func (k *Keeper) writeError(err error) error {
+func (k *Persister) writeError(err error) error {
 	return &WriteError{
 		Folder: k.folder,
 		Err:    err,
--- a/src/keeper/keeper_test.go
+++ b/src/persister/keeper_test.go
@@ -1,4 +1,4 @@
-package keeper
+package persister
 
 import (
 	"bytes"
@@ -17,7 +17,7 @@
 
 const testInstance units.Instance = "c1"
 
-func open(t *testing.T, folder string) (*Keeper, *Contents) {
+func open(t *testing.T, folder string) (*Persister, *Contents) {
 	t.Helper()
 	k, kept, err := Open(folder, testInstance)
 	if err != nil {
