--- a/src/acceptor/listener.go
+++ b/src/acceptor/listener.go
@@ -14,9 +14,9 @@
 // logInterval is the minimum time between two log lines about dropped connections.
 const logInterval = time.Second
 
-// Listener accepts connections for an HTTP server and keeps at most Most of them open. To
+// Listener accepts connections for an HTTP server and keeps at most MaxConnections of them open. To
 // admit another one, it closes the connection that has been idle longest; if none is idle,
-// it closes the new one. Its fields are set before use, and Track must be set as the
+// it closes the new one. Its fields are set before use, and TrackState must be set as the
 // server's ConnState.
 type Listener struct {
 	net.Listener
--- a/src/allocator/apportioner_test.go
+++ b/src/allocator/allocator_test.go
@@ -18,12 +18,12 @@
 	window = Window{Length: 8 * time.Second, Overage: 0.1, Slack: 140_000}
 )
 
-// fleet is a number of entries that poll one divider.
+// fleet is a number of entries that poll one allocator.
 type fleet struct {
-	account *matcher.Account
-	divider *Allocator
-	meters  []*LocalLimiter
-	ran     []admittedCall
+	account   *matcher.Account
+	allocator *Allocator
+	meters    []*LocalLimiter
+	ran       []admittedCall
 }
 
 type admittedCall struct {
@@ -33,8 +33,8 @@
 
 func newFleet(entries int) *fleet {
 	f := &fleet{
-		account: &matcher.Account{Name: "hot", CountsTokens: true, Rate: 200_000, Burst: 200_000},
-		divider: &Allocator{Lease: 4 * time.Second, Since: start.Add(-time.Hour), Window: window},
+		account:   &matcher.Account{Name: "hot", CountsTokens: true, Rate: 200_000, Burst: 200_000},
+		allocator: &Allocator{Lease: 4 * time.Second, Since: start.Add(-time.Hour), Window: window},
 	}
 	for range entries {
 		f.meters = append(f.meters, &LocalLimiter{Window: window})
@@ -42,13 +42,13 @@
 	return f
 }
 
-// poll sends an entry's poll to the divider; respond delivers the response.
+// poll sends an entry's poll to the allocator; respond delivers the response.
 func (f *fleet) poll(now time.Time, i int) {
-	f.divider.RecordDemand(now, entryName(i), 1, f.meters[i].ReportDemand(now))
+	f.allocator.RecordDemand(now, entryName(i), 1, f.meters[i].ReportDemand(now))
 }
 
 func (f *fleet) respond(now time.Time, i int) {
-	if share, level, known := f.divider.Share(now, entryName(i), f.account); known {
+	if share, level, known := f.allocator.Share(now, entryName(i), f.account); known {
 		f.meters[i].SetShare(now, f.account, share, level)
 	}
 }
@@ -175,7 +175,7 @@
 		for n := range 2000 {
 			now = now.Add(step)
 			if n == recoveredAt {
-				f.divider = &Allocator{Lease: 4 * time.Second, Since: now, Window: window}
+				f.allocator = &Allocator{Lease: 4 * time.Second, Since: now, Window: window}
 			}
 			if n == lostAt+20 {
 				for i := range restarts {
@@ -189,7 +189,7 @@
 				}
 				switch (n + i*7) % 20 {
 				case 0:
-					f.divider.RecordDemand(now, entryName(i), incarnations[i], f.meters[i].ReportDemand(now))
+					f.allocator.RecordDemand(now, entryName(i), incarnations[i], f.meters[i].ReportDemand(now))
 				case 3:
 					f.respond(now, i)
 				}
@@ -235,7 +235,7 @@
 		for n := range 2000 {
 			now = now.Add(step)
 			if n == firstLostAt+lostFor || n == secondLostAt+lostFor {
-				f.divider = &Allocator{Lease: 4 * time.Second, Since: now, Window: window}
+				f.allocator = &Allocator{Lease: 4 * time.Second, Since: now, Window: window}
 			}
 			if (n < firstLostAt || n >= firstLostAt+lostFor) && (n < secondLostAt || n >= secondLostAt+lostFor) {
 				f.pollInTurn(now, n)
--- a/src/borrower/borrower.go
+++ b/src/borrower/borrower.go
@@ -36,9 +36,9 @@
 // loanKey identifies a loan; loans of an earlier view are kept beside later ones
 // until they expire.
 type loanKey struct {
-	view  uint64
-	limit string
-	part  uint32
+	view      uint64
+	limit     string
+	partition uint32
 }
 
 type heldLoan struct {
@@ -131,8 +131,8 @@
 	for _, limit := range slices.Sorted(maps.Keys(demands)) {
 		demand := demands[limit]
 		owners := b.owners(limit)
-		for part := range uint32(lender.Partitions) {
-			owner := owners[int(part)%len(owners)]
+		for partition := range uint32(lender.Partitions) {
+			owner := owners[int(partition)%len(owners)]
 			send := sends[owner.GetEntry()]
 			if send == nil {
 				send = &SendRequest{
@@ -146,10 +146,10 @@
 			}
 			send.Request.Demands = append(send.Request.Demands, &messages.ShareDemand{
 				Limit:  limit,
-				Part:   part,
+				Part:   partition,
 				Wanted: max(0, demand.Offered*demandHeadroom-floor) / lender.Partitions,
 				InUse:  max(0, demand.InUse-floor) / lender.Partitions,
-				Held:   b.loans[b.loanKey(limit, part)].number,
+				Held:   b.loans[b.loanKey(limit, partition)].number,
 			})
 		}
 	}
@@ -177,11 +177,11 @@
 	return xxhash.Sum64String(limit + "\x00" + member.GetEntry())
 }
 
-func (b *Borrower) loanKey(limit string, part uint32) loanKey {
+func (b *Borrower) loanKey(limit string, partition uint32) loanKey {
 	return loanKey{
-		view:  b.view.GetNumber(),
-		limit: limit,
-		part:  part,
+		view:      b.view.GetNumber(),
+		limit:     limit,
+		partition: partition,
 	}
 }
 
--- a/src/borrower/borrower_test.go
+++ b/src/borrower/borrower_test.go
@@ -244,12 +244,12 @@
 }
 
 // lentFraction returns what all entries may use by loans of one partition.
-func (c *cluster) lentFraction(part uint32) float64 {
+func (c *cluster) lentFraction(partition uint32) float64 {
 	sum := 0.0
 	for _, n := range c.nodes {
 		now := n.now(c.now)
 		for loanKey, loan := range n.borrower.loans {
-			if loanKey.part == part && now.Before(loan.share.Until) {
+			if loanKey.partition == partition && now.Before(loan.share.Until) {
 				sum += loan.share.Fraction
 			}
 		}
@@ -314,9 +314,9 @@
 			if got, want := c.floors(), lender.GuaranteedFraction; got > want+1e-6 {
 				t.Fatalf("floors: got %f of the limit, want at most %f", got, want)
 			}
-			for part := range uint32(lender.Partitions) {
-				if got, want := c.lentFraction(part), lender.PartitionFraction; got > want+1e-6 {
-					t.Fatalf("partition %d: got %f of the limit lent, want at most %f", part, got, want)
+			for partition := range uint32(lender.Partitions) {
+				if got, want := c.lentFraction(partition), lender.PartitionFraction; got > want+1e-6 {
+					t.Fatalf("partition %d: got %f of the limit lent, want at most %f", partition, got, want)
 				}
 			}
 		}
--- a/src/buyer/event.go
+++ b/src/buyer/event.go
@@ -21,7 +21,7 @@
 // Demand is the capacity that one service needs.
 type Demand struct {
 	Service units.Service
-	// MinSlots is the minimum capacity, Used the number of slots in use now.
+	// MinSlots is the minimum capacity, UsedSlots the number of slots in use now.
 	MinSlots         int
 	UsedSlots        int
 	MinOnDemandSlots int
@@ -119,7 +119,7 @@
 	WarmUp time.Duration
 	// RetryInterval is the interval between two requests for one purchase.
 	RetryInterval time.Duration
-	// Backoff is how long an offer is excluded after a refusal; it doubles up to MostBackoff.
+	// Backoff is how long an offer is excluded after a refusal; it doubles up to MaxBackoff.
 	Backoff    time.Duration
 	MaxBackoff time.Duration
 	// CoolDown is how long capacity must be surplus before it is released.
--- a/src/cmd/demo/main.go
+++ b/src/cmd/demo/main.go
@@ -49,13 +49,13 @@
 		return fmt.Errorf("create a temporary folder for the demo: %w", err)
 	}
 	defer func() { _ = os.RemoveAll(folder) }()
-	stage := &stager.Stage{
+	cluster := &stager.Cluster{
 		Folder:  folder,
 		Program: opts.Program,
 		Standin: opts.Standin,
 	}
-	defer stage.Stop()
-	s, err := startFleet(ctx, stage, opts)
+	defer cluster.Stop()
+	s, err := startFleet(ctx, cluster, opts)
 	if err != nil {
 		return err
 	}
@@ -64,35 +64,35 @@
 }
 
 // startFleet starts the fleet, applies the configuration and waits until the entries are ready.
-func startFleet(ctx context.Context, stage *stager.Stage, opts *options) (*scenario, error) {
+func startFleet(ctx context.Context, cluster *stager.Cluster, opts *options) (*scenario, error) {
 	dataCentres := []units.DataCentre{"scot-central-a", "scot-central-b", "scot-central-c", "scot-central-d"}
-	if err := stage.StartFleet(controls, entries, dataCentres); err != nil {
+	if err := cluster.StartFleet(controls, entries, dataCentres); err != nil {
 		return nil, err
 	}
-	s := &scenario{stage: stage}
+	s := &scenario{cluster: cluster}
 	for i := range engines {
-		engine, err := stage.StartUpstream("engine", fmt.Sprintf("ember-%d", i+1),
+		engine, err := cluster.StartUpstream("engine", fmt.Sprintf("ember-%d", i+1),
 			"--service", "ember-llm", "--model", "ember-1", "--data-centre", string(dataCentres[i]))
 		if err != nil {
 			return nil, err
 		}
 		s.engines = append(s.engines, engine)
 	}
-	plainService, err := stage.StartUpstream("plain", "diary-1",
+	plainService, err := cluster.StartUpstream("plain", "diary-1",
 		"--service", "diary-app", "--data-centre", string(dataCentres[0]))
 	if err != nil {
 		return nil, err
 	}
 	s.plainService = plainService
-	if err := stage.AwaitHealthy(ctx); err != nil {
+	if err := cluster.AwaitHealthy(ctx); err != nil {
 		return nil, err
 	}
 	command := exec.CommandContext(ctx, opts.Program, "apply", opts.Configuration,
-		"--control", stage.ControlURLs(), "--wait", "15s")
+		"--control", cluster.ControlURLs(), "--wait", "15s")
 	command.Stdout = os.Stdout
 	command.Stderr = os.Stderr
 	if err := command.Run(); err != nil {
 		return nil, fmt.Errorf("apply the configuration: %w", err)
 	}
-	return s, stage.AwaitReady(ctx)
+	return s, cluster.AwaitReady(ctx)
 }
--- a/src/cmd/demo/scenario.go
+++ b/src/cmd/demo/scenario.go
@@ -27,7 +27,7 @@
 
 // scenario makes calls while an engine and two entries leave, and counts the results.
 type scenario struct {
-	stage        *stager.Stage
+	cluster      *stager.Cluster
 	engines      []*stager.Upstream
 	plainService *stager.Upstream
 
@@ -52,12 +52,12 @@
 			s.engines[0].Signal(syscall.SIGTERM)
 		case 3:
 			fmt.Println("-- entry e3 stops")
-			s.stage.Entries[2].Signal(syscall.SIGTERM)
+			s.cluster.Entries[2].Signal(syscall.SIGTERM)
 		}
 	}
 	calls.Wait()
 	fmt.Println("-- entry e2 dies without notice")
-	s.stage.Entries[1].Kill()
+	s.cluster.Entries[1].Kill()
 	s.makeBooking(ctx, rounds)
 	s.callModel(ctx, rounds, true)
 }
@@ -91,7 +91,7 @@
 	defer cancel()
 	var lastErr error
 	for attempt := 0; ctx.Err() == nil; attempt++ {
-		entry := s.stage.Entries[(round+attempt)%entries]
+		entry := s.cluster.Entries[(round+attempt)%entries]
 		if !entry.Running() {
 			continue
 		}
--- a/src/cmd/failures/main.go
+++ b/src/cmd/failures/main.go
@@ -63,7 +63,7 @@
 	}
 	experiment := &injector.Experiment{
 		Deployment: deployment(opts),
-		Stage: &stager.Stage{
+		Cluster: &stager.Cluster{
 			Folder:  folder,
 			Program: opts.Program,
 			Standin: opts.Standin,
--- a/src/deployer/deployment.go
+++ b/src/deployer/deployment.go
@@ -141,10 +141,10 @@
 	}
 }
 
-// Fleet is a deployment running on a stage.
+// Fleet is a deployment running on a cluster.
 type Fleet struct {
 	*Deployment
-	Stage *stager.Stage
+	Cluster *stager.Cluster
 	// Journals is the folder with the upstreams' journals.
 	Journals  string
 	Upstreams []*Member
@@ -163,13 +163,13 @@
 }
 
 // Start starts the whole deployment and waits until its configuration is in force.
-func (d *Deployment) Start(ctx context.Context, stage *stager.Stage) (*Fleet, error) {
+func (d *Deployment) Start(ctx context.Context, cluster *stager.Cluster) (*Fleet, error) {
 	fleet := &Fleet{
 		Deployment: d,
-		Stage:      stage,
-		Journals:   stage.Folder,
+		Cluster:    cluster,
+		Journals:   cluster.Folder,
 	}
-	if err := stage.StartFleet(d.Controls, d.Entries, d.DataCentres); err != nil {
+	if err := cluster.StartFleet(d.Controls, d.Entries, d.DataCentres); err != nil {
 		return nil, err
 	}
 	for i := range d.Pools {
@@ -180,13 +180,13 @@
 			}
 		}
 	}
-	if err := stage.AwaitHealthy(ctx); err != nil {
+	if err := cluster.AwaitHealthy(ctx); err != nil {
 		return nil, err
 	}
 	if err := fleet.Apply(ctx, d.Configuration); err != nil {
 		return nil, err
 	}
-	return fleet, stage.AwaitReady(ctx)
+	return fleet, cluster.AwaitReady(ctx)
 }
 
 // Launch starts one additional upstream of a pool.
@@ -202,7 +202,7 @@
 	if offer.OnDemand {
 		arguments = append(arguments, "--on-demand")
 	}
-	upstream, err := f.Stage.StartUpstream(pool.UpstreamKind, name, append(arguments, pool.Arguments...)...)
+	upstream, err := f.Cluster.StartUpstream(pool.UpstreamKind, name, append(arguments, pool.Arguments...)...)
 	if err != nil {
 		return nil, err
 	}
@@ -220,8 +220,8 @@
 
 // Apply submits a configuration file and waits until it is in force everywhere.
 func (f *Fleet) Apply(ctx context.Context, file string) error {
-	apply := exec.CommandContext(ctx, f.Stage.Program, "apply", file,
-		"--control", f.Stage.ControlURLs(), "--wait", applyWait.String())
+	apply := exec.CommandContext(ctx, f.Cluster.Program, "apply", file,
+		"--control", f.Cluster.ControlURLs(), "--wait", applyWait.String())
 	output, err := apply.CombinedOutput()
 	if err != nil {
 		return fmt.Errorf("apply %s: %w: %s", file, err, output)
@@ -231,8 +231,8 @@
 
 // EntryURLs returns the entries' base URLs for callers.
 func (f *Fleet) EntryURLs() []string {
-	urls := make([]string, 0, len(f.Stage.Entries))
-	for _, entry := range f.Stage.Entries {
+	urls := make([]string, 0, len(f.Cluster.Entries))
+	for _, entry := range f.Cluster.Entries {
 		urls = append(urls, entry.CallerURL())
 	}
 	return urls
--- a/src/deployer/doc.go
+++ b/src/deployer/doc.go
@@ -1,2 +1,2 @@
-// Package deployer runs the example deployments in their real sizes on a stage.
+// Package deployer runs the example deployments in their real sizes on a cluster.
 package deployer
--- a/src/dispatcher/call.go
+++ b/src/dispatcher/call.go
@@ -126,7 +126,7 @@
 // Batcher is a Sink that can combine several events into one write.
 type Batcher interface {
 	// SetBuffering sets whether the sink buffers the events that follow. Buffered events are
-	// written with the first event after Hold(false).
+	// written with the first event after SetBuffering(false).
 	SetBuffering(hold bool)
 }
 
--- a/src/dispatcher/dispatcher.go
+++ b/src/dispatcher/dispatcher.go
@@ -55,8 +55,8 @@
 	// MoveTarget is the upstream where a moved stream resumes, nil for any.
 	MoveTarget *tracker.Upstream
 	// ConnectionLost is set where the upstream closed or lost the connection before the answer was
-	// complete. Answering is the time since the answer had begun by then, 0 where it had
-	// not.
+	// complete. AnswerDuration is the time since the answer had begun by then, 0 where it
+	// had not.
 	ConnectionLost bool
 	AnswerDuration time.Duration
 	Err            error
--- a/src/dispatcher/trail.go
+++ b/src/dispatcher/trace.go
@@ -24,7 +24,7 @@
 	RecordCandidate(upstream units.Upstream, score float64)
 }
 
-// RecordStep records a decision if the call has a trail.
+// RecordStep records a decision if the call has a trace.
 func (c *Call) RecordStep(step Step, upstream units.Upstream, detail string) {
 	if c.Trace != nil {
 		c.Trace.RecordStep(step, upstream, detail)
@@ -52,7 +52,7 @@
 	return "unknown"
 }
 
-// recordAttemptEnd records how an attempt ended if the call has a trail.
+// recordAttemptEnd records how an attempt ended if the call has a trace.
 func recordAttemptEnd(call *Call, upstream units.Upstream, result Result) {
 	if call.Trace == nil {
 		return
--- a/src/enroller/table.go
+++ b/src/enroller/table.go
@@ -52,7 +52,7 @@
 // Upstream is what is known of one upstream.
 type Upstream struct {
 	Registration
-	// HeartbeatAt is when any control instance received the last heartbeat, and FirstAt when this
+	// HeartbeatAt is when any control instance received the last heartbeat, and FirstSeenAt when this
 	// table first recorded the incarnation.
 	HeartbeatAt time.Time
 	FirstSeenAt time.Time
@@ -196,7 +196,7 @@
 	return changes
 }
 
-// Page returns the first maxChanges changes after one cursor and up to another, as Since does,
+// Page returns the first maxChanges changes after one cursor and up to another, as ChangesSince does,
 // and the cursor after them.
 //
 // Sending a table of thousands of upstreams in one response over a slow link would take longer
--- a/src/entry/entry.go
+++ b/src/entry/entry.go
@@ -112,7 +112,7 @@
 		e.newPeerServer().Run,
 		e.recorder.Run,
 		e.Certificates.Run,
-		e.traffic.reclaimer.Run,
+		e.traffic.migrator.Run,
 		e.shares.run,
 	}
 }
--- a/src/entry/traffic.go
+++ b/src/entry/traffic.go
@@ -16,7 +16,7 @@
 type traffic struct {
 	router    *router.Router
 	forwarder *forwarder.Forwarder
-	reclaimer *forwarder.StreamMigrator
+	migrator  *forwarder.StreamMigrator
 }
 
 func newTraffic(e *Entry) *traffic {
@@ -28,13 +28,13 @@
 		Entry:    e.Settings.Name,
 		Index:    locator.New(indexBits),
 	}
-	reclaimer := forwarder.NewStreamMigrator(callRouter, pools, e.Log)
+	migrator := forwarder.NewStreamMigrator(callRouter, pools, e.Log)
 	return &traffic{
-		router:    callRouter,
-		reclaimer: reclaimer,
+		router:   callRouter,
+		migrator: migrator,
 		forwarder: &forwarder.Forwarder{
 			Pools:    pools,
-			Migrator: reclaimer,
+			Migrator: migrator,
 		},
 	}
 }
@@ -47,6 +47,6 @@
 	}
 	t.router.OnDeparture(upstream)
 	if upstream.Leaving {
-		t.reclaimer.OnLeaving(upstream)
+		t.migrator.OnLeaving(upstream)
 	}
 }
--- a/src/exchanger/exchanger.go
+++ b/src/exchanger/exchanger.go
@@ -151,7 +151,7 @@
 	// where the body was sent with the head.
 	bodySent chan error
 	reusable bool
-	// startReported is set once Began was called.
+	// startReported is set once OnStarted was called.
 	startReported bool
 	// replaying is set while the stream may repeat events that the caller has.
 	replaying bool
@@ -199,7 +199,7 @@
 	return e.readAnswer(ctx, response)
 }
 
-// reportStart calls Began, at most once.
+// reportStart calls OnStarted, at most once.
 func (e *exchange) reportStart() {
 	if e.OnStarted != nil && !e.startReported {
 		e.startReported = true
--- a/src/explainer/store.go
+++ b/src/explainer/store.go
@@ -28,8 +28,8 @@
 
 // Trace records the decisions about one call.
 type Trace struct {
-	id    units.CallID
-	began time.Time
+	id        units.CallID
+	startedAt time.Time
 
 	mu        sync.Mutex
 	decisions []decision
@@ -45,26 +45,26 @@
 }
 
 // Start starts recording a call; the oldest call is dropped once maxCalls are kept.
-func (b *TraceStore) Start(id units.CallID) *Trace {
-	trail := &Trace{
+func (s *TraceStore) Start(id units.CallID) *Trace {
+	trace := &Trace{
 		id:        id,
-		began:     time.Now(),
+		startedAt: time.Now(),
 		decisions: make([]decision, 0, initialDecisions),
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.byID == nil {
-		b.byID = make(map[units.CallID]*Trace)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.byID == nil {
+		s.byID = make(map[units.CallID]*Trace)
 	}
-	b.byID[id] = trail
-	if len(b.ring) < maxCalls {
-		b.ring = append(b.ring, trail)
-		return trail
+	s.byID[id] = trace
+	if len(s.ring) < maxCalls {
+		s.ring = append(s.ring, trace)
+		return trace
 	}
-	delete(b.byID, b.ring[b.oldest].id)
-	b.ring[b.oldest] = trail
-	b.oldest = (b.oldest + 1) % maxCalls
-	return trail
+	delete(s.byID, s.ring[s.oldest].id)
+	s.ring[s.oldest] = trace
+	s.oldest = (s.oldest + 1) % maxCalls
+	return trace
 }
 
 // RecordStep records a decision.
@@ -86,7 +86,7 @@
 }
 
 func (t *Trace) add(next decision) {
-	next.after = time.Since(t.began)
+	next.after = time.Since(t.startedAt)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if len(t.decisions) >= maxDecisions {
@@ -102,7 +102,7 @@
 // Explanation is what operators see of one call.
 type Explanation struct {
 	Call      units.CallID `yaml:"call"`
-	Began     time.Time    `yaml:"began"`
+	StartedAt time.Time    `yaml:"began"`
 	Decisions []Decision   `yaml:"decisions"`
 	// LeftOut is the number of decisions that were not kept.
 	LeftOut int `yaml:"left-out"`
@@ -118,21 +118,21 @@
 }
 
 // Explain returns the decisions about a call, or nil if it is not among the most recent ones.
-func (b *TraceStore) Explain(id units.CallID) *Explanation {
-	b.mu.Lock()
-	trail := b.byID[id]
-	b.mu.Unlock()
-	if trail == nil {
+func (s *TraceStore) Explain(id units.CallID) *Explanation {
+	s.mu.Lock()
+	trace := s.byID[id]
+	s.mu.Unlock()
+	if trace == nil {
 		return nil
 	}
-	trail.mu.Lock()
-	defer trail.mu.Unlock()
+	trace.mu.Lock()
+	defer trace.mu.Unlock()
 	explanation := &Explanation{
-		Call:    trail.id,
-		Began:   trail.began,
-		LeftOut: trail.omitted,
+		Call:      trace.id,
+		StartedAt: trace.startedAt,
+		LeftOut:   trace.omitted,
 	}
-	for _, d := range trail.decisions {
+	for _, d := range trace.decisions {
 		explanation.Decisions = append(explanation.Decisions, Decision{
 			After:    d.after,
 			Step:     d.step,
--- a/src/forwarder/migrator.go
+++ b/src/forwarder/migrator.go
@@ -104,7 +104,7 @@
 	})
 }
 
-// NewStreamMigrator returns a Reclaimer that knows of no leaving upstream.
+// NewStreamMigrator returns a StreamMigrator that knows of no leaving upstream.
 func NewStreamMigrator(router Router, pools *Pools, log zerolog.Logger) *StreamMigrator {
 	return &StreamMigrator{
 		Router: router,
--- a/src/gateway/control_session.go
+++ b/src/gateway/control_session.go
@@ -13,8 +13,8 @@
 	tableID uint64
 	cursor  uint64
 	// fullTable reports that the last response contained the whole table.
-	fullTable   bool
-	usageTeller aggregator.DeltaReporter
+	fullTable     bool
+	usageReporter aggregator.DeltaReporter
 	// counts are the usage counts at the poll in flight, unreported those of them that the poll
 	// contains.
 	counts     []aggregator.Count
@@ -31,9 +31,9 @@
 	known := r.GetTableId() == e.tableID
 	e.fullTable = !known || e.cursor == 0
 	if known {
-		e.usageTeller.Acknowledge(e.unreported, e.counts)
+		e.usageReporter.Acknowledge(e.unreported, e.counts)
 	} else {
-		e.usageTeller.Reset()
+		e.usageReporter.Reset()
 	}
 	e.tableID = r.GetTableId()
 	e.cursor = r.GetTableCursor()
--- a/src/gateway/control_session_test.go
+++ b/src/gateway/control_session_test.go
@@ -120,7 +120,7 @@
 		unreported: []aggregator.Count{{Window: 1, Account: "a", Calls: 1}},
 	}
 	e.handleResponse(&messages.EntryPollResponse{})
-	if got, want := len(e.usageTeller.Unacknowledged(e.counts)), 1; got != want {
+	if got, want := len(e.usageReporter.Unacknowledged(e.counts)), 1; got != want {
 		t.Errorf("counts to report again: got %d, want %d", got, want)
 	}
 }
--- a/src/gateway/gateway.go
+++ b/src/gateway/gateway.go
@@ -217,7 +217,7 @@
 // countCall counts a call that has started to run in its account's usage, once however many
 // upstreams it runs at.
 func (g *Gateway) countCall(call *dispatcher.Call, _ *tracker.Upstream) {
-	t, known := call.Trace.(*trail)
+	t, known := call.Trace.(*callTrace)
 	if call.Account == nil || !known || t.usageCounted {
 		return
 	}
--- a/src/gateway/limit_sync.go
+++ b/src/gateway/limit_sync.go
@@ -15,11 +15,11 @@
 func (g *Gateway) recordLimit(upstream *tracker.Upstream, limit exchanger.Limit, sentAt time.Time) {
 	now := timekeeper.Now()
 	changed := g.gate.RecordObservation(pacer.Observation{
-		Life:       units.NewLife(upstream.Name, upstream.Incarnation),
-		HasLimit:   limit.HasRate,
-		Rate:       limit.Rate,
-		AnsweredAt: now,
-		SentAt:     sentAt,
+		IncarnationID: units.NewIncarnationID(upstream.Name, upstream.Incarnation),
+		HasLimit:      limit.HasRate,
+		Rate:          limit.Rate,
+		AnsweredAt:    now,
+		SentAt:        sentAt,
 	})
 	if !changed {
 		return
@@ -47,9 +47,9 @@
 // poll.
 func (p *limitSync) report(now time.Time, gate *pacer.Gate, poll *messages.EntryPoll) {
 	poll.LimitsVersion = p.version
-	for life, calls := range gate.TakeDemand(now) {
+	for id, calls := range gate.TakeDemand(now) {
 		poll.Wants = append(poll.Wants, &messages.UpstreamCalls{
-			Life:  uint64(life),
+			Life:  uint64(id),
 			Calls: uint32(calls),
 		})
 	}
@@ -61,7 +61,7 @@
 	reported, p.sent = gate.ObservationsAfter(p.reported)
 	for _, o := range reported {
 		poll.Limits = append(poll.Limits, &messages.UpstreamLimit{
-			Life:      uint64(o.Life),
+			Life:      uint64(o.IncarnationID),
 			Stated:    o.HasLimit,
 			Rate:      float64(o.Rate),
 			AgeNs:     int64(now.Sub(o.AnsweredAt)),
@@ -78,15 +78,15 @@
 		p.limits = nil
 		for _, limit := range m.GetLimits() {
 			p.limits = append(p.limits, pacer.Limit{
-				Life:     units.Life(limit.GetLife()),
-				Rate:     units.CallRate(limit.GetRate()),
-				StatedAt: now.Add(-time.Duration(limit.GetAgeNs())),
+				IncarnationID: units.IncarnationID(limit.GetLife()),
+				Rate:          units.CallRate(limit.GetRate()),
+				StatedAt:      now.Add(-time.Duration(limit.GetAgeNs())),
 			})
 		}
 	}
 	gate.RecordLeaderContact(now, entries)
 	gate.ApplyLimits(sentAt, p.reported, p.limits, r.GetSettled())
 	for _, permit := range r.GetPermits() {
-		gate.AddPermits(sentAt, units.Life(permit.GetLife()), int(permit.GetCalls()))
+		gate.AddPermits(sentAt, units.IncarnationID(permit.GetLife()), int(permit.GetCalls()))
 	}
 }
--- a/src/gateway/limit_sync_test.go
+++ b/src/gateway/limit_sync_test.go
@@ -12,11 +12,11 @@
 // Guards against a limit that is reported only once, to an instance that no longer leads, and
 // against a new leader that withdraws a limit because it has not received it yet.
 func TestLimitsAreReportedToEachLeader(t *testing.T) {
-	const life units.Life = 7
+	const life units.IncarnationID = 7
 	now := time.Unix(1000, 0)
 	gate := &pacer.Gate{}
 	p := &limitSync{}
-	gate.RecordObservation(pacer.Observation{Life: life, HasLimit: true, Rate: 2, AnsweredAt: now, SentAt: now.Add(-time.Second)})
+	gate.RecordObservation(pacer.Observation{IncarnationID: life, HasLimit: true, Rate: 2, AnsweredAt: now, SentAt: now.Add(-time.Second)})
 	now = now.Add(time.Second)
 	poll := func(leadership uint64) int {
 		m := &messages.EntryPoll{Leadership: leadership}
--- a/src/gateway/loss_detector.go
+++ b/src/gateway/loss_detector.go
@@ -29,7 +29,7 @@
 
 	mu sync.Mutex
 	// pending holds the lost calls of each upstream that is being checked.
-	pending map[units.Life][]lostCall
+	pending map[units.IncarnationID][]lostCall
 }
 
 // lostCall is a call whose connection was cut.
@@ -53,9 +53,9 @@
 	case result.ConnectionLost:
 		l.connectionCut(ctx, upstream, lostCall{
 			loss: quarantiner.Loss{
-				Request:   call.Fingerprint,
-				Life:      units.NewLife(upstream.Name, upstream.Incarnation),
-				Answering: result.AnswerDuration > 0,
+				Request:       call.Fingerprint,
+				IncarnationID: units.NewIncarnationID(upstream.Name, upstream.Incarnation),
+				Answering:     result.AnswerDuration > 0,
 			},
 			id: call.ID,
 		})
@@ -63,7 +63,7 @@
 	if !result.ConnectionLost {
 		return result
 	}
-	if t, known := call.Trace.(*trail); known {
+	if t, known := call.Trace.(*callTrace); known {
 		t.connectionCut = true
 	}
 	l.gateway.trafficStats.connectionCut(upstream)
@@ -89,13 +89,13 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.pending == nil {
-		l.pending = make(map[units.Life][]lostCall)
+		l.pending = make(map[units.IncarnationID][]lostCall)
 	}
-	calls, checking := l.pending[lost.loss.Life]
-	l.pending[lost.loss.Life] = append(calls, lost)
+	calls, checking := l.pending[lost.loss.IncarnationID]
+	l.pending[lost.loss.IncarnationID] = append(calls, lost)
 	if !checking {
 		// The check goes on if the caller leaves.
-		go l.checkUpstream(context.WithoutCancel(ctx), upstream, lost.loss.Life)
+		go l.checkUpstream(context.WithoutCancel(ctx), upstream, lost.loss.IncarnationID)
 	}
 }
 
@@ -104,11 +104,11 @@
 //
 // Connections break for many reasons and upstreams lose answers; only an upstream that accepts
 // no new connection has crashed.
-func (l *lossDetector) checkUpstream(ctx context.Context, upstream *tracker.Upstream, life units.Life) {
+func (l *lossDetector) checkUpstream(ctx context.Context, upstream *tracker.Upstream, id units.IncarnationID) {
 	time.Sleep(checkDelay)
 	err := l.gateway.pool.Probe(ctx, upstream)
 	// Calls that were lost during the check have the same cause.
-	for calls := l.takePending(life); len(calls) > 0; calls = l.takePending(life) {
+	for calls := l.takePending(id); len(calls) > 0; calls = l.takePending(id) {
 		if err != nil {
 			l.gateway.reportCrash(upstream, calls, err)
 		}
@@ -117,15 +117,15 @@
 
 // takePending returns the lost calls of an upstream that were not handled yet; if there are
 // none, it ends the check.
-func (l *lossDetector) takePending(life units.Life) []lostCall {
+func (l *lossDetector) takePending(id units.IncarnationID) []lostCall {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	calls := l.pending[life]
+	calls := l.pending[id]
 	if len(calls) == 0 {
-		delete(l.pending, life)
+		delete(l.pending, id)
 		return nil
 	}
-	l.pending[life] = nil
+	l.pending[id] = nil
 	return calls
 }
 
--- a/src/gateway/poller.go
+++ b/src/gateway/poller.go
@@ -213,7 +213,7 @@
 		poll.TableDigest = p.table.Digest()
 	}
 	e.counts = g.usageCounter.Counts(now.Add(p.snapshot.trueTimeOffset))
-	e.unreported = e.usageTeller.Unacknowledged(e.counts)
+	e.unreported = e.usageReporter.Unacknowledged(e.counts)
 	for _, c := range e.unreported {
 		poll.Usage = append(poll.Usage, &messages.WindowUsage{
 			Window:  int64(c.Window),
@@ -258,7 +258,7 @@
 		p.sentObservation = n.Number
 		reports = append(reports, &messages.UpstreamLoss{
 			Request:   uint64(n.Loss.Request),
-			Life:      uint64(n.Loss.Life),
+			Life:      uint64(n.Loss.IncarnationID),
 			Answering: n.Loss.Answering,
 			Ran:       n.Ran,
 		})
@@ -415,19 +415,19 @@
 		p.gateway.Log.Error().Err(err).Uint64("version", uint64(version)).Msg("configuration-unreadable")
 		return false
 	}
-	declaration, err := p.gateway.Decode(document)
+	configuration, err := p.gateway.Decode(document)
 	if err != nil {
 		p.gateway.Log.Error().Err(err).Uint64("version", uint64(version)).Msg("configuration-unreadable")
 		return false
 	}
 	p.version = version
-	p.configuration = matcher.NewTable(declaration)
+	p.configuration = matcher.NewTable(configuration)
 	p.snapshot.table = p.configuration
 	p.gateway.quota.UpdateLimits(timekeeper.Now(), p.configuration)
 	p.gateway.Log.Info().
 		Uint64("version", uint64(version)).
-		Int("routes", len(declaration.Routes)).
-		Int("accounts", len(declaration.Accounts)).
+		Int("routes", len(configuration.Routes)).
+		Int("accounts", len(configuration.Accounts)).
 		Msg("configuration-in-force")
 	return true
 }
--- a/src/gateway/quarantine_test.go
+++ b/src/gateway/quarantine_test.go
@@ -142,7 +142,7 @@
 		if q.isQuarantined(now, now, 7) {
 			t.Fatalf("after %d losses: got it quarantined, want it after 3", n)
 		}
-		q.recordLoss(now, quarantiner.Loss{Request: 7, Life: units.Life(n)})
+		q.recordLoss(now, quarantiner.Loss{Request: 7, IncarnationID: units.IncarnationID(n)})
 	}
 	if !q.isQuarantined(now, now, 7) {
 		t.Error("after 3 losses: got it not quarantined, want it quarantined")
@@ -156,7 +156,7 @@
 func TestLossesAreReportedToEachLeader(t *testing.T) {
 	p := &poller{gateway: &Gateway{Log: zerolog.Nop()}}
 	now := timekeeper.Now()
-	p.gateway.evidence.RecordLoss(now, quarantiner.Loss{Request: 7, Life: 1})
+	p.gateway.evidence.RecordLoss(now, quarantiner.Loss{Request: 7, IncarnationID: 1})
 	answer := func(leadership uint64) { p.updateSuspects(now, &messages.EntryPollResponse{Leadership: leadership}) }
 	steps := []struct {
 		name string
@@ -169,7 +169,7 @@
 		{name: "first leader responds", do: func() { answer(1) }},
 		{name: "second leader", do: func() { answer(2) }, want: 1},
 		{name: "second leader responds", do: func() { answer(2) }},
-		{name: "another loss", do: func() { p.gateway.evidence.RecordLoss(now, quarantiner.Loss{Request: 8, Life: 2}) }, want: 1},
+		{name: "another loss", do: func() { p.gateway.evidence.RecordLoss(now, quarantiner.Loss{Request: 8, IncarnationID: 2}) }, want: 1},
 	}
 	for _, step := range steps {
 		if step.do != nil {
--- a/src/gateway/rollout_stats.go
+++ b/src/gateway/rollout_stats.go
@@ -95,7 +95,7 @@
 	stream *dispatcher.Stream,
 ) dispatcher.Result {
 	r := j.gateway.snapshot.Load().rollouts[call.Service]
-	t, known := call.Trace.(*trail)
+	t, known := call.Trace.(*callTrace)
 	if r.state != messages.RolloutState_ROLLOUT_STATE_RUNNING || attempt > 1 || !known {
 		return j.Exchanger.Exchange(ctx, call, attempt, upstream, stream)
 	}
--- a/src/gateway/serve.go
+++ b/src/gateway/serve.go
@@ -71,7 +71,7 @@
 		Sink:      sink,
 		startedAt: timekeeper.Now(),
 	}
-	t := &trail{
+	t := &callTrace{
 		route: route.Name,
 		sink:  timedSink,
 	}
@@ -244,8 +244,8 @@
 	g.trafficStats.exchangeEnded(u, result)
 }
 
-// trail collects a call's attempts for its log line.
-type trail struct {
+// callTrace collects a call's attempts for its log line.
+type callTrace struct {
 	text strings.Builder
 	// usageCounted reports that the call is counted in its account's usage.
 	usageCounted bool
@@ -256,7 +256,7 @@
 }
 
 // RecordStep records an attempt that has ended.
-func (t *trail) RecordStep(step dispatcher.Step, upstream units.Upstream, detail string) {
+func (t *callTrace) RecordStep(step dispatcher.Step, upstream units.Upstream, detail string) {
 	if step != dispatcher.StepAttemptEnded {
 		return
 	}
@@ -269,7 +269,7 @@
 }
 
 // RecordCandidate is not recorded.
-func (t *trail) RecordCandidate(units.Upstream, float64) {}
+func (t *callTrace) RecordCandidate(units.Upstream, float64) {}
 
 // timedSink measures the time to the first byte for the caller, and the longest pause between
 // two events of a stream.
@@ -322,7 +322,7 @@
 
 // finishCall writes the call's log line, counts the call, and refunds its charge if it has not
 // run.
-func (g *Gateway) finishCall(w *snapshot, call *dispatcher.Call, route *matcher.Route, t *trail, s *timedSink, err error) {
+func (g *Gateway) finishCall(w *snapshot, call *dispatcher.Call, route *matcher.Route, t *callTrace, s *timedSink, err error) {
 	now := timekeeper.Now()
 	var refusal *dispatcher.Refusal
 	outcome := "answered"
--- a/src/gateway/traffic_stats.go
+++ b/src/gateway/traffic_stats.go
@@ -239,10 +239,10 @@
 	Unread int64 `yaml:"unread"`
 	Idle   int64 `yaml:"idle-connections"`
 	// OthersInFlight and OthersUnread are the loads of the other entries as of their last
-	// polls, Stated is the load of others that the upstream stated in its last answer.
+	// polls, OthersStated is the load of others that the upstream stated in its last answer.
 	OthersInFlight int64 `yaml:"others-in-flight"`
 	OthersUnread   int64 `yaml:"others-unread"`
-	Stated         int   `yaml:"stated"`
+	OthersStated   int   `yaml:"stated"`
 	Ejected        bool  `yaml:"ejected"`
 	// AnsweredMs is the time since its last answer, -1 for never.
 	AnsweredMs int64 `yaml:"answered-ms"`
@@ -291,7 +291,7 @@
 		answered = timekeeper.Now().Sub(belief.AnsweredAt).Milliseconds()
 	}
 	var limit *float64
-	if rate, limited := g.gate.Limits()[units.NewLife(c.Name, c.Incarnation)]; limited {
+	if rate, limited := g.gate.Limits()[units.NewIncarnationID(c.Name, c.Incarnation)]; limited {
 		value := float64(rate)
 		limit = &value
 	}
@@ -305,7 +305,7 @@
 		Idle:           c.Local.IdleConnections.Load(),
 		OthersInFlight: belief.PeerLoad.Calls,
 		OthersUnread:   belief.PeerLoad.Prefill,
-		Stated:         belief.ReportedPeerCalls,
+		OthersStated:   belief.ReportedPeerCalls,
 		Ejected:        belief.Ejected,
 		AnsweredMs:     answered,
 		Limit:          limit,
--- a/src/governor/coordinator.go
+++ b/src/governor/coordinator.go
@@ -66,7 +66,7 @@
 	// unsent are the upstreams whose changes were not sent to the other control instances yet.
 	unsent      map[units.Upstream]bool
 	ticks       int
-	divider     *allocator.Allocator
+	allocator   *allocator.Allocator
 	estimator   timekeeper.Estimator
 	inFlight    placer.LoadSum
 	pollSummary *pollSummary
@@ -124,7 +124,7 @@
 		// All control instances may have started at the same time, so there may be no leader
 		// yet.
 		leaderSeenAt:     timekeeper.Now().Add(startGraceHeartbeats * g.Settings.HeartbeatInterval),
-		divider:          &allocator.Allocator{},
+		allocator:        &allocator.Allocator{},
 		proposalsByToken: make(map[uint64]chan<- declareReply),
 		proposalsByIndex: make(map[units.Index]pendingProposal),
 	}
@@ -298,7 +298,7 @@
 	c.leaderUntil.Store(end.UnixNano())
 	if c.leaderSince.IsZero() {
 		c.leaderSince = now
-		c.divider = &allocator.Allocator{
+		c.allocator = &allocator.Allocator{
 			Lease:  c.settings.RevocationTimeout,
 			Window: allocator.NewWindow(c.settings.Quota),
 			Since:  now,
@@ -354,7 +354,7 @@
 		e.reply <- declareReply{leader: string(c.node.LeaderID())}
 		return nil
 	}
-	if e.declaration.GetVersion() <= c.state.declaration.GetVersion() {
+	if e.declaration.GetVersion() <= c.state.configuration.GetVersion() {
 		e.reply <- declareReply{accepted: true}
 		return nil
 	}
@@ -377,7 +377,7 @@
 	}
 	return readReply{
 		authoritative: true,
-		declaration:   c.state.declaration,
+		declaration:   c.state.configuration,
 	}
 }
 
--- a/src/governor/coordinator_test.go
+++ b/src/governor/coordinator_test.go
@@ -91,7 +91,7 @@
 	c.configuration = &matcher.Configuration{
 		Accounts: []matcher.Account{{Name: "hot", Rate: 1000, Burst: 1000}},
 	}
-	c.divider = &allocator.Allocator{}
+	c.allocator = &allocator.Allocator{}
 	response := c.poll(&messages.EntryPoll{
 		Entry:   "e1",
 		Serving: true,
--- a/src/governor/dump.go
+++ b/src/governor/dump.go
@@ -59,8 +59,8 @@
 		Commit:   uint64(c.node.Commit()),
 		Last:     uint64(c.node.LastIndex()),
 		Snapshot: uint64(c.node.SnapshotIndex()),
-		Version:  c.state.declaration.GetVersion(),
-		Entries:  c.divider.CountEntries(now),
+		Version:  c.state.configuration.GetVersion(),
+		Entries:  c.allocator.CountEntries(now),
 	}
 	for _, member := range c.node.Membership().GetMembers() {
 		d.Members = append(d.Members, member.GetId())
@@ -86,7 +86,7 @@
 			HeardMs:  now.Sub(e.HeartbeatAt).Milliseconds(),
 			InFlight: load.Calls,
 			Unread:   load.Prefill,
-			Limit:    limits[units.NewLife(e.ID, e.Incarnation)],
+			Limit:    limits[units.NewIncarnationID(e.ID, e.Incarnation)],
 		})
 	}
 	return d
--- a/src/governor/duties.go
+++ b/src/governor/duties.go
@@ -27,7 +27,7 @@
 	// the duty.
 	ReportUsage(ctx context.Context, holder DutyHolder, report aggregator.Report) error
 	// Scale orders upstreams. A *FencedError means that this instance no longer holds the
-	// duty, an *UnavailableError that none are available now.
+	// duty, a *NoCapacityError that none are available now.
 	Scale(ctx context.Context, holder DutyHolder, order Order) error
 }
 
--- a/src/governor/governor.go
+++ b/src/governor/governor.go
@@ -272,14 +272,14 @@
 
 // Declare has a configuration committed, here or by the leader. It returns nil once a
 // majority of the voters holds it, or a higher version, on disk; a *matcher.InvalidError
-// where it can never be accepted; a *NotSureError where the outcome is unknown.
+// where it can never be accepted; a *UnconfirmedError where the outcome is unknown.
 func (g *Governor) Declare(ctx context.Context, document []byte) error {
-	declaration, err := g.Decode(document)
+	configuration, err := g.Decode(document)
 	if err != nil {
 		return err
 	}
 	d := &messages.Declaration{
-		Version:  uint64(declaration.Version),
+		Version:  uint64(configuration.Version),
 		Document: document,
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
@@ -304,7 +304,7 @@
 }
 
 // LatestConfiguration returns the newest committed configuration, or nil where there is none; a
-// *NotSureError where a later one may exist.
+// *UnconfirmedError where a later one may exist.
 func (g *Governor) LatestConfiguration(ctx context.Context) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
--- a/src/governor/operator.go
+++ b/src/governor/operator.go
@@ -40,7 +40,7 @@
 
 // StartRollout orders a roll-out, here or at the leader. It returns nil once a majority of
 // the voters holds the order on disk, or held the same order before; a *RolloutRefusedError
-// where it cannot be carried out; a *NotSureError where the outcome is unknown.
+// where it cannot be carried out; a *UnconfirmedError where the outcome is unknown.
 func (g *Governor) StartRollout(ctx context.Context, order RolloutOrder) error {
 	if order.Service == "" || order.Target == "" || order.Duration <= 0 || order.Duration > maxRolloutDuration {
 		return &RolloutRefusedError{
@@ -116,7 +116,7 @@
 	})
 }
 
-// LastRollout returns a service's last roll-out, nil where there was none; a *NotSureError
+// LastRollout returns a service's last roll-out, nil where there was none; a *UnconfirmedError
 // where a later one may exist.
 func (g *Governor) LastRollout(ctx context.Context, service units.Service) (*Rollout, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
--- a/src/governor/orders.go
+++ b/src/governor/orders.go
@@ -24,7 +24,7 @@
 // orders orders upstreams while this instance leads. Only the coordinator's goroutine uses
 // it.
 type orders struct {
-	survey    scaler.LoadMeter
+	loadMeter scaler.LoadMeter
 	scalers   map[units.Service]*scaler.Scaler
 	plannedAt time.Time
 	loggedAt  time.Time
@@ -50,7 +50,7 @@
 			SecondsPerToken: l.GetSecondsPerToken(),
 		}
 	}
-	o.survey.Record(now, entry, incarnation, totals)
+	o.loadMeter.Record(now, entry, incarnation, totals)
 }
 
 // tick recomputes the plan and sends the orders that are due.
@@ -60,7 +60,7 @@
 		return
 	}
 	o.plannedAt = now
-	loads := o.survey.Measure(now)
+	loads := o.loadMeter.Measure(now)
 	for i := range c.configuration.Services {
 		service := &c.configuration.Services[i]
 		if service.Scaling == nil || len(service.Scaling.Prices) == 0 || o.fenced[service.Name] || o.pending > maxPendingOrders {
--- a/src/governor/poll_test.go
+++ b/src/governor/poll_test.go
@@ -141,7 +141,7 @@
 			if got := (<-reply).GetLeads(); got != c.want {
 				t.Errorf("answered as the leader: got %t, want %t", got, c.want)
 			}
-			if got := leader.divider.HasEntry("e"); got != c.want {
+			if got := leader.allocator.HasEntry("e"); got != c.want {
 				t.Errorf("entry recorded: got %t, want %t", got, c.want)
 			}
 		})
@@ -163,7 +163,7 @@
 			for entry := range entries {
 				c.poll(f.poll(c, entry, 1))
 			}
-			c.divider.Since = c.divider.Since.Add(-time.Minute)
+			c.allocator.Since = c.allocator.Since.Add(-time.Minute)
 			b.ReportAllocs()
 			n := 1
 			for b.Loop() {
--- a/src/governor/quarantine.go
+++ b/src/governor/quarantine.go
@@ -63,9 +63,9 @@
 		request := units.Fingerprint(m.GetRequest())
 		if !m.GetRan() {
 			q.detector.RecordLoss(now, quarantiner.Loss{
-				Request:   request,
-				Life:      units.Life(m.GetLife()),
-				Answering: m.GetAnswering(),
+				Request:       request,
+				IncarnationID: units.IncarnationID(m.GetLife()),
+				Answering:     m.GetAnswering(),
 			})
 			continue
 		}
--- a/src/governor/quarantine_test.go
+++ b/src/governor/quarantine_test.go
@@ -17,7 +17,7 @@
 const suspectRequest units.Fingerprint = 1
 
 // lossPoll returns an entry's poll that reports a loss, or a run, of the request.
-func lossPoll(c *coordinator, entry string, life units.Life, ran bool) *messages.EntryPoll {
+func lossPoll(c *coordinator, entry string, id units.IncarnationID, ran bool) *messages.EntryPoll {
 	return &messages.EntryPoll{
 		Entry:       entry,
 		Incarnation: 1,
@@ -26,7 +26,7 @@
 		Leadership:  c.quarantines.leadership,
 		Losses: []*messages.UpstreamLoss{{
 			Request: uint64(suspectRequest),
-			Life:    uint64(life),
+			Life:    uint64(id),
 			Ran:     ran,
 		}},
 	}
@@ -90,8 +90,8 @@
 	_, c := newLeader(t)
 	now := timekeeper.Now()
 	c.isLeader(now)
-	for life := range 2 {
-		receiveLosses(t, c, now.Add(time.Duration(life)*time.Second), lossPoll(c, "e1", units.Life(life+1), false))
+	for id := range 2 {
+		receiveLosses(t, c, now.Add(time.Duration(id)*time.Second), lossPoll(c, "e1", units.IncarnationID(id+1), false))
 	}
 	if got := quarantinesSent(c); !slices.Equal(got, []units.Fingerprint{1}) {
 		t.Fatalf("after two losses: got %v quarantined, want [1]", got)
@@ -108,8 +108,8 @@
 	_, c := newLeader(t)
 	now := timekeeper.Now()
 	c.isLeader(now)
-	for life := range 2 {
-		if err := c.quarantines.record(now, lossPoll(c, "e1", units.Life(life+1), false)); err != nil {
+	for id := range 2 {
+		if err := c.quarantines.record(now, lossPoll(c, "e1", units.IncarnationID(id+1), false)); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/src/governor/ratelimits.go
+++ b/src/governor/ratelimits.go
@@ -16,12 +16,12 @@
 // coordinator's goroutine uses it.
 type rateLimits struct {
 	coordinator *coordinator
-	divider     *pacer.Allocator
+	allocator   *pacer.Allocator
 	prunedAt    time.Time
 }
 
 // startLeadership starts with no limits reported by entries.
-func (l *rateLimits) startLeadership() { l.divider = &pacer.Allocator{} }
+func (l *rateLimits) startLeadership() { l.allocator = &pacer.Allocator{} }
 
 // record stores the limits that upstreams have stated to an entry.
 func (l *rateLimits) record(now time.Time, poll *messages.EntryPoll) {
@@ -29,17 +29,17 @@
 		return
 	}
 	for _, m := range poll.GetLimits() {
-		before := l.divider.Version()
-		l.divider.RecordObservation(now, pacer.Observation{
-			Life:       units.Life(m.GetLife()),
-			HasLimit:   m.GetStated(),
-			Rate:       units.CallRate(m.GetRate()),
-			AnsweredAt: now.Add(-time.Duration(m.GetAgeNs())),
-			SentAt:     now.Add(-time.Duration(m.GetSentAgeNs())),
+		before := l.allocator.Version()
+		l.allocator.RecordObservation(now, pacer.Observation{
+			IncarnationID: units.IncarnationID(m.GetLife()),
+			HasLimit:      m.GetStated(),
+			Rate:          units.CallRate(m.GetRate()),
+			AnsweredAt:    now.Add(-time.Duration(m.GetAgeNs())),
+			SentAt:        now.Add(-time.Duration(m.GetSentAgeNs())),
 		})
-		if l.divider.Version() != before {
+		if l.allocator.Version() != before {
 			l.coordinator.log.Info().
-				Str("upstream", string(l.upstreamName(units.Life(m.GetLife())))).
+				Str("upstream", string(l.upstreamName(units.IncarnationID(m.GetLife())))).
 				Str("entry", poll.GetEntry()).
 				Bool("limited", m.GetStated()).
 				Float64("limit", m.GetRate()).
@@ -53,26 +53,26 @@
 // response.
 func (l *rateLimits) report(now time.Time, poll *messages.EntryPoll, response *messages.EntryPollResponse) {
 	known := poll.GetLeadership() == l.coordinator.quarantines.leadership
-	if !known || poll.GetLimitsVersion() != l.divider.Version() {
-		response.Limits = encodeLimits(now, l.divider)
+	if !known || poll.GetLimitsVersion() != l.allocator.Version() {
+		response.Limits = encodeLimits(now, l.allocator)
 	}
 	for _, want := range poll.GetWants() {
-		life := units.Life(want.GetLife())
-		if calls := l.divider.Grant(now, units.Instance(poll.GetEntry()), life, int(want.GetCalls())); calls > 0 {
+		id := units.IncarnationID(want.GetLife())
+		if calls := l.allocator.Grant(now, units.Instance(poll.GetEntry()), id, int(want.GetCalls())); calls > 0 {
 			response.Permits = append(response.Permits, &messages.UpstreamCalls{
-				Life:  uint64(life),
+				Life:  uint64(id),
 				Calls: uint32(calls),
 			})
 		}
 	}
 }
 
-func encodeLimits(now time.Time, divider *pacer.Allocator) *messages.UpstreamLimits {
-	limits, version := divider.Limits()
+func encodeLimits(now time.Time, allocator *pacer.Allocator) *messages.UpstreamLimits {
+	limits, version := allocator.Limits()
 	m := &messages.UpstreamLimits{Version: version}
 	for _, limit := range limits {
 		m.Limits = append(m.Limits, &messages.UpstreamLimit{
-			Life:   uint64(limit.Life),
+			Life:   uint64(limit.IncarnationID),
 			Stated: true,
 			Rate:   float64(limit.Rate),
 			AgeNs:  int64(now.Sub(limit.StatedAt)),
@@ -87,36 +87,36 @@
 		return
 	}
 	l.prunedAt = now
-	present := make(map[units.Life]bool)
+	present := make(map[units.IncarnationID]bool)
 	for _, e := range l.coordinator.table.Upstreams() {
 		if e.State != enroller.Gone {
-			present[units.NewLife(e.ID, e.Incarnation)] = true
+			present[units.NewIncarnationID(e.ID, e.Incarnation)] = true
 		}
 	}
-	l.divider.RetainLimits(now, func(life units.Life) bool { return present[life] })
+	l.allocator.RetainLimits(now, func(id units.IncarnationID) bool { return present[id] })
 }
 
-// upstreamName returns the name of the upstream with a life, "" where it is unknown.
-func (l *rateLimits) upstreamName(life units.Life) units.Upstream {
+// upstreamName returns the name of the upstream with an incarnation, "" where it is unknown.
+func (l *rateLimits) upstreamName(id units.IncarnationID) units.Upstream {
 	for _, e := range l.coordinator.table.Upstreams() {
-		if units.NewLife(e.ID, e.Incarnation) == life {
+		if units.NewIncarnationID(e.ID, e.Incarnation) == id {
 			return e.ID
 		}
 	}
 	return ""
 }
 
-// limits returns the limits of upstreams by their lives; an instance that has never led has
+// limits returns the limits of upstreams by their incarnations; an instance that has never led has
 // none.
-func (l *rateLimits) limits() map[units.Life]*float64 {
-	known := make(map[units.Life]*float64)
-	if l.divider == nil {
+func (l *rateLimits) limits() map[units.IncarnationID]*float64 {
+	known := make(map[units.IncarnationID]*float64)
+	if l.allocator == nil {
 		return known
 	}
-	limits, _ := l.divider.Limits()
+	limits, _ := l.allocator.Limits()
 	for _, limit := range limits {
 		rate := float64(limit.Rate)
-		known[limit.Life] = &rate
+		known[limit.IncarnationID] = &rate
 	}
 	return known
 }
@@ -124,12 +124,12 @@
 // limitedUpstreams returns how many upstreams of a service accept fewer calls than are
 // available for them.
 func (l *rateLimits) limitedUpstreams(now time.Time, service units.Service) int {
-	if limits, _ := l.divider.Limits(); len(limits) == 0 {
+	if limits, _ := l.allocator.Limits(); len(limits) == 0 {
 		return 0
 	}
 	count := 0
 	for _, e := range l.coordinator.table.Upstreams() {
-		if e.Service == service && e.State == enroller.Ready && l.divider.HasShortage(now, units.NewLife(e.ID, e.Incarnation)) {
+		if e.Service == service && e.State == enroller.Ready && l.allocator.HasShortage(now, units.NewIncarnationID(e.ID, e.Incarnation)) {
 			count++
 		}
 	}
--- a/src/governor/ratelimits_test.go
+++ b/src/governor/ratelimits_test.go
@@ -12,8 +12,8 @@
 )
 
 // newLeaderWithUpstream returns a leader that has one upstream in its table, and the
-// upstream's life.
-func newLeaderWithUpstream(t *testing.T) (*coordinator, units.Life) {
+// upstream's incarnation.
+func newLeaderWithUpstream(t *testing.T) (*coordinator, units.IncarnationID) {
 	t.Helper()
 	_, c := newLeader(t)
 	now := timekeeper.Now()
@@ -27,21 +27,21 @@
 		Incarnation: 1,
 		Sequence:    1,
 	}, 0)
-	return c, units.NewLife("u", 1)
+	return c, units.NewIncarnationID("u", 1)
 }
 
 // limitsPoll returns an entry's poll that reports the given limits and requests permits.
-func limitsPoll(c *coordinator, entry string, life units.Life, limits []*messages.UpstreamLimit) *messages.EntryPoll {
+func limitsPoll(c *coordinator, entry string, id units.IncarnationID, limits []*messages.UpstreamLimit) *messages.EntryPoll {
 	return &messages.EntryPoll{
 		Entry:         entry,
 		Incarnation:   1,
 		Serving:       true,
 		WallNs:        time.Now().UnixNano(),
 		Leadership:    c.quarantines.leadership,
-		LimitsVersion: c.rateLimits.divider.Version(),
+		LimitsVersion: c.rateLimits.allocator.Version(),
 		Limits:        limits,
 		Wants: []*messages.UpstreamCalls{{
-			Life:  uint64(life),
+			Life:  uint64(id),
 			Calls: 5,
 		}},
 	}
@@ -58,15 +58,15 @@
 // Guards against a limit that only the entry knows that received it, and against permits for
 // more calls than the upstream accepts.
 func TestLeaderDistributesLimit(t *testing.T) {
-	c, life := newLeaderWithUpstream(t)
-	stated := []*messages.UpstreamLimit{{Life: uint64(life), Stated: true, Rate: 1}}
-	if got := c.poll(limitsPoll(c, "e1", life, stated)); len(got.GetLimits().GetLimits()) != 1 {
+	c, id := newLeaderWithUpstream(t)
+	stated := []*messages.UpstreamLimit{{Life: uint64(id), Stated: true, Rate: 1}}
+	if got := c.poll(limitsPoll(c, "e1", id, stated)); len(got.GetLimits().GetLimits()) != 1 {
 		t.Fatalf("limits sent to the entry that reported it: got %v, want one", got.GetLimits())
 	}
-	if got := c.poll(limitsPoll(c, "e2", life, nil)); got.GetLimits() != nil {
+	if got := c.poll(limitsPoll(c, "e2", id, nil)); got.GetLimits() != nil {
 		t.Errorf("limits sent to an entry that has them: got %v, want nothing", got.GetLimits())
 	}
-	outdated := limitsPoll(c, "e3", life, nil)
+	outdated := limitsPoll(c, "e3", id, nil)
 	outdated.LimitsVersion = 0
 	if got := c.poll(outdated); len(got.GetLimits().GetLimits()) != 1 {
 		t.Errorf("limits sent to an entry that lacks them: got %v, want one", got.GetLimits())
@@ -74,7 +74,7 @@
 	granted := 0
 	for range 50 {
 		for _, entry := range []string{"e1", "e2", "e3"} {
-			granted += permittedCalls(c.poll(limitsPoll(c, entry, life, nil)))
+			granted += permittedCalls(c.poll(limitsPoll(c, entry, id, nil)))
 		}
 	}
 	if granted > 2 {
@@ -85,17 +85,17 @@
 // Guards against a leader that records reports meant for its predecessor, and against limits
 // of upstreams that are gone.
 func TestLimitsEndWithLeadershipOrUpstream(t *testing.T) {
-	c, life := newLeaderWithUpstream(t)
-	stated := []*messages.UpstreamLimit{{Life: uint64(life), Stated: true, Rate: 1}}
-	earlier := limitsPoll(c, "e1", life, stated)
+	c, id := newLeaderWithUpstream(t)
+	stated := []*messages.UpstreamLimit{{Life: uint64(id), Stated: true, Rate: 1}}
+	earlier := limitsPoll(c, "e1", id, stated)
 	c.quarantines.startLeadership()
 	c.rateLimits.startLeadership()
 	c.poll(earlier)
-	if limits, _ := c.rateLimits.divider.Limits(); len(limits) > 0 {
+	if limits, _ := c.rateLimits.allocator.Limits(); len(limits) > 0 {
 		t.Errorf("limits by a report to an earlier leadership: got %v, want none", limits)
 	}
-	c.poll(limitsPoll(c, "e1", life, stated))
-	if limits, _ := c.rateLimits.divider.Limits(); len(limits) != 1 {
+	c.poll(limitsPoll(c, "e1", id, stated))
+	if limits, _ := c.rateLimits.allocator.Limits(); len(limits) != 1 {
 		t.Fatalf("limits: got %v, want one", limits)
 	}
 	now := timekeeper.Now()
@@ -108,7 +108,7 @@
 		Sequence:    1,
 	}, 0)
 	c.rateLimits.tick(now)
-	if limits, _ := c.rateLimits.divider.Limits(); len(limits) > 0 {
+	if limits, _ := c.rateLimits.allocator.Limits(); len(limits) > 0 {
 		t.Errorf("limits after the upstream has restarted: got %v, want none", limits)
 	}
 }
--- a/src/governor/registry.go
+++ b/src/governor/registry.go
@@ -131,7 +131,7 @@
 	c.rateLimits.report(now, poll, response)
 	response.TrueTimeNs = trueTime.UnixNano()
 	response.Entries = summary.entries
-	response.Settled = c.divider.Settled(now)
+	response.Settled = c.allocator.Settled(now)
 	response.UnderWay = summary.inFlight
 	if c.configuration == nil {
 		return response
@@ -140,7 +140,7 @@
 		if account.Rate <= 0 {
 			continue
 		}
-		if share, level, known := c.divider.Share(now, entry, &account); known {
+		if share, level, known := c.allocator.Share(now, entry, &account); known {
 			response.Shares = append(response.Shares, &messages.AccountShare{
 				Account: string(account.Name),
 				Part:    share,
@@ -161,7 +161,7 @@
 	if !isLeader && cursor == 0 {
 		return
 	}
-	if err := c.pages.seal(now, c.table, c.divider.CountEntries(now)); err != nil {
+	if err := c.pages.seal(now, c.table, c.allocator.CountEntries(now)); err != nil {
 		c.log.Error().Err(err).Msg("table-not-told")
 		return
 	}
@@ -236,9 +236,9 @@
 		}
 	}
 	if poll.GetServing() {
-		c.divider.RecordDemand(now, entry, units.Incarnation(poll.GetIncarnation()), demand)
+		c.allocator.RecordDemand(now, entry, units.Incarnation(poll.GetIncarnation()), demand)
 	} else {
-		c.divider.RemoveEntry(entry)
+		c.allocator.RemoveEntry(entry)
 	}
 	c.rollouts.record(entry, units.Incarnation(poll.GetIncarnation()), poll.GetVersions())
 	c.rateLimits.record(now, poll)
--- a/src/governor/state.go
+++ b/src/governor/state.go
@@ -16,8 +16,8 @@
 
 // state is the result of applying the replicated log.
 type state struct {
-	declaration *messages.Declaration
-	ledger      *aggregator.Ledger
+	configuration *messages.Declaration
+	ledger        *aggregator.Ledger
 	// rollouts holds the last roll-out of each service.
 	rollouts map[units.Service]*messages.Rollout
 	// quarantines holds the requests that are or were quarantined; quarantineNumber increases
@@ -31,8 +31,8 @@
 func (s *state) apply(command *messages.Command) {
 	switch change := command.GetChange().(type) {
 	case *messages.Command_Declaration:
-		if change.Declaration.GetVersion() > s.declaration.GetVersion() {
-			s.declaration = change.Declaration
+		if change.Declaration.GetVersion() > s.configuration.GetVersion() {
+			s.configuration = change.Declaration
 		}
 	case *messages.Command_UsageReport:
 		s.ledger.Commit(reportFrom(change.UsageReport))
@@ -131,8 +131,8 @@
 		states.States[name] = content
 		return nil
 	}
-	if s.declaration != nil {
-		if err := add(declarationKey, s.declaration); err != nil {
+	if s.configuration != nil {
+		if err := add(declarationKey, s.configuration); err != nil {
 			return nil, err
 		}
 	}
--- a/src/governor/state_test.go
+++ b/src/governor/state_test.go
@@ -55,10 +55,10 @@
 			}
 		}
 		for name, s := range map[string]*state{"direct": direct, "restored": restored} {
-			if got := s.declaration.GetVersion(); got != highest {
+			if got := s.configuration.GetVersion(); got != highest {
 				t.Fatalf("%s version: got %d, want %d", name, got, highest)
 			}
-			if got := string(s.declaration.GetDocument()); got != content {
+			if got := string(s.configuration.GetDocument()); got != content {
 				t.Fatalf("%s document: got %q, want %q", name, got, content)
 			}
 		}
--- a/src/governor/summary.go
+++ b/src/governor/summary.go
@@ -34,9 +34,9 @@
 	c.pollSummary = &pollSummary{
 		at:       now,
 		trueTime: c.trueTime(now),
-		entries:  uint32(c.divider.CountEntries(now)),
+		entries:  uint32(c.allocator.CountEntries(now)),
 		controls: c.controls(),
-		inFlight: EncodeLoads(placer.Busiest(c.inFlight.TakeTotal(c.divider.HasEntry), maxLoads)),
+		inFlight: EncodeLoads(placer.Busiest(c.inFlight.TakeTotal(c.allocator.HasEntry), maxLoads)),
 	}
 	return c.pollSummary
 }
--- a/src/governor/voter.go
+++ b/src/governor/voter.go
@@ -90,13 +90,13 @@
 }
 
 func (c *coordinator) apply(records []*messages.LogRecord) {
-	before := c.state.declaration.GetVersion()
+	before := c.state.configuration.GetVersion()
 	for _, record := range records {
 		c.state.apply(record.GetCommand())
 	}
 	// After a start all records are applied at once; of many configurations only the last is
 	// worth the millisecond that decoding takes.
-	if version := c.state.declaration.GetVersion(); version != before {
+	if version := c.state.configuration.GetVersion(); version != before {
 		c.loadConfiguration(version)
 	}
 	for _, record := range records {
@@ -112,21 +112,21 @@
 
 // loadConfiguration decodes and compresses the configuration that is now in force.
 func (c *coordinator) loadConfiguration(version uint64) {
-	declaration, err := c.decode(c.state.declaration.GetDocument())
+	configuration, err := c.decode(c.state.configuration.GetDocument())
 	if err != nil {
 		c.log.Error().Err(err).Uint64("version", version).Msg("configuration-unreadable")
 		return
 	}
-	compressed, err := compressConfiguration(c.state.declaration)
+	compressed, err := compressConfiguration(c.state.configuration)
 	if err != nil {
 		c.log.Error().Err(err).Uint64("version", version).Msg("configuration-not-packed")
 		return
 	}
 	c.compressed = compressed
-	c.configuration = declaration
+	c.configuration = configuration
 	c.log.Info().
 		Uint64("version", version).
-		Int("bytes", len(c.state.declaration.GetDocument())).
+		Int("bytes", len(c.state.configuration.GetDocument())).
 		Msg("configuration-committed")
 }
 
@@ -149,11 +149,11 @@
 	if len(snapshot.GetContent()) == 0 {
 		return nil
 	}
-	before := c.state.declaration.GetVersion()
+	before := c.state.configuration.GetVersion()
 	if err := c.state.restore(snapshot.GetContent()); err != nil {
 		return err
 	}
-	if version := c.state.declaration.GetVersion(); version != before {
+	if version := c.state.configuration.GetVersion(); version != before {
 		c.loadConfiguration(version)
 	}
 	c.log.Info().
--- a/src/injector/injector.go
+++ b/src/injector/injector.go
@@ -53,8 +53,8 @@
 }
 
 func (inj *Injector) execute(ctx context.Context, step ScheduledFault) {
-	entries := inj.Fleet.Stage.Entries
-	controls := inj.Fleet.Stage.Controls
+	entries := inj.Fleet.Cluster.Entries
+	controls := inj.Fleet.Cluster.Controls
 	switch step.Kind {
 	case KillEntry:
 		inj.disruptNode(entries, step, inj.killAndRestart)
@@ -105,13 +105,13 @@
 func (inj *Injector) killAndRestart(node *stager.Node, step ScheduledFault) error {
 	node.Kill()
 	time.Sleep(step.Duration)
-	return inj.Fleet.Stage.Start(node)
+	return inj.Fleet.Cluster.Start(node)
 }
 
 func (inj *Injector) stopAndRestart(node *stager.Node, step ScheduledFault) error {
 	node.Stop()
 	time.Sleep(step.Duration)
-	return inj.Fleet.Stage.Start(node)
+	return inj.Fleet.Cluster.Start(node)
 }
 
 func (inj *Injector) deleteDisk(node *stager.Node, step ScheduledFault) error {
@@ -120,7 +120,7 @@
 		return fmt.Errorf("delete the disk of %s: %w", node.Settings.Name, err)
 	}
 	time.Sleep(step.Duration)
-	return inj.Fleet.Stage.Start(node)
+	return inj.Fleet.Cluster.Start(node)
 }
 
 func freezeNode(node *stager.Node, step ScheduledFault) error {
@@ -218,12 +218,12 @@
 		return false
 	}
 	document := strings.Replace(string(content), "version: 1", fmt.Sprintf("version: %d # %s", version, operator), 1)
-	file := filepath.Join(inj.Fleet.Stage.Folder, operator+".yaml")
+	file := filepath.Join(inj.Fleet.Cluster.Folder, operator+".yaml")
 	if err := os.WriteFile(file, []byte(document), 0o600); err != nil {
 		return false
 	}
-	apply := exec.CommandContext(ctx, inj.Fleet.Stage.Program, "apply", file, "--operator", operator,
-		"--control", inj.Fleet.Stage.ControlURLs(), "--wait", "1ms")
+	apply := exec.CommandContext(ctx, inj.Fleet.Cluster.Program, "apply", file, "--operator", operator,
+		"--control", inj.Fleet.Cluster.ControlURLs(), "--wait", "1ms")
 	output, _ := apply.CombinedOutput()
 	return strings.Contains(string(output), fmt.Sprintf("version %d accepted", version))
 }
--- a/src/injector/run.go
+++ b/src/injector/run.go
@@ -14,7 +14,7 @@
 // Experiment is one run of a fleet under load and injected faults.
 type Experiment struct {
 	Deployment *deployer.Deployment
-	Stage      *stager.Stage
+	Cluster    *stager.Cluster
 	Rates      deployer.Rates
 	Span       time.Duration
 	Seed       uint64
@@ -25,8 +25,8 @@
 // Run starts the fleet, injects the faults under load and checks the outcomes that
 // callers observed.
 func (e *Experiment) Run(ctx context.Context) (*Verdict, *loader.Report, error) {
-	defer e.Stage.Stop()
-	fleet, err := e.Deployment.Start(ctx, e.Stage)
+	defer e.Cluster.Stop()
+	fleet, err := e.Deployment.Start(ctx, e.Cluster)
 	if err != nil {
 		return nil, nil, err
 	}
--- a/src/injector/watch.go
+++ b/src/injector/watch.go
@@ -47,7 +47,7 @@
 		case <-ticker.C:
 		}
 		var reads sync.WaitGroup
-		for _, entry := range w.fleet.Stage.Entries {
+		for _, entry := range w.fleet.Cluster.Entries {
 			reads.Go(func() { w.check(ctx, entry) })
 		}
 		reads.Wait()
--- a/src/lender/lender.go
+++ b/src/lender/lender.go
@@ -92,7 +92,7 @@
 //
 // The lender of an earlier view may still lend the same partition: while it is
 // disconnected it has not been notified that it lost the partition. Its loans end
-// within Hold of its last confirmation, which came before this view, so this lender
+// within ViewTTL of its last confirmation, which came before this view, so this lender
 // starts after that. Without the wait both would lend the partition, and the limit
 // would be exceeded.
 func (l *Lender) loanDuration(now time.Time) time.Duration {
--- a/src/limiter/limiter.go
+++ b/src/limiter/limiter.go
@@ -299,7 +299,7 @@
 	return l.sharesApplied
 }
 
-// Demand is what calls asked for of a limit since the last Renew, as fractions of
+// Demand is what calls asked for of a limit since the last RefreshShares, as fractions of
 // it.
 type Demand struct {
 	Offered float64
--- a/src/matcher/declaration.go
+++ b/src/matcher/configuration.go
@@ -118,7 +118,7 @@
 	// Urgency overrides the route's urgency where HasUrgency is set.
 	Urgency    int
 	HasUrgency bool
-	// CountsTokens is set where Rate, Burst and Plain count tokens instead of calls.
+	// CountsTokens is set where Rate, Burst and DefaultTokens count tokens instead of calls.
 	CountsTokens bool
 	// DefaultTokens is what a call that states no tokens counts as.
 	DefaultTokens float64
--- a/src/matcher/table.go
+++ b/src/matcher/table.go
@@ -18,7 +18,7 @@
 	ranks    map[Urgencies]int
 }
 
-// NewTable returns the table of a declaration that has passed Check.
+// NewTable returns the table of a configuration that has passed Validate.
 func NewTable(d *Configuration) *Table {
 	t := &Table{
 		Configuration: d,
--- a/src/matcher/validator.go
+++ b/src/matcher/validator.go
@@ -6,7 +6,7 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// InvalidError is the reason why a declaration is rejected, and how to correct it.
+// InvalidError is the reason why a configuration is rejected, and how to correct it.
 type InvalidError struct {
 	Reason string
 	Remedy string
@@ -15,7 +15,7 @@
 // Error names the remedy.
 func (e *InvalidError) Error() string { return e.Reason + "; " + e.Remedy }
 
-// Validate returns an *InvalidError for an inconsistent declaration.
+// Validate returns an *InvalidError for an inconsistent configuration.
 func (d *Configuration) Validate() error {
 	if d.Version == 0 {
 		return &InvalidError{
--- a/src/measurer/bench.go
+++ b/src/measurer/bench.go
@@ -49,20 +49,20 @@
 	}
 }
 
-// newStage returns a stage in a new temporary folder, and a function that stops the
-// stage and removes the folder.
-func (b *Bench) newStage() (*stager.Stage, func(), error) {
+// newCluster returns a cluster in a new temporary folder, and a function that stops the
+// cluster and removes the folder.
+func (b *Bench) newCluster() (*stager.Cluster, func(), error) {
 	folder, err := os.MkdirTemp("", "rosecroft-measure-")
 	if err != nil {
 		return nil, nil, fmt.Errorf("create a temporary folder for the experiment: %w", err)
 	}
-	stage := &stager.Stage{
+	cluster := &stager.Cluster{
 		Folder:  folder,
 		Program: b.Program,
 		Standin: b.Standin,
 	}
-	return stage, func() {
-		stage.Stop()
+	return cluster, func() {
+		cluster.Stop()
 		_ = os.RemoveAll(folder)
 	}, nil
 }
--- a/src/measurer/control.go
+++ b/src/measurer/control.go
@@ -36,18 +36,18 @@
 
 // operatorClient submits configuration versions over HTTP, as the command line does.
 type operatorClient struct {
-	stage    *stager.Stage
+	cluster  *stager.Cluster
 	document string
 	version  uint64
 }
 
-func newOperatorClient(d *deployer.Deployment, stage *stager.Stage) (*operatorClient, error) {
+func newOperatorClient(d *deployer.Deployment, cluster *stager.Cluster) (*operatorClient, error) {
 	content, err := os.ReadFile(d.Configuration)
 	if err != nil {
 		return nil, fmt.Errorf("read the configuration: %w", err)
 	}
 	return &operatorClient{
-		stage:    stage,
+		cluster:  cluster,
 		document: string(content),
 		version:  1,
 	}, nil
@@ -60,7 +60,7 @@
 	document := strings.Replace(o.document, "version: 1", fmt.Sprintf("version: %d", o.version), 1)
 	start := time.Now()
 	for {
-		for _, control := range o.stage.Controls {
+		for _, control := range o.cluster.Controls {
 			if control.Running() && putConfiguration(ctx, control.OperatorURL(), document) {
 				return time.Since(start), nil
 			}
@@ -78,7 +78,7 @@
 func (o *operatorClient) awaitInForce(ctx context.Context) error {
 	start := time.Now()
 	for {
-		for _, control := range o.stage.Controls {
+		for _, control := range o.cluster.Controls {
 			if control.Running() && o.isInForceEverywhere(ctx, control.OperatorURL()) {
 				return nil
 			}
@@ -135,7 +135,7 @@
 }
 
 func (b *Bench) measureChanges(ctx context.Context, result *Result, voters int) error {
-	stage, cleanup, err := b.newStage()
+	cluster, cleanup, err := b.newCluster()
 	if err != nil {
 		return err
 	}
@@ -145,10 +145,10 @@
 	d.Controls = voters
 	d.Pools[0].Count = 1
 	d.Pools[1].Count = 1
-	if _, err := d.Start(ctx, stage); err != nil {
+	if _, err := d.Start(ctx, cluster); err != nil {
 		return err
 	}
-	o, err := newOperatorClient(d, stage)
+	o, err := newOperatorClient(d, cluster)
 	if err != nil {
 		return err
 	}
@@ -191,10 +191,10 @@
 			return err
 		}
 		_ = recoveryTimes.RecordValue(int64(elapsed))
-		if err := o.stage.Start(leader); err != nil {
+		if err := o.cluster.Start(leader); err != nil {
 			return err
 		}
-		if err := o.stage.AwaitHealthy(ctx); err != nil {
+		if err := o.cluster.AwaitHealthy(ctx); err != nil {
 			return err
 		}
 		time.Sleep(leaderLossPause)
@@ -208,13 +208,13 @@
 func (o *operatorClient) findLeader(ctx context.Context) (*stager.Node, error) {
 	start := time.Now()
 	for time.Since(start) < inForceTimeout {
-		for _, control := range o.stage.Controls {
+		for _, control := range o.cluster.Controls {
 			content, ok := sendRequest(ctx, http.MethodGet, control.OperatorURL()+"/v1/status", "")
 			status := &messages.Status{}
 			if !ok || protojson.Unmarshal(content, status) != nil {
 				continue
 			}
-			for _, node := range o.stage.Controls {
+			for _, node := range o.cluster.Controls {
 				if string(node.Settings.Name) == status.GetLeader() && node.Running() {
 					return node, nil
 				}
--- a/src/measurer/entry.go
+++ b/src/measurer/entry.go
@@ -28,26 +28,26 @@
 )
 
 // startSingleEntry starts a deployment with one entry and latencyEngines engines.
-func (b *Bench) startSingleEntry(ctx context.Context, stage *stager.Stage) (*deployer.Fleet, error) {
+func (b *Bench) startSingleEntry(ctx context.Context, cluster *stager.Cluster) (*deployer.Fleet, error) {
 	d := b.deployment("hearthline")
 	d.Entries = 1
 	d.Pools[0].Count = latencyEngines
 	d.Pools[1].Count = 1
-	if err := setPolicy(d, parser.PrefixCost, stage.Folder); err != nil {
+	if err := setPolicy(d, parser.PrefixCost, cluster.Folder); err != nil {
 		return nil, err
 	}
-	return d.Start(ctx, stage)
+	return d.Start(ctx, cluster)
 }
 
 // EntryLatency measures the latency, processor time and memory that an entry adds: it
 // sends the same load first through the entry and then directly to the engines, in one run.
 func (b *Bench) EntryLatency(ctx context.Context) (*Result, error) {
-	stage, cleanup, err := b.newStage()
+	cluster, cleanup, err := b.newCluster()
 	if err != nil {
 		return nil, err
 	}
 	defer cleanup()
-	fleet, err := b.startSingleEntry(ctx, stage)
+	fleet, err := b.startSingleEntry(ctx, cluster)
 	if err != nil {
 		return nil, err
 	}
@@ -98,7 +98,7 @@
 // runLoadViaEntry sends a load through the entry and also returns the processor time
 // that the entry used.
 func (b *Bench) runLoadViaEntry(ctx context.Context, fleet *deployer.Fleet, workloads []*loader.Workload, duration time.Duration) (*loader.Report, time.Duration, error) {
-	pid := fleet.Stage.Entries[0].PID()
+	pid := fleet.Cluster.Entries[0].PID()
 	before, err := readUsage(pid)
 	if err != nil {
 		return nil, 0, err
@@ -135,7 +135,7 @@
 
 // memoryPerStream returns how many resident bytes each open stream adds to the entry.
 func (b *Bench) memoryPerStream(ctx context.Context, fleet *deployer.Fleet) (float64, error) {
-	pid := fleet.Stage.Entries[0].PID()
+	pid := fleet.Cluster.Entries[0].PID()
 	idle, err := readUsage(pid)
 	if err != nil {
 		return 0, err
--- a/src/measurer/failures.go
+++ b/src/measurer/failures.go
@@ -36,7 +36,7 @@
 }
 
 func (b *Bench) runFailures(ctx context.Context, name string, seed uint64) (*injector.Verdict, error) {
-	stage, cleanup, err := b.newStage()
+	cluster, cleanup, err := b.newCluster()
 	if err != nil {
 		return nil, err
 	}
@@ -44,7 +44,7 @@
 	duration := b.loadDuration(failureLoadDuration)
 	experiment := &injector.Experiment{
 		Deployment: b.deployment(name),
-		Stage:      stage,
+		Cluster:    cluster,
 		Rates: deployer.Rates{
 			Stream:        20,
 			Whole:         4,
--- a/src/measurer/overload.go
+++ b/src/measurer/overload.go
@@ -51,7 +51,7 @@
 }
 
 func (b *Bench) runOverload(ctx context.Context, rate float64) (*loader.Report, error) {
-	stage, cleanup, err := b.newStage()
+	cluster, cleanup, err := b.newCluster()
 	if err != nil {
 		return nil, err
 	}
@@ -61,10 +61,10 @@
 	d.Pools[0].Count = overloadEngines
 	d.Pools[0].Arguments = []string{"--model", d.Model, "--step", overloadStepTime.String(), "--slots", fmt.Sprint(overloadSlots)}
 	d.Pools[1].Count = 1
-	if err := setPolicy(d, parser.PrefixCost, stage.Folder); err != nil {
+	if err := setPolicy(d, parser.PrefixCost, cluster.Folder); err != nil {
 		return nil, err
 	}
-	fleet, err := d.Start(ctx, stage)
+	fleet, err := d.Start(ctx, cluster)
 	if err != nil {
 		return nil, err
 	}
--- a/src/measurer/policy.go
+++ b/src/measurer/policy.go
@@ -177,7 +177,7 @@
 
 // runTrial runs a policy on a fleet with a number of engines.
 func (b *Bench) runTrial(ctx context.Context, name string, policy parser.Policy, engines int, conditions trialConditions) (*trial, error) {
-	stage, cleanup, err := b.newStage()
+	cluster, cleanup, err := b.newCluster()
 	if err != nil {
 		return nil, err
 	}
@@ -187,10 +187,10 @@
 	d.Pools[0].Offers = d.Pools[0].Offers[:1]
 	d.Pools[0].Arguments = append(d.Pools[0].Arguments, conditions.engineArguments...)
 	d.Pools[1].Count = 1
-	if err := setPolicy(d, policy, stage.Folder); err != nil {
+	if err := setPolicy(d, policy, cluster.Folder); err != nil {
 		return nil, err
 	}
-	fleet, err := d.Start(ctx, stage)
+	fleet, err := d.Start(ctx, cluster)
 	if err != nil {
 		return nil, err
 	}
--- a/src/measurer/record.go
+++ b/src/measurer/record.go
@@ -16,17 +16,17 @@
 
 // RecordCost measures the latency that replicating the call's record adds to a call that must not run twice.
 func (b *Bench) RecordCost(ctx context.Context) (*Result, error) {
-	stage, cleanup, err := b.newStage()
+	cluster, cleanup, err := b.newCluster()
 	if err != nil {
 		return nil, err
 	}
 	defer cleanup()
 	d := b.deployment("hearthline")
 	d.Pools[0].Count = 1
-	if err := setPolicy(d, parser.PrefixCost, stage.Folder); err != nil {
+	if err := setPolicy(d, parser.PrefixCost, cluster.Folder); err != nil {
 		return nil, err
 	}
-	fleet, err := d.Start(ctx, stage)
+	fleet, err := d.Start(ctx, cluster)
 	if err != nil {
 		return nil, err
 	}
--- a/src/measurer/repair.go
+++ b/src/measurer/repair.go
@@ -45,22 +45,22 @@
 
 // withRepairFleet runs a part of the experiment on a new small fleet.
 func (b *Bench) withRepairFleet(ctx context.Context, controls int, run func(*operatorClient) error) error {
-	stage, cleanup, err := b.newStage()
+	cluster, cleanup, err := b.newCluster()
 	if err != nil {
 		return err
 	}
 	defer cleanup()
-	stage.Voters = repairVoters
-	stage.Timing.ReplacementDelay = repairDelay
+	cluster.Voters = repairVoters
+	cluster.Timing.ReplacementDelay = repairDelay
 	d := b.deployment("hearthline")
 	d.Controls = controls
 	d.Entries = 2
 	d.Pools[0].Count = 1
 	d.Pools[1].Count = 1
-	if _, err := d.Start(ctx, stage); err != nil {
+	if _, err := d.Start(ctx, cluster); err != nil {
 		return err
 	}
-	o, err := newOperatorClient(d, stage)
+	o, err := newOperatorClient(d, cluster)
 	if err != nil {
 		return err
 	}
@@ -90,10 +90,10 @@
 		}
 		_ = lossToRepaired.RecordValue(int64(repairedAt.Sub(killedAt)))
 		_ = joinToRepaired.RecordValue(int64(repairedAt.Sub(joinedAt)))
-		if err := o.stage.Start(lostVoter); err != nil {
+		if err := o.cluster.Start(lostVoter); err != nil {
 			return err
 		}
-		if err := o.stage.AwaitHealthy(ctx); err != nil {
+		if err := o.cluster.AwaitHealthy(ctx); err != nil {
 			return err
 		}
 	}
@@ -110,7 +110,7 @@
 		return nil
 	}
 	for _, member := range dump.Members {
-		for _, node := range o.stage.Controls {
+		for _, node := range o.cluster.Controls {
 			if node != leader && member.ID.Instance() == node.Settings.Name && !member.Learner && node.Running() {
 				return node
 			}
@@ -168,7 +168,7 @@
 		return err
 	}
 	follower := o.findFollower(ctx, leader)
-	entry := o.stage.Entries[0]
+	entry := o.cluster.Entries[0]
 	follower.Kill()
 	entry.Kill()
 	count := missedChanges
@@ -184,7 +184,7 @@
 		"control instance": follower,
 		"entry":            entry,
 	} {
-		if err := o.stage.Start(node); err != nil {
+		if err := o.cluster.Start(node); err != nil {
 			return err
 		}
 		start := time.Now()
--- a/src/measurer/slopes.go
+++ b/src/measurer/slopes.go
@@ -95,7 +95,7 @@
 // startIdleFleet starts a fleet that gets no calls and waits settleTime for its start-up
 // traffic to end.
 func (b *Bench) startIdleFleet(ctx context.Context, entries, engines int) (*operatorClient, func(), error) {
-	stage, cleanup, err := b.newStage()
+	cluster, cleanup, err := b.newCluster()
 	if err != nil {
 		return nil, nil, err
 	}
@@ -103,11 +103,11 @@
 	d.Entries = entries
 	d.Pools[0].Count = engines
 	d.Pools[1].Count = 1
-	if _, err := d.Start(ctx, stage); err != nil {
+	if _, err := d.Start(ctx, cluster); err != nil {
 		cleanup()
 		return nil, nil, err
 	}
-	o, err := newOperatorClient(d, stage)
+	o, err := newOperatorClient(d, cluster)
 	if err != nil {
 		cleanup()
 		return nil, nil, err
@@ -142,7 +142,7 @@
 	if err != nil {
 		return controlCost{}, err
 	}
-	before, err := sampleProcesses(ctx, o.stage)
+	before, err := sampleProcesses(ctx, o.cluster)
 	if err != nil {
 		return controlCost{}, err
 	}
@@ -154,11 +154,11 @@
 		}
 		time.Sleep(min(busyChangeInterval, duration-time.Since(start)))
 	}
-	after, err := sampleProcesses(ctx, o.stage)
+	after, err := sampleProcesses(ctx, o.cluster)
 	if err != nil {
 		return controlCost{}, err
 	}
-	return costBetween(o.stage, leader, before, after, time.Since(start)), nil
+	return costBetween(o.cluster, leader, before, after, time.Since(start)), nil
 }
 
 // processSample is a process's usage and its cumulative traffic with the system's other processes.
@@ -168,9 +168,9 @@
 	peerMessages float64
 }
 
-func sampleProcesses(ctx context.Context, stage *stager.Stage) (map[*stager.Node]processSample, error) {
+func sampleProcesses(ctx context.Context, cluster *stager.Cluster) (map[*stager.Node]processSample, error) {
 	samples := make(map[*stager.Node]processSample)
-	for _, node := range append(append([]*stager.Node{}, stage.Controls...), stage.Entries...) {
+	for _, node := range append(append([]*stager.Node{}, cluster.Controls...), cluster.Entries...) {
 		processUsage, err := readUsage(node.PID())
 		if err != nil {
 			return nil, err
@@ -185,15 +185,15 @@
 	return samples, nil
 }
 
-func costBetween(stage *stager.Stage, leader *stager.Node, before, after map[*stager.Node]processSample, duration time.Duration) controlCost {
+func costBetween(cluster *stager.Cluster, leader *stager.Node, before, after map[*stager.Node]processSample, duration time.Duration) controlCost {
 	cost := controlCost{}
-	for _, entry := range stage.Entries {
-		cost.entryCPU += cpuFraction(before[entry], after[entry], duration) / float64(len(stage.Entries))
-		cost.entryMemory += after[entry].residentBytes / int64(len(stage.Entries))
-		cost.entryBytesPerSecond += (after[entry].peerBytes - before[entry].peerBytes) / duration.Seconds() / float64(len(stage.Entries))
-		cost.entryMessagesPerSecond += (after[entry].peerMessages - before[entry].peerMessages) / duration.Seconds() / float64(len(stage.Entries))
+	for _, entry := range cluster.Entries {
+		cost.entryCPU += cpuFraction(before[entry], after[entry], duration) / float64(len(cluster.Entries))
+		cost.entryMemory += after[entry].residentBytes / int64(len(cluster.Entries))
+		cost.entryBytesPerSecond += (after[entry].peerBytes - before[entry].peerBytes) / duration.Seconds() / float64(len(cluster.Entries))
+		cost.entryMessagesPerSecond += (after[entry].peerMessages - before[entry].peerMessages) / duration.Seconds() / float64(len(cluster.Entries))
 	}
-	for _, control := range stage.Controls {
+	for _, control := range cluster.Controls {
 		if control != leader {
 			cost.maxFollowerCPU = max(cost.maxFollowerCPU, cpuFraction(before[control], after[control], duration))
 		}
--- a/src/orderer/event.go
+++ b/src/orderer/event.go
@@ -91,7 +91,7 @@
 	// AnnounceDelay is how long it takes until a change at an upstream is announced here.
 	AnnounceDelay time.Duration
 	// ResendInterval is the time after which an order without effect is sent again; it doubles with
-	// each attempt, up to MostResend.
+	// each attempt, up to MaxResendInterval.
 	ResendInterval    time.Duration
 	MaxResendInterval time.Duration
 }
--- a/src/pacer/allocator.go
+++ b/src/pacer/allocator.go
@@ -30,10 +30,10 @@
 // Allocator grants the calls that limited upstreams take to entries; it is a state machine without
 // a clock.
 type Allocator struct {
-	upstreams map[units.Life]*limitedUpstream
+	upstreams map[units.IncarnationID]*limitedUpstream
 	// withdrawn holds, for each limit that was withdrawn, when the call was sent whose response
 	// withdrew it.
-	withdrawn map[units.Life]time.Time
+	withdrawn map[units.IncarnationID]time.Time
 	version   uint64
 }
 
@@ -63,25 +63,25 @@
 
 // Limit is the limit of one upstream as known over all entries.
 type Limit struct {
-	Life     units.Life
-	Rate     units.CallRate
-	StatedAt time.Time
+	IncarnationID units.IncarnationID
+	Rate          units.CallRate
+	StatedAt      time.Time
 }
 
 // RecordObservation records what an entry has observed of an upstream; observations may arrive in any order.
 func (d *Allocator) RecordObservation(now time.Time, o Observation) {
-	known := d.upstreams[o.Life]
+	known := d.upstreams[o.IncarnationID]
 	switch {
 	case !o.HasLimit:
 		if known != nil && o.withdrawsLimit(known.statedAt) {
 			d.withdraw(o)
 		}
-	case !o.AnsweredAt.After(d.withdrawn[o.Life]):
+	case !o.AnsweredAt.After(d.withdrawn[o.IncarnationID]):
 	case known == nil:
 		if d.upstreams == nil {
-			d.upstreams = make(map[units.Life]*limitedUpstream)
+			d.upstreams = make(map[units.IncarnationID]*limitedUpstream)
 		}
-		d.upstreams[o.Life] = &limitedUpstream{
+		d.upstreams[o.IncarnationID] = &limitedUpstream{
 			rate:       o.Rate,
 			statedAt:   o.AnsweredAt,
 			accruedAt:  now,
@@ -100,20 +100,20 @@
 }
 
 func (d *Allocator) withdraw(o Observation) {
-	delete(d.upstreams, o.Life)
+	delete(d.upstreams, o.IncarnationID)
 	d.version++
 	if d.withdrawn == nil {
-		d.withdrawn = make(map[units.Life]time.Time)
+		d.withdrawn = make(map[units.IncarnationID]time.Time)
 	}
-	d.withdrawn[o.Life] = o.SentAt
+	d.withdrawn[o.IncarnationID] = o.SentAt
 }
 
 // RetainLimits drops the limits of upstreams that no longer exist.
-func (d *Allocator) RetainLimits(now time.Time, exists func(units.Life) bool) {
-	maps.DeleteFunc(d.withdrawn, func(_ units.Life, at time.Time) bool { return now.Sub(at) >= withdrawalTTL })
-	for life := range d.upstreams {
-		if !exists(life) {
-			delete(d.upstreams, life)
+func (d *Allocator) RetainLimits(now time.Time, exists func(units.IncarnationID) bool) {
+	maps.DeleteFunc(d.withdrawn, func(_ units.IncarnationID, at time.Time) bool { return now.Sub(at) >= withdrawalTTL })
+	for id := range d.upstreams {
+		if !exists(id) {
+			delete(d.upstreams, id)
 			d.version++
 		}
 	}
@@ -124,8 +124,8 @@
 //
 // Entries that have work take turns; otherwise the entry that asks first would be the same one
 // each time. Calls that no entry claims go to the next one that asks.
-func (d *Allocator) Grant(now time.Time, entry units.Instance, life units.Life, calls int) int {
-	u := d.upstreams[life]
+func (d *Allocator) Grant(now time.Time, entry units.Instance, id units.IncarnationID, calls int) int {
+	u := d.upstreams[id]
 	if u == nil || calls <= 0 {
 		return 0
 	}
@@ -197,14 +197,14 @@
 // Limits returns all limits in order of their upstreams, and a version that changes with them.
 func (d *Allocator) Limits() ([]Limit, uint64) {
 	limits := make([]Limit, 0, len(d.upstreams))
-	for life, u := range d.upstreams {
+	for id, u := range d.upstreams {
 		limits = append(limits, Limit{
-			Life:     life,
-			Rate:     u.rate,
-			StatedAt: u.statedAt,
+			IncarnationID: id,
+			Rate:          u.rate,
+			StatedAt:      u.statedAt,
 		})
 	}
-	slices.SortFunc(limits, func(a, b Limit) int { return cmp.Compare(a.Life, b.Life) })
+	slices.SortFunc(limits, func(a, b Limit) int { return cmp.Compare(a.IncarnationID, b.IncarnationID) })
 	return limits, d.version
 }
 
@@ -212,7 +212,7 @@
 func (d *Allocator) Version() uint64 { return d.version }
 
 // HasShortage reports whether an upstream recently took fewer calls than entries had for it.
-func (d *Allocator) HasShortage(now time.Time, life units.Life) bool {
-	u := d.upstreams[life]
+func (d *Allocator) HasShortage(now time.Time, id units.IncarnationID) bool {
+	u := d.upstreams[id]
 	return u != nil && !u.deniedAt.IsZero() && now.Sub(u.deniedAt) < shortageTTL
 }
--- a/src/pacer/doc.go
+++ b/src/pacer/doc.go
@@ -2,7 +2,7 @@
 //
 // An overloaded upstream states a limit in its responses, each of which reaches one entry.
 // Entries report these limits to the leader, which merges the reports and hands out permits, one
-// for each call, to the entries that have work (Divider). An entry sends a call to a limited
+// for each call, to the entries that have work (Allocator). An entry sends a call to a limited
 // upstream only with a permit (Gate). Permits and limits travel with the polls, so that a call
-// costs no message. Both types are free of I/O; the divider is a state machine without a clock.
+// costs no message. Both types are free of I/O; the Allocator is a state machine without a clock.
 package pacer
--- a/src/pacer/gate.go
+++ b/src/pacer/gate.go
@@ -15,7 +15,7 @@
 	// at once.
 	maxWanted = 64
 	// leaderTimeout is how long after the leader's last response an entry uses permits only;
-	// after that it uses its own part of the limit.
+	// after that it uses its own share of the limit.
 	leaderTimeout = time.Second
 	// leaderlessFraction is the fraction of a limit that all entries use together without a
 	// leader: each may have accrued one call by then, and their calls resume at about the same
@@ -33,7 +33,7 @@
 	limitedCount atomic.Int64
 
 	mu         sync.Mutex
-	upstreams  map[units.Life]*upstreamGate
+	upstreams  map[units.IncarnationID]*upstreamGate
 	lastNumber ObservationNumber
 	// entryCount is the number of entries, leaderContactAt when the leader last responded.
 	entryCount      int
@@ -68,16 +68,16 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	known := g.upstreams[o.Life]
+	known := g.upstreams[o.IncarnationID]
 	switch {
 	case !o.HasLimit && (known == nil || !known.HasLimit || !o.withdrawsLimit(known.AnsweredAt)):
 		return false
 	case known == nil:
 		if g.upstreams == nil {
-			g.upstreams = make(map[units.Life]*upstreamGate)
+			g.upstreams = make(map[units.IncarnationID]*upstreamGate)
 		}
 		known = &upstreamGate{}
-		g.upstreams[o.Life] = known
+		g.upstreams[o.IncarnationID] = known
 	case o.HasLimit && o.AnsweredAt.Before(known.AnsweredAt):
 		return false
 	}
@@ -100,16 +100,16 @@
 	if len(limits)+len(g.upstreams) == 0 {
 		return
 	}
-	listed := make(map[units.Life]bool, len(limits))
+	listed := make(map[units.IncarnationID]bool, len(limits))
 	for _, limit := range limits {
-		listed[limit.Life] = true
-		known := g.upstreams[limit.Life]
+		listed[limit.IncarnationID] = true
+		known := g.upstreams[limit.IncarnationID]
 		if known == nil {
 			if g.upstreams == nil {
-				g.upstreams = make(map[units.Life]*upstreamGate)
+				g.upstreams = make(map[units.IncarnationID]*upstreamGate)
 			}
 			known = &upstreamGate{}
-			g.upstreams[limit.Life] = known
+			g.upstreams[limit.IncarnationID] = known
 		}
 		if known.sequence > acknowledged {
 			continue
@@ -118,13 +118,13 @@
 			known.AnsweredAt = limit.StatedAt
 		}
 		known.trimPermits(limit.Rate)
-		known.Life = limit.Life
+		known.IncarnationID = limit.IncarnationID
 		known.HasLimit = true
 		known.Rate = limit.Rate
 	}
-	for life, known := range g.upstreams {
-		if settled && !listed[life] && known.sequence <= acknowledged && known.AnsweredAt.Before(sentAt) {
-			delete(g.upstreams, life)
+	for id, known := range g.upstreams {
+		if settled && !listed[id] && known.sequence <= acknowledged && known.AnsweredAt.Before(sentAt) {
+			delete(g.upstreams, id)
 		}
 	}
 	g.updateLimitedCount()
@@ -162,10 +162,10 @@
 
 // AddPermits adds permits for calls to an upstream; they expire permitTTL after the poll that
 // requested them was sent.
-func (g *Gate) AddPermits(sentAt time.Time, life units.Life, calls int) {
+func (g *Gate) AddPermits(sentAt time.Time, id units.IncarnationID, calls int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if known := g.upstreams[life]; known != nil && calls > 0 {
+	if known := g.upstreams[id]; known != nil && calls > 0 {
 		known.permits = append(known.permits, permit{
 			calls: calls,
 			until: sentAt.Add(permitTTL),
@@ -174,38 +174,38 @@
 }
 
 // Closed returns the upstreams that may get no call now, nil for none.
-func (g *Gate) Closed(now time.Time) map[units.Life]bool {
+func (g *Gate) Closed(now time.Time) map[units.IncarnationID]bool {
 	if g.limitedCount.Load() == 0 {
 		return nil
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	closed := make(map[units.Life]bool)
-	for life, known := range g.upstreams {
+	closed := make(map[units.IncarnationID]bool)
+	for id, known := range g.upstreams {
 		if known.HasLimit && !g.isOpen(now, known) {
-			closed[life] = true
+			closed[id] = true
 		}
 	}
 	return closed
 }
 
 // RecordDemand records that a call would have gone to an upstream that may get none.
-func (g *Gate) RecordDemand(life units.Life) {
+func (g *Gate) RecordDemand(id units.IncarnationID) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if known := g.upstreams[life]; known != nil {
+	if known := g.upstreams[id]; known != nil {
 		known.wanted = min(known.wanted+1, maxWanted)
 	}
 }
 
 // Admit uses one permit for a call and reports whether the call may go to the upstream.
-func (g *Gate) Admit(now time.Time, life units.Life) bool {
+func (g *Gate) Admit(now time.Time, id units.IncarnationID) bool {
 	if g.limitedCount.Load() == 0 {
 		return true
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	known := g.upstreams[life]
+	known := g.upstreams[id]
 	if known == nil || !known.HasLimit {
 		return true
 	}
@@ -253,14 +253,14 @@
 
 // TakeDemand returns the number of calls for which this entry needs permits, by upstream, and resets
 // the counts.
-func (g *Gate) TakeDemand(now time.Time) map[units.Life]int {
+func (g *Gate) TakeDemand(now time.Time) map[units.IncarnationID]int {
 	if g.limitedCount.Load() == 0 {
 		return nil
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	wants := make(map[units.Life]int)
-	for life, known := range g.upstreams {
+	wants := make(map[units.IncarnationID]int)
+	for id, known := range g.upstreams {
 		held := 0
 		for _, p := range known.permits {
 			if now.Before(p.until) {
@@ -268,7 +268,7 @@
 			}
 		}
 		if known.HasLimit && known.wanted > held {
-			wants[life] = known.wanted - held
+			wants[id] = known.wanted - held
 		}
 		known.wanted = 0
 	}
@@ -297,13 +297,13 @@
 }
 
 // Limits returns the limits that this entry knows, by upstream.
-func (g *Gate) Limits() map[units.Life]units.CallRate {
+func (g *Gate) Limits() map[units.IncarnationID]units.CallRate {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	limits := make(map[units.Life]units.CallRate)
-	for life, known := range g.upstreams {
+	limits := make(map[units.IncarnationID]units.CallRate)
+	for id, known := range g.upstreams {
 		if known.HasLimit {
-			limits[life] = known.Rate
+			limits[id] = known.Rate
 		}
 	}
 	return limits
--- a/src/pacer/observation.go
+++ b/src/pacer/observation.go
@@ -20,7 +20,7 @@
 
 // Observation is what an upstream's response states about its call rate.
 type Observation struct {
-	Life units.Life
+	IncarnationID units.IncarnationID
 	// HasLimit is false where the upstream takes calls without limit.
 	HasLimit bool
 	Rate     units.CallRate
--- a/src/pacer/pacer_test.go
+++ b/src/pacer/pacer_test.go
@@ -14,15 +14,15 @@
 // began is the start time of the tests.
 var began = time.Unix(1000, 0)
 
-const life units.Life = 7
+const life units.IncarnationID = 7
 
 // testFleet simulates entries that poll a leader, an upstream that states a limit, and callers.
 type testFleet struct {
-	random  *rand.Rand
-	now     time.Time
-	divider *Allocator
-	entries []*testEntry
-	rate    units.CallRate
+	random    *rand.Rand
+	now       time.Time
+	allocator *Allocator
+	entries   []*testEntry
+	rate      units.CallRate
 	// sentAt holds when calls were sent to the upstream.
 	sentAt []time.Time
 }
@@ -42,10 +42,10 @@
 
 func newFleet(random *rand.Rand, entries int, rate units.CallRate) *testFleet {
 	f := &testFleet{
-		random:  random,
-		now:     began,
-		divider: &Allocator{},
-		rate:    rate,
+		random:    random,
+		now:       began,
+		allocator: &Allocator{},
+		rate:      rate,
 	}
 	for i := range entries {
 		f.entries = append(f.entries, &testEntry{
@@ -69,11 +69,11 @@
 	}
 	f.sentAt = append(f.sentAt, f.now)
 	e.gate.RecordObservation(Observation{
-		Life:       life,
-		HasLimit:   f.rate >= 0,
-		Rate:       f.rate,
-		AnsweredAt: f.now.Add(2 * time.Millisecond),
-		SentAt:     f.now,
+		IncarnationID: life,
+		HasLimit:      f.rate >= 0,
+		Rate:          f.rate,
+		AnsweredAt:    f.now.Add(2 * time.Millisecond),
+		SentAt:        f.now,
 	})
 }
 
@@ -81,15 +81,15 @@
 	e.nextPoll = f.now.Add(e.interval)
 	reported, last := e.gate.ObservationsAfter(e.reported)
 	for _, o := range reported {
-		f.divider.RecordObservation(f.now, o)
+		f.allocator.RecordObservation(f.now, o)
 	}
 	wants := e.gate.TakeDemand(f.now)
 	e.reported = last
-	limits, _ := f.divider.Limits()
+	limits, _ := f.allocator.Limits()
 	e.gate.RecordLeaderContact(f.now, len(f.entries))
 	e.gate.ApplyLimits(f.now, last, limits, true)
 	for l, calls := range wants {
-		e.gate.AddPermits(f.now, l, f.divider.Grant(f.now, e.name, l, calls))
+		e.gate.AddPermits(f.now, l, f.allocator.Grant(f.now, e.name, l, calls))
 	}
 }
 
@@ -173,7 +173,7 @@
 	granted := make(map[units.Instance]int)
 	for range 30 * 20 {
 		for _, e := range f.entries {
-			granted[e.name] += f.divider.Grant(f.now, e.name, life, 5)
+			granted[e.name] += f.allocator.Grant(f.now, e.name, life, 5)
 		}
 		f.now = f.now.Add(50 * time.Millisecond)
 	}
@@ -188,19 +188,19 @@
 // unlimited returns one without a limit.
 func stated(rate units.CallRate, answered int) Observation {
 	return Observation{
-		Life:       life,
-		HasLimit:   true,
-		Rate:       rate,
-		AnsweredAt: at(answered),
-		SentAt:     at(answered - 100),
+		IncarnationID: life,
+		HasLimit:      true,
+		Rate:          rate,
+		AnsweredAt:    at(answered),
+		SentAt:        at(answered - 100),
 	}
 }
 
 func unlimited(sent, answered int) Observation {
 	return Observation{
-		Life:       life,
-		AnsweredAt: at(answered),
-		SentAt:     at(sent),
+		IncarnationID: life,
+		AnsweredAt:    at(answered),
+		SentAt:        at(sent),
 	}
 }
 
@@ -245,7 +245,7 @@
 // Guards against an entry that drops its own observation because the leader does not have it yet,
 // and one that keeps a limit that the leader knows to be withdrawn.
 func TestEntryAppliesTheLeadersNewerLimits(t *testing.T) {
-	limit := []Limit{{Life: life, Rate: 2, StatedAt: at(1000)}}
+	limit := []Limit{{IncarnationID: life, Rate: 2, StatedAt: at(1000)}}
 	cases := map[string]struct {
 		observations []Observation
 		acknowledged ObservationNumber
@@ -262,7 +262,7 @@
 		"withdrawal reported":                      {observations: []Observation{stated(2, 1000), unlimited(2000, 2100)}, acknowledged: 2, settled: true},
 		"withdrawn, then stated to other entries": {
 			observations: []Observation{stated(2, 1000), unlimited(2000, 2100)}, acknowledged: 2, settled: true,
-			limits: []Limit{{Life: life, Rate: 2, StatedAt: at(3000)}}, want: true,
+			limits: []Limit{{IncarnationID: life, Rate: 2, StatedAt: at(3000)}}, want: true,
 		},
 	}
 	for name, c := range cases {
@@ -324,10 +324,10 @@
 func TestLowerLimitRevokesPermits(t *testing.T) {
 	lower := map[string]func(g *Gate, now time.Time){
 		"by an answer": func(g *Gate, now time.Time) {
-			g.RecordObservation(Observation{Life: life, HasLimit: true, Rate: 1, AnsweredAt: now})
+			g.RecordObservation(Observation{IncarnationID: life, HasLimit: true, Rate: 1, AnsweredAt: now})
 		},
 		"by the leader": func(g *Gate, now time.Time) {
-			g.ApplyLimits(now, 9, []Limit{{Life: life, Rate: 1, StatedAt: now}}, true)
+			g.ApplyLimits(now, 9, []Limit{{IncarnationID: life, Rate: 1, StatedAt: now}}, true)
 		},
 	}
 	for name, report := range lower {
@@ -356,7 +356,7 @@
 	d := &Allocator{}
 	d.RecordObservation(at(0), stated(2, 0))
 	_, before := d.Limits()
-	d.RetainLimits(at(100), func(units.Life) bool { return false })
+	d.RetainLimits(at(100), func(units.IncarnationID) bool { return false })
 	limits, after := d.Limits()
 	if len(limits) > 0 || after == before {
 		t.Errorf("limits: got %v at version %d after version %d, want none at another version", limits, after, before)
--- a/src/parser/deployment.go
+++ b/src/parser/deployment.go
@@ -76,7 +76,7 @@
 }
 
 // Usage configures usage reports: the calls are counted per Window, and a window is reported
-// at most Lateness after its end.
+// at most MaxDelay after its end.
 type Usage struct {
 	Window   time.Duration `yaml:"window"`
 	MaxDelay time.Duration `yaml:"lateness"`
--- a/src/persister/keeper_test.go
+++ b/src/persister/persister_test.go
@@ -355,7 +355,7 @@
 	}
 	var copied *ForeignFolderError
 	if _, _, err := Open(folder, "c1"); !errors.As(err, &copied) {
-		t.Errorf("with inode check: got %v, want a *CopiedError", err)
+		t.Errorf("with inode check: got %v, want a *ForeignFolderError", err)
 	}
 	reopened, keptReopened, err := OpenWithoutInodeCheck(folder, "c1")
 	if err != nil {
@@ -368,6 +368,6 @@
 		t.Fatal(err)
 	}
 	if _, _, err := OpenWithoutInodeCheck(folder, "c2"); !errors.As(err, &copied) {
-		t.Errorf("another instance's folder: got %v, want a *CopiedError", err)
+		t.Errorf("another instance's folder: got %v, want a *ForeignFolderError", err)
 	}
 }
--- a/src/placer/engine_test.go
+++ b/src/placer/engine_test.go
@@ -84,7 +84,7 @@
 // defaultMaxPause is the longest pause between events of a stream that is on time.
 const defaultMaxPause = 500 * time.Millisecond
 
-// job is one call at an engine. countedPrefill is what it added to its upstream's Prefill.
+// job is one call at an engine. countedPrefill is what it added to its upstream's PrefillTokens.
 type job struct {
 	call           *dispatcher.Call
 	kind           *kind
--- a/src/placer/gate_test.go
+++ b/src/placer/gate_test.go
@@ -9,36 +9,36 @@
 
 // fakeGate admits a fixed number of calls to each upstream in left.
 type fakeGate struct {
-	left   map[units.Life]int
-	wanted map[units.Life]int
-	// raced holds upstreams whose last permit another call takes between Closed and Take.
-	raced map[units.Life]bool
+	left   map[units.IncarnationID]int
+	wanted map[units.IncarnationID]int
+	// raced holds upstreams whose last permit another call takes between Closed and Admit.
+	raced map[units.IncarnationID]bool
 }
 
-func (p *fakeGate) Closed(time.Time) map[units.Life]bool {
-	closed := make(map[units.Life]bool)
-	for life, left := range p.left {
-		closed[life] = left <= 0
+func (p *fakeGate) Closed(time.Time) map[units.IncarnationID]bool {
+	closed := make(map[units.IncarnationID]bool)
+	for id, left := range p.left {
+		closed[id] = left <= 0
 	}
 	return closed
 }
 
-func (p *fakeGate) RecordDemand(life units.Life) { p.wanted[life]++ }
+func (p *fakeGate) RecordDemand(id units.IncarnationID) { p.wanted[id]++ }
 
-func (p *fakeGate) Admit(_ time.Time, life units.Life) bool {
-	left, limited := p.left[life]
+func (p *fakeGate) Admit(_ time.Time, id units.IncarnationID) bool {
+	left, limited := p.left[id]
 	if !limited {
 		return true
 	}
-	if p.raced[life] {
-		p.left[life] = 0
+	if p.raced[id] {
+		p.left[id] = 0
 		return false
 	}
-	p.left[life]--
+	p.left[id]--
 	return left > 0
 }
 
-func lifeOf(name units.Upstream) units.Life { return units.NewLife(name, 0) }
+func incarnationOf(name units.Upstream) units.IncarnationID { return units.NewIncarnationID(name, 0) }
 
 // Guards against calls to an upstream beyond its limit: when all others have been tried, are
 // silent or are busier, and when another call has taken the last permit.
@@ -62,12 +62,12 @@
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(2)
 			gate := &fakeGate{
-				left:   make(map[units.Life]int),
-				wanted: make(map[units.Life]int),
-				raced:  map[units.Life]bool{lifeOf(c.raced): true},
+				left:   make(map[units.IncarnationID]int),
+				wanted: make(map[units.IncarnationID]int),
+				raced:  map[units.IncarnationID]bool{incarnationOf(c.raced): true},
 			}
 			for upstream, left := range c.left {
-				gate.left[lifeOf(upstream)] = left
+				gate.left[incarnationOf(upstream)] = left
 			}
 			f.Gate = gate
 			for i, want := range c.want {
@@ -80,7 +80,7 @@
 				}
 			}
 			for upstream, left := range c.left {
-				if left == 0 && len(c.tried) == 0 && gate.wanted[lifeOf(upstream)] == 0 {
+				if left == 0 && len(c.tried) == 0 && gate.wanted[incarnationOf(upstream)] == 0 {
 					t.Errorf("withheld calls recorded for %s: got none, want some", upstream)
 				}
 			}
--- a/src/placer/placer.go
+++ b/src/placer/placer.go
@@ -77,10 +77,10 @@
 	// Silent is set while control receives no heartbeats from the upstream.
 	Silent bool
 	// TerminatesAt is the expected time at which a leaving upstream terminates.
-	TerminatesAt time.Time
-	stats        *stats
-	hash         Hash
-	life         units.Life
+	TerminatesAt  time.Time
+	stats         *stats
+	hash          Hash
+	incarnationID units.IncarnationID
 	// position is the upstream's place, from 0 to 1, in an order that all entries compute
 	// alike.
 	position float64
@@ -120,11 +120,11 @@
 // Gate admits calls to upstreams that limit their rate of calls.
 type Gate interface {
 	// Closed returns the upstreams that may not receive a call now.
-	Closed(now time.Time) map[units.Life]bool
+	Closed(now time.Time) map[units.IncarnationID]bool
 	// RecordDemand records that a call was withheld from an upstream at its limit.
-	RecordDemand(life units.Life)
+	RecordDemand(id units.IncarnationID)
 	// Admit admits one call to an upstream, or returns false where it is at its limit.
-	Admit(now time.Time, life units.Life) bool
+	Admit(now time.Time, id units.IncarnationID) bool
 }
 
 // Random is the placer's source of randomness; it must be safe for concurrent use.
@@ -172,13 +172,13 @@
 	}
 	hash := HashOf(u.Name)
 	return &Candidate{
-		Upstream: u,
-		Cold:     cold,
-		Silent:   silent,
-		stats:    s,
-		hash:     hash,
-		life:     units.NewLife(u.Name, u.Incarnation),
-		position: positionOf(hash),
+		Upstream:      u,
+		Cold:          cold,
+		Silent:        silent,
+		stats:         s,
+		hash:          hash,
+		incarnationID: units.NewIncarnationID(u.Name, u.Incarnation),
+		position:      positionOf(hash),
 	}
 }
 
@@ -211,7 +211,7 @@
 			return nil
 		}
 		// Another call may have used up the limit since the candidates were selected.
-		if p.Gate == nil || p.Gate.Admit(now, c.life) {
+		if p.Gate == nil || p.Gate.Admit(now, c.incarnationID) {
 			return c.Upstream
 		}
 	}
@@ -412,13 +412,13 @@
 // the gate are left out.
 func (p *Placer) eligible(now time.Time, all []*Candidate, tried []units.Upstream) []*Candidate {
 	var healthy, suspect []*Candidate
-	var closed map[units.Life]bool
+	var closed map[units.IncarnationID]bool
 	if p.Gate != nil {
 		closed = p.Gate.Closed(now)
 	}
 	for _, c := range all {
-		if closed[c.life] {
-			p.Gate.RecordDemand(c.life)
+		if closed[c.incarnationID] {
+			p.Gate.RecordDemand(c.incarnationID)
 			continue
 		}
 		if slices.Contains(tried, c.Name) || int(c.Local.InFlight.Load()) >= p.MaxInFlight(c.Upstream) {
--- a/src/prover/certificates_test.go
+++ b/src/prover/certificates_test.go
@@ -26,10 +26,10 @@
 }
 
 // peerConfig returns the client TLS configuration of a process whose certificate the
-// stage's authority issued.
-func peerConfig(t *testing.T, stage *stager.Stage, role certifier.Role, name string) *tls.Config {
+// cluster's authority issued.
+func peerConfig(t *testing.T, cluster *stager.Cluster, role certifier.Role, name string) *tls.Config {
 	t.Helper()
-	files, err := stage.IssueCertificate(certifier.Identity{
+	files, err := cluster.IssueCertificate(certifier.Identity{
 		Role: role,
 		Name: name,
 	})
--- a/src/prover/control_test.go
+++ b/src/prover/control_test.go
@@ -28,14 +28,14 @@
 	neverPeriod = 2500 * time.Millisecond
 )
 
-// newControlStage returns a stage that replaces a lost voter after one second.
-func newControlStage(t *testing.T) *stager.Stage {
+// newControlCluster returns a cluster that replaces a lost voter after one second.
+func newControlCluster(t *testing.T) *stager.Cluster {
 	t.Helper()
-	stage := newStage(t)
-	stage.Timing = parser.Timing{
+	cluster := newCluster(t)
+	cluster.Timing = parser.Timing{
 		ReplacementDelay: time.Second,
 	}
-	return stage
+	return cluster
 }
 
 // exampleDocument returns the example configuration under a version; the comment
@@ -179,15 +179,15 @@
 // The leader is killed. The next leader must accept a change, and an operator who
 // resends an earlier change must get the answer that it was accepted.
 func TestLeaderKillLosesNoChange(t *testing.T) {
-	stage := newControlStage(t)
-	startFleet(t, stage, 3, 0)
-	awaitAccepted(t, stage.Controls, 1)
-	leader := awaitLeader(t, stage.Controls)
+	cluster := newControlCluster(t)
+	startFleet(t, cluster, 3, 0)
+	awaitAccepted(t, cluster.Controls, 1)
+	leader := awaitLeader(t, cluster.Controls)
 	leader.Kill()
-	rest := excluding(stage.Controls, leader)
+	rest := excluding(cluster.Controls, leader)
 	awaitAccepted(t, rest, 2)
 	awaitAccepted(t, rest, 1)
-	if err := stage.Start(leader); err != nil {
+	if err := cluster.Start(leader); err != nil {
 		t.Fatal(err)
 	}
 	await(t, "old leader holds version 2", func() bool {
@@ -200,11 +200,11 @@
 // resumes in the middle of its work, it must not accept the first content, nor
 // report an outdated version.
 func TestResumedLeaderAcceptsNothingStale(t *testing.T) {
-	stage := newControlStage(t)
-	startFleet(t, stage, 3, 0)
-	awaitAccepted(t, stage.Controls, 1)
-	leader := awaitLeader(t, stage.Controls)
-	rest := excluding(stage.Controls, leader)
+	cluster := newControlCluster(t)
+	startFleet(t, cluster, 3, 0)
+	awaitAccepted(t, cluster.Controls, 1)
+	leader := awaitLeader(t, cluster.Controls)
+	rest := excluding(cluster.Controls, leader)
 	leader.Signal(syscall.SIGSTOP)
 	lateResult := make(chan *messages.SubmissionResult, 1)
 	lostContent := exampleDocument(t, 2, "of the frozen leader")
@@ -233,9 +233,9 @@
 // Three operators concurrently submit different contents under one version to
 // different instances. Exactly one may be accepted, and the others must be told whose.
 func TestConcurrentSubmissionsHaveOneWinner(t *testing.T) {
-	stage := newControlStage(t)
-	startFleet(t, stage, 3, 0)
-	awaitAccepted(t, stage.Controls, 1)
+	cluster := newControlCluster(t)
+	startFleet(t, cluster, 3, 0)
+	awaitAccepted(t, cluster.Controls, 1)
 	for version := 2; version < 8; version++ {
 		operators := []string{"alice", "bob", "carol"}
 		results := make([]*messages.SubmissionResult, len(operators))
@@ -243,7 +243,7 @@
 		for i, operator := range operators {
 			content := exampleDocument(t, version, operator)
 			go func() {
-				results[i] = submit(t.Context(), stage.Controls[i], content, operator)
+				results[i] = submit(t.Context(), cluster.Controls[i], content, operator)
 				ended <- struct{}{}
 			}()
 		}
@@ -271,14 +271,14 @@
 // keeps. The voter must catch up by a snapshot. Once the leader is killed, the
 // outcome of the first change must still be known, also if this voter leads.
 func TestRestartCatchesUpWith500Changes(t *testing.T) {
-	stage := newControlStage(t)
-	stage.Timing.ReplacementDelay = time.Minute
-	startFleet(t, stage, 3, 1)
-	awaitAccepted(t, stage.Controls, 1)
-	leader := awaitLeader(t, stage.Controls)
-	behind := excluding(stage.Controls, leader)[0]
+	cluster := newControlCluster(t)
+	cluster.Timing.ReplacementDelay = time.Minute
+	startFleet(t, cluster, 3, 1)
+	awaitAccepted(t, cluster.Controls, 1)
+	leader := awaitLeader(t, cluster.Controls)
+	behind := excluding(cluster.Controls, leader)[0]
 	behind.Kill()
-	stage.Entries[0].Kill()
+	cluster.Entries[0].Kill()
 	for version := 2; version <= 501; version++ {
 		result := submit(t.Context(), leader, exampleDocument(t, version, "change"), "alice")
 		if got, want := result.GetOutcome(), messages.Outcome_OUTCOME_ACCEPTED; got != want {
@@ -286,10 +286,10 @@
 		}
 	}
 	began := time.Now()
-	if err := stage.Start(behind); err != nil {
+	if err := cluster.Start(behind); err != nil {
 		t.Fatal(err)
 	}
-	if err := stage.Start(stage.Entries[0]); err != nil {
+	if err := cluster.Start(cluster.Entries[0]); err != nil {
 		t.Fatal(err)
 	}
 	await(t, "voter has caught up by a snapshot", func() bool {
@@ -298,10 +298,10 @@
 	})
 	t.Logf("voter 500 changes behind caught up within %s of its start", time.Since(began).Round(time.Millisecond))
 	await(t, "entry has the newest version in force", func() bool {
-		return entryDump(t, stage.Entries[0]).VersionInForce == 501
+		return entryDump(t, cluster.Entries[0]).VersionInForce == 501
 	})
 	t.Logf("entry 500 changes behind within %s of its start", time.Since(began).Round(time.Millisecond))
-	for _, node := range stage.Controls {
+	for _, node := range cluster.Controls {
 		info, err := os.Stat(node.Settings.DataFolder + "/records")
 		if err != nil {
 			t.Fatal(err)
@@ -311,6 +311,6 @@
 		}
 	}
 	leader.Kill()
-	awaitAccepted(t, excluding(stage.Controls, leader), 1)
-	awaitAccepted(t, excluding(stage.Controls, leader), 502)
+	awaitAccepted(t, excluding(cluster.Controls, leader), 1)
+	awaitAccepted(t, excluding(cluster.Controls, leader), 502)
 }
--- a/src/prover/controlpartition_test.go
+++ b/src/prover/controlpartition_test.go
@@ -99,7 +99,7 @@
 
 // restartBehindProxies restarts a node so that it reaches each other control
 // instance through a separate proxy.
-func restartBehindProxies(t *testing.T, stage *stager.Stage, node *stager.Node) []*blackholeProxy {
+func restartBehindProxies(t *testing.T, cluster *stager.Cluster, node *stager.Node) []*blackholeProxy {
 	t.Helper()
 	var cutters []*blackholeProxy
 	var addresses []parser.ControlAddress
@@ -113,7 +113,7 @@
 	}
 	node.Kill()
 	node.Settings.Control = addresses
-	if err := stage.Start(node); err != nil {
+	if err := cluster.Start(node); err != nil {
 		t.Fatal(err)
 	}
 	return cutters
@@ -126,22 +126,22 @@
 }
 
 // startConfigured starts a fleet with the example configuration in force at every entry.
-func startConfigured(t *testing.T) *stager.Stage {
+func startConfigured(t *testing.T) *stager.Cluster {
 	t.Helper()
-	stage := newControlStage(t)
-	stage.Timing.FenceTimeout = 2 * time.Second
-	startFleet(t, stage, 3, 3)
-	apply(t, stage, "../../examples/hearthline.yaml")
-	return stage
+	cluster := newControlCluster(t)
+	cluster.Timing.FenceTimeout = 2 * time.Second
+	startFleet(t, cluster, 3, 3)
+	apply(t, cluster, "../../examples/hearthline.yaml")
+	return cluster
 }
 
-func applyVersion(t *testing.T, stage *stager.Stage, version int) {
+func applyVersion(t *testing.T, cluster *stager.Cluster, version int) {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), fmt.Sprintf("%d.yaml", version))
 	if err := os.WriteFile(file, []byte(exampleDocument(t, version, "change")), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	apply(t, stage, file)
+	apply(t, cluster, file)
 }
 
 func isReady(t *testing.T, node *stager.Node) bool {
@@ -153,19 +153,19 @@
 // others elect a leader. The isolated instance must accept nothing and report no
 // status, and once the partition ends it must hold what the others accepted.
 func TestIsolatedControlAnswersNothing(t *testing.T) {
-	stage := newControlStage(t)
-	startFleet(t, stage, 3, 0)
-	awaitAccepted(t, stage.Controls, 1)
-	isolated := awaitLeader(t, stage.Controls)
-	rest := excluding(stage.Controls, isolated)
+	cluster := newControlCluster(t)
+	startFleet(t, cluster, 3, 0)
+	awaitAccepted(t, cluster.Controls, 1)
+	isolated := awaitLeader(t, cluster.Controls)
+	rest := excluding(cluster.Controls, isolated)
 	var cutters []*blackholeProxy
-	cutters = append(cutters, restartBehindProxies(t, stage, isolated)...)
+	cutters = append(cutters, restartBehindProxies(t, cluster, isolated)...)
 	for _, node := range rest {
-		proxies := restartBehindProxies(t, stage, node)
-		index := slices.IndexFunc(excluding(stage.Controls, node), func(other *stager.Node) bool { return other == isolated })
+		proxies := restartBehindProxies(t, cluster, node)
+		index := slices.IndexFunc(excluding(cluster.Controls, node), func(other *stager.Node) bool { return other == isolated })
 		cutters = append(cutters, proxies[index])
 	}
-	awaitAccepted(t, stage.Controls, 2)
+	awaitAccepted(t, cluster.Controls, 2)
 	setAllDropping(cutters, true)
 	awaitAccepted(t, rest, 3)
 	never(t, "an answer of the isolated instance", func() bool {
@@ -183,34 +183,34 @@
 // other and must continue to serve, for longer than the fence time. When control is
 // back, the next change must come into force at every entry.
 func TestTrafficContinuesWithoutControl(t *testing.T) {
-	stage := startConfigured(t)
-	if _, err := stage.StartUpstream("plain", "diary-1", "--service", "diary-app", "--data-centre", "dc-a"); err != nil {
+	cluster := startConfigured(t)
+	if _, err := cluster.StartUpstream("plain", "diary-1", "--service", "diary-app", "--data-centre", "dc-a"); err != nil {
 		t.Fatal(err)
 	}
-	await(t, "a booking answered", func() bool { return postBooking(t, stage.Entries[0]) == http.StatusOK })
+	await(t, "a booking answered", func() bool { return postBooking(t, cluster.Entries[0]) == http.StatusOK })
 	await(t, "view with three entries at each", func() bool {
-		return viewSizeInForce(t, stage, stage.Entries) == 3
+		return viewSizeInForce(t, cluster, cluster.Entries) == 3
 	})
-	for _, node := range stage.Controls {
+	for _, node := range cluster.Controls {
 		node.Kill()
 	}
-	ends := time.Now().Add(2 * fenceTime(stage))
+	ends := time.Now().Add(2 * fenceTime(cluster))
 	for round := 0; time.Now().Before(ends); round++ {
-		entry := stage.Entries[round%len(stage.Entries)]
+		entry := cluster.Entries[round%len(cluster.Entries)]
 		if got, want := postBooking(t, entry), http.StatusOK; got != want {
 			t.Fatalf("booking %d at %s without control: got %d, want %d", round, entry.Settings.Name, got, want)
 		}
 	}
-	for _, node := range stage.Controls {
-		if err := stage.Start(node); err != nil {
+	for _, node := range cluster.Controls {
+		if err := cluster.Start(node); err != nil {
 			t.Fatal(err)
 		}
 	}
-	applyVersion(t, stage, 2)
+	applyVersion(t, cluster, 2)
 }
 
-func fenceTime(stage *stager.Stage) time.Duration {
-	settings := &parser.Settings{Timing: stage.Timing}
+func fenceTime(cluster *stager.Cluster) time.Duration {
+	settings := &parser.Settings{Timing: cluster.Timing}
 	settings.FillDefaults()
 	return settings.Timing.FenceTimeout
 }
@@ -238,26 +238,26 @@
 // longer receive changes, so it must become unready and refuse calls as not run.
 // When the partition ends, it must serve the new version.
 func TestIsolatedEntryFencesItself(t *testing.T) {
-	stage := startConfigured(t)
-	isolated := stage.Entries[2]
-	cutters := restartBehindProxies(t, stage, isolated)
+	cluster := startConfigured(t)
+	isolated := cluster.Entries[2]
+	cutters := restartBehindProxies(t, cluster, isolated)
 	await(t, "entry ready behind its proxies", func() bool { return isReady(t, isolated) })
-	applyVersion(t, stage, 2)
+	applyVersion(t, cluster, 2)
 	setAllDropping(cutters, true)
-	for _, node := range stage.Entries[:2] {
+	for _, node := range cluster.Entries[:2] {
 		node.Kill()
 	}
 	await(t, "isolated entry unready", func() bool { return !isReady(t, isolated) })
 	if got, want := postBooking(t, isolated), http.StatusServiceUnavailable; got != want {
 		t.Errorf("booking at the fenced entry: got %d, want %d", got, want)
 	}
-	for _, node := range stage.Entries[:2] {
-		if err := stage.Start(node); err != nil {
+	for _, node := range cluster.Entries[:2] {
+		if err := cluster.Start(node); err != nil {
 			t.Fatal(err)
 		}
 	}
 	setAllDropping(cutters, false)
-	applyVersion(t, stage, 3)
+	applyVersion(t, cluster, 3)
 	await(t, "entry ready again with version 3", func() bool {
 		return isReady(t, isolated) && entryDump(t, isolated).VersionInForce == 3
 	})
@@ -266,15 +266,15 @@
 // An entry is partitioned from control but reaches its peers. It must get a change
 // from them and continue to serve, so that the change is in force at every entry.
 func TestEntryWithoutControlGetsChangesFromPeers(t *testing.T) {
-	stage := startConfigured(t)
-	isolated := stage.Entries[2]
-	cutters := restartBehindProxies(t, stage, isolated)
+	cluster := startConfigured(t)
+	isolated := cluster.Entries[2]
+	cutters := restartBehindProxies(t, cluster, isolated)
 	await(t, "entry ready behind its proxies", func() bool { return isReady(t, isolated) })
 	await(t, "view with three entries at each", func() bool {
-		return viewSizeInForce(t, stage, stage.Entries) == 3
+		return viewSizeInForce(t, cluster, cluster.Entries) == 3
 	})
 	setAllDropping(cutters, true)
-	awaitAccepted(t, stage.Controls, 2)
+	awaitAccepted(t, cluster.Controls, 2)
 	await(t, "change in force at the partitioned entry", func() bool {
 		return entryDump(t, isolated).VersionInForce == 2
 	})
@@ -284,17 +284,17 @@
 // An entry is frozen while a change is accepted. The status must name it with the
 // reason, and count it as fenced only once it must have stopped serving.
 func TestStatusNamesMissingEntry(t *testing.T) {
-	stage := startConfigured(t)
-	frozen := stage.Entries[2]
+	cluster := startConfigured(t)
+	frozen := cluster.Entries[2]
 	await(t, "view with three entries at each", func() bool {
-		return viewSizeInForce(t, stage, stage.Entries) == 3
+		return viewSizeInForce(t, cluster, cluster.Entries) == 3
 	})
 	frozen.Signal(syscall.SIGSTOP)
 	began := time.Now()
-	awaitAccepted(t, stage.Controls, 2)
+	awaitAccepted(t, cluster.Controls, 2)
 	var missing *messages.EntryStatus
 	await(t, "frozen entry counted as fenced", func() bool {
-		status := readStatus(t.Context(), stage.Controls[0])
+		status := readStatus(t.Context(), cluster.Controls[0])
 		if len(status.GetMissing()) > 0 {
 			missing = status.GetMissing()[0]
 		}
@@ -306,7 +306,7 @@
 		}
 		return true
 	})
-	if got, minElapsed := time.Since(began), fenceTime(stage); got < minElapsed {
+	if got, minElapsed := time.Since(began), fenceTime(cluster); got < minElapsed {
 		t.Errorf("counted as fenced after %s, want at least %s", got, minElapsed)
 	}
 	if got, want := missing.GetEntry(), string(frozen.Settings.Name); got != want {
@@ -325,26 +325,26 @@
 // stay open and carry no data. The other entries must not be fenced because of it,
 // and must have the next change in force.
 func TestFrozenRelayDoesNotFenceOthers(t *testing.T) {
-	stage := newControlStage(t)
-	startFleet(t, stage, 3, 8)
-	apply(t, stage, "../../examples/hearthline.yaml")
+	cluster := newControlCluster(t)
+	startFleet(t, cluster, 3, 8)
+	apply(t, cluster, "../../examples/hearthline.yaml")
 	await(t, "view with eight entries at each", func() bool {
-		return viewSizeInForce(t, stage, stage.Entries) == 8
+		return viewSizeInForce(t, cluster, cluster.Entries) == 8
 	})
 	view := &messages.EntryView{}
-	for _, node := range stage.Entries {
+	for _, node := range cluster.Entries {
 		view.Members = append(view.Members, &messages.EntryMember{
 			Entry:      string(node.Settings.Name),
 			DataCentre: string(node.Settings.DataCentre),
 		})
 	}
-	leaves := slices.DeleteFunc(slices.Clone(stage.Entries), func(node *stager.Node) bool {
+	leaves := slices.DeleteFunc(slices.Clone(cluster.Entries), func(node *stager.Node) bool {
 		return len(distributor.Relays(view, node.Settings.Name)) == 0
 	})
 	if got, want := len(leaves), 4; got != want {
 		t.Fatalf("entries behind a relay: got %d, want %d", got, want)
 	}
-	leader := awaitLeader(t, stage.Controls)
+	leader := awaitLeader(t, cluster.Controls)
 	await(t, "half of the entries report through relays", func() bool {
 		direct := 0
 		for _, entry := range controlDump(t, leader).Entries {
@@ -352,16 +352,16 @@
 				direct++
 			}
 		}
-		return direct == len(stage.Entries)-len(leaves)
+		return direct == len(cluster.Entries)-len(leaves)
 	})
 	leaf := leaves[0]
 	relay := distributor.Relays(view, leaf.Settings.Name)[0].GetEntry()
-	for _, node := range stage.Entries {
+	for _, node := range cluster.Entries {
 		if string(node.Settings.Name) == relay {
 			node.Signal(syscall.SIGSTOP)
 		}
 	}
-	awaitAccepted(t, stage.Controls, 2)
+	awaitAccepted(t, cluster.Controls, 2)
 	await(t, "change in force behind the frozen relay", func() bool {
 		return entryDump(t, leaf).VersionInForce == 2
 	})
--- a/src/prover/explain_test.go
+++ b/src/prover/explain_test.go
@@ -31,17 +31,17 @@
 // it. The decisions must be printed in order: the call, its admission, the
 // candidates, the attempt with its upstream and result, and the outcome.
 func TestExplainPrintsDecisionsInOrder(t *testing.T) {
-	stage := newStage(t)
-	startFleet(t, stage, 1, 2)
-	startEngine(t, stage)
-	apply(t, stage, exampleFile)
+	cluster := newCluster(t)
+	startFleet(t, cluster, 1, 2)
+	startEngine(t, cluster)
+	apply(t, cluster, exampleFile)
 	id := ""
 	await(t, "an answer", func() bool {
-		call, status := callModel(t, stage.Entries[1], modelBody)
+		call, status := callModel(t, cluster.Entries[1], modelBody)
 		id = call
 		return status == http.StatusOK
 	})
-	code, output := runProgram(t, stage, "explain", id, stage.Entries[0].OperatorURL(), stage.Entries[1].OperatorURL())
+	code, output := runProgram(t, cluster, "explain", id, cluster.Entries[0].OperatorURL(), cluster.Entries[1].OperatorURL())
 	if code != launcher.ExitOK {
 		t.Fatalf("exit: got %d with %s, want %d", code, output, launcher.ExitOK)
 	}
@@ -56,7 +56,7 @@
 		}
 		rest = after
 	}
-	code, output = runProgram(t, stage, "explain", "no-such-call", stage.Entries[0].OperatorURL())
+	code, output = runProgram(t, cluster, "explain", "no-such-call", cluster.Entries[0].OperatorURL())
 	if want := "does not know the call"; code != launcher.ExitFailed || !strings.Contains(output, want) {
 		t.Errorf("unknown call: got %d with %s, want %d with %q", code, output, launcher.ExitFailed, want)
 	}
@@ -64,18 +64,18 @@
 
 // A call is refused by a limit of its client account; the explanation must name the limit.
 func TestExplainPrintsExceededLimit(t *testing.T) {
-	stage := newStage(t)
-	startFleet(t, stage, 1, 1)
-	startEngine(t, stage)
-	apply(t, stage, writeExample(t, "1", "requests-per-second: 400", "requests-per-second: 1"))
-	entry := stage.Entries[0]
+	cluster := newCluster(t)
+	startFleet(t, cluster, 1, 1)
+	startEngine(t, cluster)
+	apply(t, cluster, writeExample(t, "1", "requests-per-second: 400", "requests-per-second: 1"))
+	entry := cluster.Entries[0]
 	id := ""
 	await(t, "a refusal by the limit", func() bool {
 		call, status := callModel(t, entry, modelBody)
 		id = call
 		return status == http.StatusTooManyRequests
 	})
-	_, output := runProgram(t, stage, "explain", id, entry.OperatorURL())
+	_, output := runProgram(t, cluster, "explain", id, entry.OperatorURL())
 	if want := "account/strath-sweeps has reached its limit requests-per-second"; !strings.Contains(output, want) {
 		t.Errorf("explanation: got %s, want %q in it", output, want)
 	}
--- a/src/prover/failures_test.go
+++ b/src/prover/failures_test.go
@@ -18,7 +18,7 @@
 func TestShortFailureRun(t *testing.T) {
 	experiment := &injector.Experiment{
 		Deployment: deployer.Hearthline(filepath.Join("..", "..")),
-		Stage:      newStage(t),
+		Cluster:    newCluster(t),
 		Rates: deployer.Rates{
 			Stream:        8,
 			Whole:         2,
--- a/src/prover/fleet_orders_test.go
+++ b/src/prover/fleet_orders_test.go
@@ -26,21 +26,21 @@
 // engine out of service, and no engine may execute an order of the old leader after
 // one of the new leader.
 func TestModelRolloutSurvivesLeaderLoss(t *testing.T) {
-	stage := newStage(t)
-	startFleet(t, stage, 3, 2)
+	cluster := newCluster(t)
+	startFleet(t, cluster, 3, 2)
 	for i := range 4 {
-		_, err := stage.StartUpstream("engine", fmt.Sprintf("ember-%d", i+1), "--service", "ember-llm",
+		_, err := cluster.StartUpstream("engine", fmt.Sprintf("ember-%d", i+1), "--service", "ember-llm",
 			"--model", "ember-1", "--data-centre", "dc-a", "--checks-fencing")
 		if err != nil {
 			t.Fatal(err)
 		}
 	}
-	await(t, "four engines known", func() bool { return len(entryDump(t, stage.Entries[0]).Upstreams) == 4 })
-	apply(t, stage, writeOrderConfiguration(t, "2", 0, 0, ""))
+	await(t, "four engines known", func() bool { return len(entryDump(t, cluster.Entries[0]).Upstreams) == 4 })
+	apply(t, cluster, writeOrderConfiguration(t, "2", 0, 0, ""))
 	minInService, killed := 4, false
 	await(t, "four engines with the new version", func() bool {
 		inService, changed := 0, 0
-		for _, upstream := range entryDump(t, stage.Entries[0]).Upstreams {
+		for _, upstream := range entryDump(t, cluster.Entries[0]).Upstreams {
 			if upstream.Loading == "" {
 				inService++
 			}
@@ -50,7 +50,7 @@
 		}
 		minInService = min(minInService, inService)
 		if changed > 0 && !killed {
-			findLeader(t, stage).Kill()
+			findLeader(t, cluster).Kill()
 			killed = true
 		}
 		return changed == 4
@@ -58,7 +58,7 @@
 	if got, want := minInService, 3; got < want {
 		t.Errorf("minimum of engines in service: got %d, want at least %d", got, want)
 	}
-	for _, upstream := range entryDump(t, stage.Entries[0]).Upstreams {
+	for _, upstream := range entryDump(t, cluster.Entries[0]).Upstreams {
 		log := &standin.OrderLog{}
 		getJSON(t, upstream.Address+"/v1/orders", log)
 		if got, want := len(log.Taken), 1; got != want {
@@ -68,11 +68,11 @@
 }
 
 // findLeader waits until a control instance leads and returns it.
-func findLeader(t *testing.T, stage *stager.Stage) *stager.Node {
+func findLeader(t *testing.T, cluster *stager.Cluster) *stager.Node {
 	t.Helper()
 	var found *stager.Node
 	await(t, "a leader", func() bool {
-		for _, node := range stage.Controls {
+		for _, node := range cluster.Controls {
 			dump := &control.Dump{}
 			if !node.Running() {
 				continue
--- a/src/prover/fleet_purchases_test.go
+++ b/src/prover/fleet_purchases_test.go
@@ -31,24 +31,24 @@
 // once, the replacements must come from the other data centres, and the weight store
 // must never have to refuse a load.
 func TestPurchasesSurviveLeaderLossAndReclaim(t *testing.T) {
-	stage := newStage(t)
-	startFleet(t, stage, 3, 2)
-	cloud, err := stage.StartCloud("--notice", "8s")
+	cluster := newCluster(t)
+	startFleet(t, cluster, 3, 2)
+	cloud, err := cluster.StartCloud("--notice", "8s")
 	if err != nil {
 		t.Fatal(err)
 	}
 	await(t, "the platform", func() bool { return getStatusCode(t.Context(), cloud.URL+"/faults/counts") == http.StatusOK })
-	apply(t, stage, writeOrderConfiguration(t, "2", 8, 32, fmt.Sprintf(cloudSettings, cloud.URL)))
+	apply(t, cluster, writeOrderConfiguration(t, "2", 8, 32, fmt.Sprintf(cloudSettings, cloud.URL)))
 	await(t, "the first launch", func() bool { return cloudCounts(t, cloud).Launched > 0 })
-	findLeader(t, stage).Kill()
-	await(t, "three engines in service", func() bool { return len(enginesInService(t, stage)) == 3 })
+	findLeader(t, cluster).Kill()
+	await(t, "three engines in service", func() bool { return len(enginesInService(t, cluster)) == 3 })
 	if got, want := cloudCounts(t, cloud).Launched, 3; got != want {
 		t.Errorf("instances launched over two leaders: got %d, want %d", got, want)
 	}
 	sendPut(t, cloud.URL+"/faults/refusals?data-centre=dc-a")
 	sendPut(t, cloud.URL+"/faults/reclaims?data-centre=dc-a")
 	await(t, "capacity without the reclaimed data centre", func() bool {
-		serving := enginesInService(t, stage)
+		serving := enginesInService(t, cluster)
 		return serving["dc-a"] == 0 && serving["dc-b"] >= 2 && serving["dc-c"] >= 2
 	})
 	if got, want := cloudCounts(t, cloud).LoadsRefused, 0; got != want {
@@ -57,10 +57,10 @@
 }
 
 // enginesInService counts the engines that serve a model, by data centre.
-func enginesInService(t *testing.T, stage *stager.Stage) map[units.DataCentre]int {
+func enginesInService(t *testing.T, cluster *stager.Cluster) map[units.DataCentre]int {
 	t.Helper()
 	serving := make(map[units.DataCentre]int)
-	for _, upstream := range entryDump(t, stage.Entries[0]).Upstreams {
+	for _, upstream := range entryDump(t, cluster.Entries[0]).Upstreams {
 		if isServing(upstream) {
 			serving[upstream.DataCentre]++
 		}
--- a/src/prover/fleet_test.go
+++ b/src/prover/fleet_test.go
@@ -20,34 +20,34 @@
 // incarnation, and every entry must receive each view, since it determines the
 // owners of call records.
 func TestEntryViewFollowsKillAndRestart(t *testing.T) {
-	stage := newStage(t)
-	startFleet(t, stage, 3, 3)
-	apply(t, stage, "../../examples/hearthline.yaml")
+	cluster := newCluster(t)
+	startFleet(t, cluster, 3, 3)
+	apply(t, cluster, "../../examples/hearthline.yaml")
 	await(t, "view with three entries at each", func() bool {
-		return viewSizeInForce(t, stage, stage.Entries) == 3
+		return viewSizeInForce(t, cluster, cluster.Entries) == 3
 	})
-	before := entryDump(t, stage.Entries[0]).View
-	stage.Entries[2].Kill()
+	before := entryDump(t, cluster.Entries[0]).View
+	cluster.Entries[2].Kill()
 	await(t, "view with two entries", func() bool {
-		return viewSizeInForce(t, stage, stage.Entries[:2]) == 2
+		return viewSizeInForce(t, cluster, cluster.Entries[:2]) == 2
 	})
-	if err := stage.Start(stage.Entries[2]); err != nil {
+	if err := cluster.Start(cluster.Entries[2]); err != nil {
 		t.Fatal(err)
 	}
 	await(t, "view with three entries again", func() bool {
-		return viewSizeInForce(t, stage, stage.Entries) == 3
+		return viewSizeInForce(t, cluster, cluster.Entries) == 3
 	})
-	if got, want := entryDump(t, stage.Entries[0]).View, before+2; got != want {
+	if got, want := entryDump(t, cluster.Entries[0]).View, before+2; got != want {
 		t.Errorf("view number: got %d, want %d", got, want)
 	}
 }
 
 // viewSizeInForce returns the number of members of the newest view, 0 unless all
 // these entries hold it.
-func viewSizeInForce(t *testing.T, stage *stager.Stage, entries []*stager.Node) int {
+func viewSizeInForce(t *testing.T, cluster *stager.Cluster, entries []*stager.Node) int {
 	t.Helper()
 	newest := control.ViewDump{}
-	for _, node := range stage.Controls {
+	for _, node := range cluster.Controls {
 		dump := &control.Dump{}
 		readDump(t, node, dump)
 		if dump.View.Number > newest.Number {
@@ -86,28 +86,28 @@
 // killed as soon as it has answered. If the leaving state were lost with that entry,
 // the others would send calls to an instance that is being reclaimed.
 func TestLeavingStateOutlivesEntryThatReceivedIt(t *testing.T) {
-	stage := newStage(t)
-	startFleet(t, stage, 3, 5)
-	apply(t, stage, "../../examples/hearthline.yaml")
+	cluster := newCluster(t)
+	startFleet(t, cluster, 3, 5)
+	apply(t, cluster, "../../examples/hearthline.yaml")
 	await(t, "view with five entries at each", func() bool {
-		return viewSizeInForce(t, stage, stage.Entries) == 5
+		return viewSizeInForce(t, cluster, cluster.Entries) == 5
 	})
-	upstream, err := stage.StartUpstreamFor(stage.Entries[:1], "engine", "ember-1",
+	upstream, err := cluster.StartUpstreamFor(cluster.Entries[:1], "engine", "ember-1",
 		"--service", "ember-llm", "--model", "ember-1", "--data-centre", "dc-a", "--notice", "60s")
 	if err != nil {
 		t.Fatal(err)
 	}
 	await(t, "upstream known to every entry", func() bool {
-		return countEntriesWith(t, stage.Entries, func(u entry.UpstreamDump) bool { return !u.Leaving }) == 5
+		return countEntriesWith(t, cluster.Entries, func(u entry.UpstreamDump) bool { return !u.Leaving }) == 5
 	})
 	announcement := fmt.Sprintf(`{"upstream":"ember-1","service":"ember-llm","address":%q,"incarnation":"%d",`+
-		`"sequence":"1000000","leaving":true,"leavingWithinMs":"60000"}`, upstream.URL, entryDump(t, stage.Entries[0]).Upstreams[0].Incarnation)
+		`"sequence":"1000000","leaving":true,"leavingWithinMs":"60000"}`, upstream.URL, entryDump(t, cluster.Entries[0]).Upstreams[0].Incarnation)
 	await(t, "leaving announcement accepted", func() bool {
-		return postJSON(t, "http://"+stage.Entries[0].Settings.Upstreams.Address+"/v1/announcements", announcement) == http.StatusNoContent
+		return postJSON(t, "http://"+cluster.Entries[0].Settings.Upstreams.Address+"/v1/announcements", announcement) == http.StatusNoContent
 	})
-	stage.Entries[0].Kill()
+	cluster.Entries[0].Kill()
 	await(t, "leaving state at every other entry", func() bool {
-		return countEntriesWith(t, stage.Entries[1:], func(u entry.UpstreamDump) bool { return u.Leaving }) == 4
+		return countEntriesWith(t, cluster.Entries[1:], func(u entry.UpstreamDump) bool { return u.Leaving }) == 4
 	})
 }
 
@@ -116,24 +116,24 @@
 // it, then drop it and notify the other entries. When the upstream resumes and
 // announces itself again, it must return at every entry.
 func TestFrozenUpstreamExpiresAndReturns(t *testing.T) {
-	stage := newStage(t)
-	startFleet(t, stage, 1, 3)
-	apply(t, stage, "../../examples/hearthline.yaml")
+	cluster := newCluster(t)
+	startFleet(t, cluster, 1, 3)
+	apply(t, cluster, "../../examples/hearthline.yaml")
 	await(t, "view with three entries at each", func() bool {
-		return viewSizeInForce(t, stage, stage.Entries) == 3
+		return viewSizeInForce(t, cluster, cluster.Entries) == 3
 	})
-	upstream, err := stage.StartUpstreamFor(stage.Entries[:1], "engine", "ember-1",
+	upstream, err := cluster.StartUpstreamFor(cluster.Entries[:1], "engine", "ember-1",
 		"--service", "ember-llm", "--model", "ember-1", "--data-centre", "dc-a")
 	if err != nil {
 		t.Fatal(err)
 	}
 	known := func() int {
-		return countEntriesWith(t, stage.Entries, func(u entry.UpstreamDump) bool { return !u.Suspected })
+		return countEntriesWith(t, cluster.Entries, func(u entry.UpstreamDump) bool { return !u.Suspected })
 	}
 	await(t, "upstream known to every entry", func() bool { return known() == 3 })
 	upstream.Signal(syscall.SIGSTOP)
 	await(t, "upstream dropped by every entry", func() bool {
-		return countEntriesWith(t, stage.Entries, func(entry.UpstreamDump) bool { return true }) == 0
+		return countEntriesWith(t, cluster.Entries, func(entry.UpstreamDump) bool { return true }) == 0
 	})
 	upstream.Signal(syscall.SIGCONT)
 	await(t, "upstream known to every entry again", func() bool { return known() == 3 })
--- a/src/prover/input_test.go
+++ b/src/prover/input_test.go
@@ -18,9 +18,9 @@
 )
 
 // runProgram runs a command line and returns its exit code and combined output.
-func runProgram(t *testing.T, stage *stager.Stage, arguments ...string) (launcher.ExitCode, string) {
+func runProgram(t *testing.T, cluster *stager.Cluster, arguments ...string) (launcher.ExitCode, string) {
 	t.Helper()
-	output, err := exec.CommandContext(t.Context(), stage.Program, arguments...).CombinedOutput()
+	output, err := exec.CommandContext(t.Context(), cluster.Program, arguments...).CombinedOutput()
 	var exit *exec.ExitError
 	if errors.As(err, &exit) {
 		return launcher.ExitCode(exit.ExitCode()), string(output)
@@ -31,16 +31,16 @@
 	return launcher.ExitOK, string(output)
 }
 
-func writeSettings(t *testing.T, stage *stager.Stage, change func(*parser.Settings)) string {
+func writeSettings(t *testing.T, cluster *stager.Cluster, change func(*parser.Settings)) string {
 	t.Helper()
-	peers := stage.FreeAddress()
+	peers := cluster.FreeAddress()
 	settings := &parser.Settings{
 		Name:             "c1",
 		DataCentre:       "dc-a",
-		DataFolder:       filepath.Join(stage.Folder, "data"),
+		DataFolder:       filepath.Join(cluster.Folder, "data"),
 		Control:          []parser.ControlAddress{{Name: "c1", DataCentre: "dc-a", Address: peers}},
 		Peers:            parser.Listener{Address: peers},
-		Operators:        parser.Listener{Address: stage.FreeAddress()},
+		Operators:        parser.Listener{Address: cluster.FreeAddress()},
 		InsecureLoopback: true,
 	}
 	change(settings)
@@ -58,7 +58,7 @@
 // A process cannot start with its settings. The exit code must identify the kind of
 // fault for scripts, and the message must name the remedy.
 func TestStartWithUnusableSettingsFails(t *testing.T) {
-	stage := newStage(t)
+	cluster := newCluster(t)
 	occupied, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -94,7 +94,7 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			got, output := runProgram(t, stage, "control", writeSettings(t, stage, c.change))
+			got, output := runProgram(t, cluster, "control", writeSettings(t, cluster, c.change))
 			if got != c.want || !strings.Contains(output, c.remedy) {
 				t.Errorf("exit: got %d with %q, want %d with %q in it", got, output, c.want, c.remedy)
 			}
@@ -105,18 +105,18 @@
 // A configuration has several faults. Both the offline check and control must report
 // all of them at once, and nothing of it may be applied.
 func TestInvalidConfigurationIsRefusedEntirely(t *testing.T) {
-	stage := newStage(t)
-	startFleet(t, stage, 1, 1)
-	apply(t, stage, exampleFile)
+	cluster := newCluster(t)
+	startFleet(t, cluster, 1, 1)
+	apply(t, cluster, exampleFile)
 	bad := writeExample(t, "2", "policy: least-loaded", "policy: luck", "deadline: 60s", "deadline: 60",
 		"brand: fluewise", "brand: flue")
 	faults := []string{`"luck" is not allowed`, `"60" is not allowed: a duration`, `"flue" is not allowed: a brand listed`}
 	for name, arguments := range map[string][]string{
 		"check": {"check", bad},
-		"apply": {"apply", bad, "--control", stage.ControlURLs()},
+		"apply": {"apply", bad, "--control", cluster.ControlURLs()},
 	} {
 		t.Run(name, func(t *testing.T) {
-			code, output := runProgram(t, stage, arguments...)
+			code, output := runProgram(t, cluster, arguments...)
 			if code == launcher.ExitOK {
 				t.Errorf("exit: got %d, want another", code)
 			}
@@ -127,7 +127,7 @@
 			}
 		})
 	}
-	if got, want := statusText(t, stage), "version 1 accepted"; !strings.Contains(got, want) {
+	if got, want := statusText(t, cluster), "version 1 accepted"; !strings.Contains(got, want) {
 		t.Errorf("status: got %q, want %q in it", got, want)
 	}
 }
@@ -136,11 +136,11 @@
 // the secrets nor the hashes that verify them may appear in either: whoever reads
 // logs could otherwise impersonate callers.
 func TestLogsAndDumpsHoldNoSecrets(t *testing.T) {
-	stage := newStage(t)
-	startFleet(t, stage, 1, 1)
-	startEngine(t, stage)
-	apply(t, stage, exampleFile)
-	entry := stage.Entries[0]
+	cluster := newCluster(t)
+	startFleet(t, cluster, 1, 1)
+	startEngine(t, cluster)
+	apply(t, cluster, exampleFile)
+	entry := cluster.Entries[0]
 	await(t, "an answer", func() bool {
 		status, _ := send(t.Context(), t, http.DefaultClient, http.MethodPost,
 			entry.CallerURL()+"/v1/chat/completions", "application/json", modelBody)
@@ -158,10 +158,10 @@
 	}
 	_ = response.Body.Close()
 	texts := map[string]string{
-		"entry's dump":   readDumpText(t, stage, entry),
-		"control's dump": readDumpText(t, stage, stage.Controls[0]),
+		"entry's dump":   readDumpText(t, cluster, entry),
+		"control's dump": readDumpText(t, cluster, cluster.Controls[0]),
 	}
-	logs, err := filepath.Glob(filepath.Join(stage.Folder, "*.log"))
+	logs, err := filepath.Glob(filepath.Join(cluster.Folder, "*.log"))
 	if err != nil || len(logs) < 3 {
 		t.Fatalf("logs: got %v, %v, want those of three processes", logs, err)
 	}
@@ -192,11 +192,11 @@
 // Operators monitor the latencies that callers observe; once a stream has run, each
 // must be exported as a histogram in the Prometheus format.
 func TestMetricsContainLatencies(t *testing.T) {
-	stage := newStage(t)
-	startFleet(t, stage, 1, 1)
-	startEngine(t, stage)
-	apply(t, stage, exampleFile)
-	entry := stage.Entries[0]
+	cluster := newCluster(t)
+	startFleet(t, cluster, 1, 1)
+	startEngine(t, cluster)
+	apply(t, cluster, exampleFile)
+	entry := cluster.Entries[0]
 	await(t, "an answer", func() bool {
 		status, _ := send(t.Context(), t, http.DefaultClient, http.MethodPost, entry.CallerURL()+"/v1/chat/completions",
 			"application/json", strings.Replace(modelBody, `"max_tokens":8`, `"max_tokens":8,"stream":true`, 1))
--- a/src/prover/limit_test.go
+++ b/src/prover/limit_test.go
@@ -54,16 +54,16 @@
 // must reach four seconds' worth of the limit.
 func TestAccountLimitHoldsAcrossEntries(t *testing.T) {
 	const rate = 40
-	stage := newStage(t)
-	startFleet(t, stage, 1, 3)
-	if _, err := stage.StartUpstream("plain", "diary-1", "--service", "diary-app", "--data-centre", "dc-a", "--work", "1ms"); err != nil {
+	cluster := newCluster(t)
+	startFleet(t, cluster, 1, 3)
+	if _, err := cluster.StartUpstream("plain", "diary-1", "--service", "diary-app", "--data-centre", "dc-a", "--work", "1ms"); err != nil {
 		t.Fatal(err)
 	}
-	apply(t, stage, writeExample(t, "2", "requests-per-second: 400", "requests-per-second: 40"))
-	for _, entry := range stage.Entries {
+	apply(t, cluster, writeExample(t, "2", "requests-per-second: 400", "requests-per-second: 40"))
+	for _, entry := range cluster.Entries {
 		await(t, "an answer from the diary", func() bool { return getBookings(t.Context(), entry) == http.StatusOK })
 	}
-	all := stage.Entries
+	all := cluster.Entries
 	for name, entries := range map[string][]*stager.Node{"three entries": all, "one entry": all[:1]} {
 		t.Run(name, func(t *testing.T) {
 			began := time.Now()
@@ -88,12 +88,12 @@
 // answered completely.
 func TestOverloadIsRefusedAsNotRun(t *testing.T) {
 	const callers = 64
-	stage := newStage(t)
-	startFleet(t, stage, 1, 1)
-	startEngine(t, stage)
-	apply(t, stage, exampleFile)
-	entry := stage.Entries[0]
-	await(t, "ember-1 known", func() bool { return strings.Contains(readDumpText(t, stage, entry), "name: ember-1") })
+	cluster := newCluster(t)
+	startFleet(t, cluster, 1, 1)
+	startEngine(t, cluster)
+	apply(t, cluster, exampleFile)
+	entry := cluster.Entries[0]
+	await(t, "ember-1 known", func() bool { return strings.Contains(readDumpText(t, cluster, entry), "name: ember-1") })
 	body := strings.Replace(modelBody, `"max_tokens":8`, `"max_tokens":200`, 1)
 	var answered, refused atomic.Int64
 	var running sync.WaitGroup
--- a/src/prover/main_test.go
+++ b/src/prover/main_test.go
@@ -50,22 +50,22 @@
 	return m.Run()
 }
 
-// newStage returns a stage whose processes end with the test. It marks the test as
-// parallel, since a test with a stage spends most of its time waiting.
-func newStage(t testing.TB) *stager.Stage {
+// newCluster returns a cluster whose processes end with the test. It marks the test as
+// parallel, since a test with a cluster spends most of its time waiting.
+func newCluster(t testing.TB) *stager.Cluster {
 	t.Helper()
 	_, marked := parallelTests.LoadOrStore(t, true)
 	if test, runs := t.(*testing.T); runs && !marked {
 		test.Parallel()
 	}
-	stage := &stager.Stage{
+	cluster := &stager.Cluster{
 		Folder:  t.TempDir(),
 		Program: filepath.Join(programs, "rosecroft"),
 		Standin: filepath.Join(programs, "standin"),
 	}
-	t.Cleanup(stage.Stop)
-	t.Cleanup(func() { showLogs(t, stage.Folder) })
-	return stage
+	t.Cleanup(cluster.Stop)
+	t.Cleanup(func() { showLogs(t, cluster.Folder) })
+	return cluster
 }
 
 // showLogs prints the end of each process's log when the test has failed.
@@ -82,22 +82,22 @@
 }
 
 // startFleet starts a fleet across four data centres and waits until it is healthy.
-func startFleet(t testing.TB, stage *stager.Stage, controls, entries int) {
+func startFleet(t testing.TB, cluster *stager.Cluster, controls, entries int) {
 	t.Helper()
 	dataCentres := []units.DataCentre{"dc-a", "dc-b", "dc-c", "dc-d"}
-	if err := stage.StartFleet(controls, entries, dataCentres); err != nil {
+	if err := cluster.StartFleet(controls, entries, dataCentres); err != nil {
 		t.Fatal(err)
 	}
-	if err := stage.AwaitHealthy(t.Context()); err != nil {
+	if err := cluster.AwaitHealthy(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 }
 
 // apply submits a configuration file and waits until it is in force and every
 // running entry is ready.
-func apply(t testing.TB, stage *stager.Stage, file string) {
+func apply(t testing.TB, cluster *stager.Cluster, file string) {
 	t.Helper()
-	flags, err := stage.TLSFlags(certifier.Identity{
+	flags, err := cluster.TLSFlags(certifier.Identity{
 		Role: certifier.Operator,
 		Name: "alice",
 	})
@@ -105,14 +105,14 @@
 		t.Fatal(err)
 	}
 	arguments := append([]string{
-		"apply", file, "--control", stage.ControlURLs(), "--wait", awaitTimeout.String(),
+		"apply", file, "--control", cluster.ControlURLs(), "--wait", awaitTimeout.String(),
 	}, flags...)
-	command := exec.CommandContext(t.Context(), stage.Program, arguments...)
+	command := exec.CommandContext(t.Context(), cluster.Program, arguments...)
 	output, err := command.CombinedOutput()
 	if err != nil {
 		t.Fatalf("apply %s: %v: %s", file, err, output)
 	}
-	if err := stage.AwaitReady(t.Context()); err != nil {
+	if err := cluster.AwaitReady(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/src/prover/path_test.go
+++ b/src/prover/path_test.go
@@ -11,13 +11,13 @@
 // calls, and each would be refused. It must become ready once the accepted
 // configuration is in force.
 func TestEntryIsReadyOnceConfigured(t *testing.T) {
-	stage := newStage(t)
-	startFleet(t, stage, 1, 1)
-	ready := stage.Entries[0].CallerURL() + "/readyz"
+	cluster := newCluster(t)
+	startFleet(t, cluster, 1, 1)
+	ready := cluster.Entries[0].CallerURL() + "/readyz"
 	if got, want := getStatusCode(t.Context(), ready), http.StatusServiceUnavailable; got != want {
 		t.Errorf("status before a configuration: got %d, want %d", got, want)
 	}
-	apply(t, stage, "../../examples/hearthline.yaml")
+	apply(t, cluster, "../../examples/hearthline.yaml")
 	if got, want := getStatusCode(t.Context(), ready), http.StatusOK; got != want {
 		t.Errorf("status with a configuration: got %d, want %d", got, want)
 	}
@@ -27,19 +27,19 @@
 // killed and restarted. The version must still be accepted, since a majority synced
 // it to disk before the answer.
 func TestConfigurationSurvivesControlRestart(t *testing.T) {
-	stage := newStage(t)
-	startFleet(t, stage, 3, 1)
-	apply(t, stage, "../../examples/hearthline.yaml")
-	for _, control := range stage.Controls {
+	cluster := newCluster(t)
+	startFleet(t, cluster, 3, 1)
+	apply(t, cluster, "../../examples/hearthline.yaml")
+	for _, control := range cluster.Controls {
 		control.Kill()
 	}
-	for _, control := range stage.Controls {
-		if err := stage.Start(control); err != nil {
+	for _, control := range cluster.Controls {
+		if err := cluster.Start(control); err != nil {
 			t.Fatal(err)
 		}
 	}
 	await(t, "version 1 accepted and in force", func() bool {
-		command := exec.CommandContext(t.Context(), stage.Program, "status", "--control", stage.ControlURLs())
+		command := exec.CommandContext(t.Context(), cluster.Program, "status", "--control", cluster.ControlURLs())
 		output, err := command.Output()
 		return err == nil && strings.Contains(string(output), "version 1 accepted, in force at 1 of 1")
 	})
--- a/src/prover/reclaim_test.go
+++ b/src/prover/reclaim_test.go
@@ -70,15 +70,15 @@
 // notice must not send it any, since the call would be aborted. Once every entry has
 // received the engine's announcement, its count of runs must not change.
 func TestLeavingEngineGetsNoNewCalls(t *testing.T) {
-	stage := newStage(t)
-	startFleet(t, stage, 1, 3)
-	engines := startEngines(t, stage, []string{"dc-a", "dc-b"}, "--notice", "60s")
-	apply(t, stage, "../../examples/hearthline.yaml")
-	awaitUpstreams(t, stage, len(engines))
+	cluster := newCluster(t)
+	startFleet(t, cluster, 1, 3)
+	engines := startEngines(t, cluster, []string{"dc-a", "dc-b"}, "--notice", "60s")
+	apply(t, cluster, "../../examples/hearthline.yaml")
+	awaitUpstreams(t, cluster, len(engines))
 	setFault(t, engines[0], `{"accept-leaving":true}`)
 	// A long stream at each engine keeps it from stopping early.
 	holding := streamRequest{
-		entry:  stage.Entries[0],
+		entry:  cluster.Entries[0],
 		prompt: "hold",
 		tokens: 100000,
 	}
@@ -96,7 +96,7 @@
 		<-held
 	}
 	engines[0].Signal(syscall.SIGTERM)
-	for _, entry := range stage.Entries {
+	for _, entry := range cluster.Entries {
 		await(t, "the entry knows that the engine leaves", func() bool {
 			return strings.Contains(readPlainDump(t, entry), "leaving: true")
 		})
@@ -104,7 +104,7 @@
 	before := countRuns(t, engines[0])
 	for i := range 30 {
 		call := streamRequest{
-			entry:  stage.Entries[i%len(stage.Entries)],
+			entry:  cluster.Entries[i%len(cluster.Entries)],
 			prompt: fmt.Sprintf("call %d", i),
 			tokens: 5,
 		}
@@ -124,11 +124,11 @@
 // entry is killed and one of the two engines is killed before its notice has passed.
 // Callers at the other entries must receive each answer completely.
 func TestDataCentreReclaimWithEntryLoss(t *testing.T) {
-	stage := newStage(t)
-	startFleet(t, stage, 1, 3)
-	engines := startEngines(t, stage, []string{"dc-a", "dc-a", "dc-b", "dc-c"}, "--notice", "1s")
-	apply(t, stage, "../../examples/hearthline.yaml")
-	awaitUpstreams(t, stage, len(engines))
+	cluster := newCluster(t)
+	startFleet(t, cluster, 1, 3)
+	engines := startEngines(t, cluster, []string{"dc-a", "dc-a", "dc-b", "dc-c"}, "--notice", "1s")
+	apply(t, cluster, "../../examples/hearthline.yaml")
+	awaitUpstreams(t, cluster, len(engines))
 	const streams = 24
 	ctx, cancel := context.WithTimeout(t.Context(), streamTimeout)
 	defer cancel()
@@ -142,7 +142,7 @@
 	started := make(chan struct{}, streams)
 	for i := range streams {
 		call := streamRequest{
-			entry:  stage.Entries[1+i%2],
+			entry:  cluster.Entries[1+i%2],
 			prompt: fmt.Sprintf("recall %d %s", i, strings.Repeat("flue ", 60)),
 			tokens: 900,
 		}
@@ -170,7 +170,7 @@
 	}
 	engines[0].Signal(syscall.SIGTERM)
 	engines[1].Signal(syscall.SIGTERM)
-	stage.Entries[0].Kill()
+	cluster.Entries[0].Kill()
 	engines[1].Kill()
 	for range streams {
 		o := <-outcomes
--- a/src/prover/record_test.go
+++ b/src/prover/record_test.go
@@ -33,30 +33,30 @@
 
 // startDiary starts entries across four data centres and one diary whose calls take
 // the duration work.
-func startDiary(t testing.TB, entries int, work time.Duration, configuration string) (*stager.Stage, *stager.Upstream) {
+func startDiary(t testing.TB, entries int, work time.Duration, configuration string) (*stager.Cluster, *stager.Upstream) {
 	t.Helper()
-	stage := newStage(t)
-	stage.Timing.FenceTimeout = 500 * time.Millisecond
-	startFleet(t, stage, 1, entries)
-	diary, err := stage.StartUpstream("plain", "diary-1",
+	cluster := newCluster(t)
+	cluster.Timing.FenceTimeout = 500 * time.Millisecond
+	startFleet(t, cluster, 1, entries)
+	diary, err := cluster.StartUpstream("plain", "diary-1",
 		"--service", "diary-app", "--data-centre", "dc-a", "--work", work.String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	apply(t, stage, configuration)
-	if err := stage.AwaitReady(t.Context()); err != nil {
+	apply(t, cluster, configuration)
+	if err := cluster.AwaitReady(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	awaitOwnersFilled(t, stage.Entries, entries)
+	awaitOwnersFilled(t, cluster.Entries, entries)
 	await(t, "the diary at each entry", func() bool {
-		for _, entry := range stage.Entries {
+		for _, entry := range cluster.Entries {
 			if len(entryDump(t, entry).Upstreams) == 0 {
 				return false
 			}
 		}
 		return true
 	})
-	return stage, diary
+	return cluster, diary
 }
 
 // awaitOwnersFilled waits until the entries share one view of some members and every
@@ -144,7 +144,7 @@
 // the booking to another entry. Whatever the progress of the first call, the diary must
 // not book twice, and a caller that already had the answer must get the same one.
 func TestEntryKillRunsNoBookingTwice(t *testing.T) {
-	stage, diary := startDiary(t, 8, 300*time.Millisecond, hearthline)
+	cluster, diary := startDiary(t, 8, 300*time.Millisecond, hearthline)
 	cases := map[string]struct {
 		entry int
 		// runs is the number of runs to await before the kill, 0 for none.
@@ -162,18 +162,18 @@
 			body := fmt.Sprintf(`{"flue":%d}`, c.entry)
 			before := countDiaryRuns(t, diary)
 			first := make(chan bookingReply, 1)
-			go func() { first <- sendBooking(context.WithoutCancel(t.Context()), stage.Entries[c.entry], key, body) }()
+			go func() { first <- sendBooking(context.WithoutCancel(t.Context()), cluster.Entries[c.entry], key, body) }()
 			var answer bookingReply
 			if c.answered {
 				answer = <-first
 			}
 			await(t, "the run", func() bool { return countDiaryRuns(t, diary) >= before+c.runs })
-			stage.Entries[c.entry].Kill()
-			resent := bookUntilFinal(t, stage.Entries[0], key, body)
+			cluster.Entries[c.entry].Kill()
+			resent := bookUntilFinal(t, cluster.Entries[0], key, body)
 			if got, want := resent.body, answer.body; c.answered && got != want {
 				t.Errorf("answer to the resend: got %s, want %s", got, want)
 			}
-			for _, entry := range stage.Entries[1:3] {
+			for _, entry := range cluster.Entries[1:3] {
 				if got, want := bookUntilFinal(t, entry, key, body).body, resent.body; resent.status == http.StatusOK && got != want {
 					t.Errorf("answer at %s: got %s, want %s", entry.Settings.Name, got, want)
 				}
@@ -190,32 +190,32 @@
 // the owners are filled again. Every answer must still be available at the remaining
 // entries, and nothing may run twice.
 func TestAnswersSurviveDataCentreLossAndRestart(t *testing.T) {
-	stage, diary := startDiary(t, 8, 200*time.Millisecond, hearthline)
+	cluster, diary := startDiary(t, 8, 200*time.Millisecond, hearthline)
 	answers := make(map[string]bookingReply)
 	for i := range 12 {
 		key := fmt.Sprintf("booking-%d", i)
-		answers[key] = bookUntilFinal(t, stage.Entries[i%8], key, bookingBody(i))
+		answers[key] = bookUntilFinal(t, cluster.Entries[i%8], key, bookingBody(i))
 	}
-	go sendBooking(context.WithoutCancel(t.Context()), stage.Entries[0], "lost", `{"flue":99}`)
+	go sendBooking(context.WithoutCancel(t.Context()), cluster.Entries[0], "lost", `{"flue":99}`)
 	await(t, "the run", func() bool { return countDiaryRuns(t, diary) == 13 })
-	stage.Entries[0].Kill()
-	stage.Entries[4].Kill()
-	living := []*stager.Node{stage.Entries[1], stage.Entries[2], stage.Entries[3], stage.Entries[5], stage.Entries[6], stage.Entries[7]}
-	if got := bookUntilFinal(t, stage.Entries[1], "lost", `{"flue":99}`); !got.isUnknown() {
+	cluster.Entries[0].Kill()
+	cluster.Entries[4].Kill()
+	living := []*stager.Node{cluster.Entries[1], cluster.Entries[2], cluster.Entries[3], cluster.Entries[5], cluster.Entries[6], cluster.Entries[7]}
+	if got := bookUntilFinal(t, cluster.Entries[1], "lost", `{"flue":99}`); !got.isUnknown() {
 		t.Errorf("booking whose entry was killed: got %d %s, want unknown", got.status, got.body)
 	}
 	expectAnswers(t, living, answers)
 	awaitOwnersFilled(t, living, 6)
-	stage.Entries[1].Kill()
-	if err := stage.Start(stage.Entries[1]); err != nil {
+	cluster.Entries[1].Kill()
+	if err := cluster.Start(cluster.Entries[1]); err != nil {
 		t.Fatal(err)
 	}
 	await(t, "the restarted entry in the view", func() bool {
-		return entryDump(t, stage.Entries[1]).Record.OwnedSlots > 0
+		return entryDump(t, cluster.Entries[1]).Record.OwnedSlots > 0
 	})
 	awaitOwnersFilled(t, living, 6)
-	stage.Entries[2].Kill()
-	expectAnswers(t, []*stager.Node{stage.Entries[1], stage.Entries[3], stage.Entries[5]}, answers)
+	cluster.Entries[2].Kill()
+	expectAnswers(t, []*stager.Node{cluster.Entries[1], cluster.Entries[3], cluster.Entries[5]}, answers)
 	if got, want := countDiaryRuns(t, diary), 13; got != want {
 		t.Errorf("runs: got %d, want %d", got, want)
 	}
@@ -238,10 +238,10 @@
 // call has the same key and another body. One call must run and the others wait for
 // its answer; the call with the other body must be refused and never run.
 func TestConcurrentCallsWithSameKeyRunOnce(t *testing.T) {
-	stage, diary := startDiary(t, 4, 300*time.Millisecond, hearthline)
+	cluster, diary := startDiary(t, 4, 300*time.Millisecond, hearthline)
 	var calls sync.WaitGroup
-	replies := make([]bookingReply, len(stage.Entries))
-	for i, entry := range stage.Entries {
+	replies := make([]bookingReply, len(cluster.Entries))
+	for i, entry := range cluster.Entries {
 		calls.Go(func() { replies[i] = bookUntilFinal(t, entry, "shared", `{"flue":1}`) })
 	}
 	calls.Wait()
@@ -250,7 +250,7 @@
 			t.Errorf("answer at entry %d: got %v, want %v with status 200", i, got, want)
 		}
 	}
-	other := sendBooking(t.Context(), stage.Entries[1], "shared", `{"flue":2}`)
+	other := sendBooking(t.Context(), cluster.Entries[1], "shared", `{"flue":2}`)
 	if got, want := other.status, http.StatusUnprocessableEntity; got != want || !other.isNotRun() {
 		t.Errorf("another body: got %d %s, want %d and not run", got, other.body, want)
 	}
@@ -264,20 +264,20 @@
 // the entry resumes, it must not run the booking again, and its answer must become
 // available.
 func TestResumedEntryRunsNothingTwice(t *testing.T) {
-	stage, diary := startDiary(t, 5, 300*time.Millisecond, hearthline)
+	cluster, diary := startDiary(t, 5, 300*time.Millisecond, hearthline)
 	first := make(chan bookingReply, 1)
 	go func() {
-		first <- sendBooking(context.WithoutCancel(t.Context()), stage.Entries[4], "frozen", `{"flue":1}`)
+		first <- sendBooking(context.WithoutCancel(t.Context()), cluster.Entries[4], "frozen", `{"flue":1}`)
 	}()
 	await(t, "the run", func() bool { return countDiaryRuns(t, diary) == 1 })
-	stage.Entries[4].Signal(syscall.SIGSTOP)
-	if got := bookUntilFinal(t, stage.Entries[0], "frozen", `{"flue":1}`); !got.isUnknown() {
+	cluster.Entries[4].Signal(syscall.SIGSTOP)
+	if got := bookUntilFinal(t, cluster.Entries[0], "frozen", `{"flue":1}`); !got.isUnknown() {
 		t.Errorf("resend while the entry is frozen: got %d %s, want unknown", got.status, got.body)
 	}
-	stage.Entries[4].Signal(syscall.SIGCONT)
+	cluster.Entries[4].Signal(syscall.SIGCONT)
 	answer := <-first
 	await(t, "the answer of the resumed entry", func() bool {
-		return sendBooking(t.Context(), stage.Entries[1], "frozen", `{"flue":1}`) == answer && answer.status == http.StatusOK
+		return sendBooking(t.Context(), cluster.Entries[1], "frozen", `{"flue":1}`) == answer && answer.status == http.StatusOK
 	})
 	if got, want := countDiaryRuns(t, diary), 1; got != want {
 		t.Errorf("runs: got %d, want %d", got, want)
--- a/src/prover/recordcost_test.go
+++ b/src/prover/recordcost_test.go
@@ -35,7 +35,7 @@
 			if err := os.WriteFile(file, []byte(changed), 0o600); err != nil {
 				b.Fatal(err)
 			}
-			stage, _ := startDiary(b, 4, 0, file)
+			cluster, _ := startDiary(b, 4, 0, file)
 			var latencies []time.Duration
 			for i := 0; b.Loop(); i++ {
 				key := c.key
@@ -43,7 +43,7 @@
 					key = fmt.Sprintf("%s-%d", c.key, i)
 				}
 				began := time.Now()
-				got := sendBooking(b.Context(), stage.Entries[0], key, `{"flue":1}`)
+				got := sendBooking(b.Context(), cluster.Entries[0], key, `{"flue":1}`)
 				latencies = append(latencies, time.Since(began))
 				if want := http.StatusOK; got.status != want {
 					b.Fatalf("status: got %d (%s), want %d", got.status, got.body, want)
--- a/src/prover/stream_test.go
+++ b/src/prover/stream_test.go
@@ -95,14 +95,14 @@
 }
 
 // startEngines starts one engine in each of the data centres.
-func startEngines(t *testing.T, stage *stager.Stage, dataCentres []string, arguments ...string) []*stager.Upstream {
+func startEngines(t *testing.T, cluster *stager.Cluster, dataCentres []string, arguments ...string) []*stager.Upstream {
 	t.Helper()
 	var engines []*stager.Upstream
 	for i, dataCentre := range dataCentres {
 		all := append([]string{
 			"--service", "ember-llm", "--model", "ember-1", "--step", engineStep, "--data-centre", dataCentre,
 		}, arguments...)
-		engine, err := stage.StartUpstream("engine", fmt.Sprintf("ember-%d", i+1), all...)
+		engine, err := cluster.StartUpstream("engine", fmt.Sprintf("ember-%d", i+1), all...)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -112,9 +112,9 @@
 }
 
 // awaitUpstreams waits until each entry knows at least count engines.
-func awaitUpstreams(t *testing.T, stage *stager.Stage, count int) {
+func awaitUpstreams(t *testing.T, cluster *stager.Cluster, count int) {
 	t.Helper()
-	for _, entry := range stage.Entries {
+	for _, entry := range cluster.Entries {
 		await(t, "the entry knows its upstreams", func() bool {
 			return strings.Count(readPlainDump(t, entry), "service: ember-llm") >= count
 		})
@@ -205,14 +205,14 @@
 // text that it must generate.
 func startStreamTest(t *testing.T, engines int, arguments ...string) ([]*stager.Upstream, streamRequest, string) {
 	t.Helper()
-	stage := newStage(t)
-	startFleet(t, stage, 1, 1)
+	cluster := newCluster(t)
+	startFleet(t, cluster, 1, 1)
 	dataCentres := []string{"dc-a", "dc-b", "dc-c", "dc-d"}
-	started := startEngines(t, stage, dataCentres[:engines], arguments...)
-	apply(t, stage, "../../examples/hearthline.yaml")
-	awaitUpstreams(t, stage, engines)
+	started := startEngines(t, cluster, dataCentres[:engines], arguments...)
+	apply(t, cluster, "../../examples/hearthline.yaml")
+	awaitUpstreams(t, cluster, engines)
 	call := streamRequest{
-		entry:  stage.Entries[0],
+		entry:  cluster.Entries[0],
 		prompt: "summary of the flue inspection " + strings.Repeat("soot ", 100),
 		tokens: longStreamTokens,
 	}
@@ -226,7 +226,7 @@
 // startReferenceEngine starts a fast engine that no entry knows.
 func startReferenceEngine(t *testing.T) *stager.Upstream {
 	t.Helper()
-	return startEngines(t, newStage(t), []string{"dc-a"}, "--entries", "http://127.0.0.1:1", "--step", "200us")[0]
+	return startEngines(t, newCluster(t), []string{"dc-a"}, "--entries", "http://127.0.0.1:1", "--step", "200us")[0]
 }
 
 // referenceText returns an engine's answer to a call that is made directly, without an entry.
@@ -345,8 +345,8 @@
 		"crossed":   `{"cross":true}`,
 		"truncated": `{"truncate":true}`,
 	}
-	stage := newStage(t)
-	startFleet(t, stage, 1, 1)
+	cluster := newCluster(t)
+	startFleet(t, cluster, 1, 1)
 	content, err := os.ReadFile("../../examples/hearthline.yaml")
 	if err != nil {
 		t.Fatal(err)
@@ -358,22 +358,22 @@
 	}
 	var diaries []*stager.Upstream
 	for i := range 2 {
-		diary, err := stage.StartUpstream("plain", fmt.Sprintf("diary-%d", i+1), "--service", "diary-app", "--data-centre", "dc-a")
+		diary, err := cluster.StartUpstream("plain", fmt.Sprintf("diary-%d", i+1), "--service", "diary-app", "--data-centre", "dc-a")
 		if err != nil {
 			t.Fatal(err)
 		}
 		diaries = append(diaries, diary)
 	}
-	apply(t, stage, file)
+	apply(t, cluster, file)
 	await(t, "the entry knows both diaries", func() bool {
-		return strings.Count(readPlainDump(t, stage.Entries[0]), "service: diary-app") == len(diaries)
+		return strings.Count(readPlainDump(t, cluster.Entries[0]), "service: diary-app") == len(diaries)
 	})
 	before := 0
 	for name, fault := range cases {
 		for _, diary := range diaries {
 			setFault(t, diary, fault)
 		}
-		status, answer := bookWithKey(t, stage.Entries[0], name)
+		status, answer := bookWithKey(t, cluster.Entries[0], name)
 		if got, want := status, http.StatusBadGateway; got != want {
 			t.Errorf("%s: got status %d, want %d", name, got, want)
 		}
--- a/src/prover/tls_test.go
+++ b/src/prover/tls_test.go
@@ -30,29 +30,29 @@
 )
 
 // startTLSFleet starts a fleet over TLS with one engine and the example configuration.
-func startTLSFleet(t *testing.T, controls, entries int) *stager.Stage {
+func startTLSFleet(t *testing.T, controls, entries int) *stager.Cluster {
 	t.Helper()
-	stage := newStage(t)
-	stage.TLS = true
-	startFleet(t, stage, controls, entries)
-	startEngine(t, stage)
-	apply(t, stage, exampleFile)
-	return stage
+	cluster := newCluster(t)
+	cluster.TLS = true
+	startFleet(t, cluster, controls, entries)
+	startEngine(t, cluster)
+	apply(t, cluster, exampleFile)
+	return cluster
 }
 
 // startEngine starts the engine ember-1.
-func startEngine(t *testing.T, stage *stager.Stage) {
+func startEngine(t *testing.T, cluster *stager.Cluster) {
 	t.Helper()
-	_, err := stage.StartUpstream("engine", "ember-1",
+	_, err := cluster.StartUpstream("engine", "ember-1",
 		"--service", "ember-llm", "--model", "ember-1", "--data-centre", "dc-a")
 	if err != nil {
 		t.Fatal(err)
 	}
 }
 
-func clientWithIdentity(t *testing.T, stage *stager.Stage, role certifier.Role, name string) *http.Client {
+func clientWithIdentity(t *testing.T, cluster *stager.Cluster, role certifier.Role, name string) *http.Client {
 	t.Helper()
-	client, err := stage.ClientFor(certifier.Identity{
+	client, err := cluster.ClientFor(certifier.Identity{
 		Role: role,
 		Name: name,
 	})
@@ -80,9 +80,9 @@
 	return response.StatusCode, string(content)
 }
 
-func readDumpText(t *testing.T, stage *stager.Stage, node *stager.Node) string {
+func readDumpText(t *testing.T, cluster *stager.Cluster, node *stager.Node) string {
 	t.Helper()
-	client, err := stage.OperatorClient()
+	client, err := cluster.OperatorClient()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -94,10 +94,10 @@
 // announcements, to the engine, and of the caller, who verifies the entry by its
 // address like any HTTPS client. A call must still be answered.
 func TestFleetServesOverTLS(t *testing.T) {
-	stage := startTLSFleet(t, 3, 2)
-	apply(t, stage, writeExample(t, "2"))
-	caller := callerClient(t, stage)
-	for _, entry := range stage.Entries {
+	cluster := startTLSFleet(t, 3, 2)
+	apply(t, cluster, writeExample(t, "2"))
+	caller := callerClient(t, cluster)
+	for _, entry := range cluster.Entries {
 		await(t, "an answer over TLS", func() bool {
 			status, _ := send(t.Context(), t, caller, http.MethodPost,
 				entry.CallerURL()+"/v1/chat/completions", "application/json", modelBody)
@@ -107,9 +107,9 @@
 }
 
 // callerClient returns a client that trusts the fleet's authority and presents no certificate.
-func callerClient(t *testing.T, stage *stager.Stage) *http.Client {
+func callerClient(t *testing.T, cluster *stager.Cluster) *http.Client {
 	t.Helper()
-	pool := readCertPool(t, stage.Entries[0].Settings.Peers.Authorities)
+	pool := readCertPool(t, cluster.Entries[0].Settings.Peers.Authorities)
 	return &http.Client{
 		Transport: &http.Transport{
 			TLSClientConfig: &tls.Config{RootCAs: pool},
@@ -121,9 +121,9 @@
 // role, submits a configuration or reads a dump. Each request must be refused, and
 // the accepted version must not change.
 func TestUnauthorizedOperatorChangesNothing(t *testing.T) {
-	stage := startTLSFleet(t, 1, 1)
-	otherStage := newStage(t)
-	otherStage.TLS = true
+	cluster := startTLSFleet(t, 1, 1)
+	otherCluster := newCluster(t)
+	otherCluster.TLS = true
 	document, err := os.ReadFile(exampleFile)
 	if err != nil {
 		t.Fatal(err)
@@ -133,27 +133,27 @@
 		client *http.Client
 		want   int
 	}{
-		"no certificate":             {client: callerClient(t, stage), want: http.StatusForbidden},
-		"certificate of an upstream": {client: clientWithIdentity(t, stage, certifier.Upstream, "ember-1"), want: http.StatusForbidden},
-		"certificate of an entry":    {client: clientWithIdentity(t, stage, certifier.Entry, "e1"), want: http.StatusForbidden},
-		"another authority":          {client: skipServerCheck(clientWithIdentity(t, otherStage, certifier.Operator, "alice")), want: 0},
+		"no certificate":             {client: callerClient(t, cluster), want: http.StatusForbidden},
+		"certificate of an upstream": {client: clientWithIdentity(t, cluster, certifier.Upstream, "ember-1"), want: http.StatusForbidden},
+		"certificate of an entry":    {client: clientWithIdentity(t, cluster, certifier.Entry, "e1"), want: http.StatusForbidden},
+		"another authority":          {client: skipServerCheck(clientWithIdentity(t, otherCluster, certifier.Operator, "alice")), want: 0},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			for _, node := range []*stager.Node{stage.Controls[0], stage.Entries[0]} {
+			for _, node := range []*stager.Node{cluster.Controls[0], cluster.Entries[0]} {
 				got, body := send(t.Context(), t, c.client, http.MethodGet, node.OperatorURL()+"/dump", "", "")
 				if got != c.want {
 					t.Errorf("status of a dump: got %d (%s), want %d", got, body, c.want)
 				}
 			}
 			got, body := send(t.Context(), t, c.client, http.MethodPut,
-				stage.Controls[0].OperatorURL()+"/v1/configuration", "application/yaml", next)
+				cluster.Controls[0].OperatorURL()+"/v1/configuration", "application/yaml", next)
 			if got != c.want {
 				t.Errorf("status of a submission: got %d (%s), want %d", got, body, c.want)
 			}
 		})
 	}
-	if got, want := statusText(t, stage), "version 1 accepted"; !strings.Contains(got, want) {
+	if got, want := statusText(t, cluster), "version 1 accepted"; !strings.Contains(got, want) {
 		t.Errorf("status: got %q, want %q in it", got, want)
 	}
 }
@@ -168,17 +168,17 @@
 	return client
 }
 
-func statusText(t *testing.T, stage *stager.Stage) string {
+func statusText(t *testing.T, cluster *stager.Cluster) string {
 	t.Helper()
-	flags, err := stage.TLSFlags(certifier.Identity{
+	flags, err := cluster.TLSFlags(certifier.Identity{
 		Role: certifier.Operator,
 		Name: "bob",
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	arguments := append([]string{"status", "--control", stage.ControlURLs()}, flags...)
-	output, err := exec.CommandContext(t.Context(), stage.Program, arguments...).CombinedOutput()
+	arguments := append([]string{"status", "--control", cluster.ControlURLs()}, flags...)
+	output, err := exec.CommandContext(t.Context(), cluster.Program, arguments...).CombinedOutput()
 	if err != nil {
 		t.Fatalf("status: %v: %s", err, output)
 	}
@@ -189,17 +189,17 @@
 // announcement in the name of ember-1, to attract its calls or to mark it as leaving.
 // The announcement must be refused, and ember-1 must stay in use.
 func TestForgedAnnouncementIsRefused(t *testing.T) {
-	stage := startTLSFleet(t, 1, 1)
-	entry := stage.Entries[0]
-	await(t, "ember-1 known", func() bool { return strings.Contains(readDumpText(t, stage, entry), "name: ember-1") })
+	cluster := startTLSFleet(t, 1, 1)
+	entry := cluster.Entries[0]
+	await(t, "ember-1 known", func() bool { return strings.Contains(readDumpText(t, cluster, entry), "name: ember-1") })
 	forged := `{"upstream":"ember-1","service":"ember-llm","address":"https://127.0.0.1:1","incarnation":"18446744073709551615","sequence":"1","leaving":true}`
 	cases := map[string]struct {
 		client *http.Client
 		want   int
 	}{
-		"another upstream": {client: clientWithIdentity(t, stage, certifier.Upstream, "ember-2"), want: http.StatusForbidden},
-		"an operator":      {client: clientWithIdentity(t, stage, certifier.Operator, "ember-1"), want: http.StatusForbidden},
-		"no certificate":   {client: callerClient(t, stage), want: 0},
+		"another upstream": {client: clientWithIdentity(t, cluster, certifier.Upstream, "ember-2"), want: http.StatusForbidden},
+		"an operator":      {client: clientWithIdentity(t, cluster, certifier.Operator, "ember-1"), want: http.StatusForbidden},
+		"no certificate":   {client: callerClient(t, cluster), want: 0},
 	}
 	url := "https://" + entry.Settings.Upstreams.Address + "/v1/announcements"
 	for name, c := range cases {
@@ -210,7 +210,7 @@
 			}
 		})
 	}
-	dump := readDumpText(t, stage, entry)
+	dump := readDumpText(t, cluster, entry)
 	if strings.Contains(dump, "leaving: true") || !strings.Contains(dump, "name: ember-1") {
 		t.Errorf("upstreams: got %s, want ember-1 still in use", dump)
 	}
@@ -221,8 +221,8 @@
 // another entry's name could report a version as in force that is not. Each call must
 // be refused.
 func TestForgedPeerIdentityIsRefused(t *testing.T) {
-	stage := startTLSFleet(t, 1, 1)
-	address := stage.Controls[0].Settings.Peers.Address
+	cluster := startTLSFleet(t, 1, 1)
+	address := cluster.Controls[0].Settings.Peers.Address
 	cases := map[string]struct {
 		role   certifier.Role
 		name   string
@@ -253,7 +253,7 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			client := connector.Client{TLS: peerConfig(t, stage, c.role, c.name)}
+			client := connector.Client{TLS: peerConfig(t, cluster, c.role, c.name)}
 			defer client.Close()
 			err := client.Call(t.Context(), address, c.method, c.send, &messages.Status{})
 			if err == nil || !strings.Contains(err.Error(), c.want) {
@@ -267,8 +267,8 @@
 // must get the new certificate without a restart, and the stream must complete on its
 // existing connection.
 func TestCertificateReloadKeepsStream(t *testing.T) {
-	stage := startTLSFleet(t, 1, 1)
-	entry := stage.Entries[0]
+	cluster := startTLSFleet(t, 1, 1)
+	entry := cluster.Entries[0]
 	before := callerCertificate(t, entry)
 	request, err := http.NewRequestWithContext(t.Context(), http.MethodPost, entry.CallerURL()+"/v1/chat/completions",
 		strings.NewReader(strings.Replace(modelBody, `"max_tokens":8`, `"max_tokens":1500,"stream":true`, 1)))
@@ -276,13 +276,13 @@
 		t.Fatal(err)
 	}
 	request.Header.Set("Authorization", exampleKey)
-	await(t, "ember-1 known", func() bool { return strings.Contains(readDumpText(t, stage, entry), "name: ember-1") })
-	response, err := callerClient(t, stage).Do(request)
+	await(t, "ember-1 known", func() bool { return strings.Contains(readDumpText(t, cluster, entry), "name: ember-1") })
+	response, err := callerClient(t, cluster).Do(request)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = response.Body.Close() }()
-	if _, err := stage.IssueCertificate(certifier.Identity{Role: certifier.Entry, Name: "e1"}); err != nil {
+	if _, err := cluster.IssueCertificate(certifier.Identity{Role: certifier.Entry, Name: "e1"}); err != nil {
 		t.Fatal(err)
 	}
 	await(t, "the new certificate shown", func() bool { return !bytes.Equal(callerCertificate(t, entry), before) })
@@ -310,9 +310,9 @@
 // the same authority signed. The client must refuse it, since it would otherwise accept
 // a configuration from that entry.
 func TestEntryCannotImpersonateControl(t *testing.T) {
-	stage := newStage(t)
-	stage.TLS = true
-	files, err := stage.IssueCertificate(certifier.Identity{Role: certifier.Entry, Name: "e1"})
+	cluster := newCluster(t)
+	cluster.TLS = true
+	files, err := cluster.IssueCertificate(certifier.Identity{Role: certifier.Entry, Name: "e1"})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/src/quarantiner/quarantiner.go
+++ b/src/quarantiner/quarantiner.go
@@ -11,8 +11,8 @@
 
 // Loss reports that an upstream crashed while it was running a request.
 type Loss struct {
-	Request units.Fingerprint
-	Life    units.Life
+	Request       units.Fingerprint
+	IncarnationID units.IncarnationID
 	// Answering reports that part of the answer had been received. A request that crashes an
 	// upstream does so when it starts to run, mostly before the first byte of the answer.
 	Answering bool
@@ -64,16 +64,16 @@
 
 	suspects map[units.Fingerprint]*suspect
 	ran      map[units.Fingerprint]time.Time
-	// explained holds the upstream lives that a quarantined request has ended.
-	explained map[units.Life]time.Time
+	// explained holds the upstream incarnations that a quarantined request has ended.
+	explained map[units.IncarnationID]time.Time
 	version   uint64
 }
 
 // suspect is the evidence against one request.
 type suspect struct {
-	lives      map[units.Life]Points
-	points     Points
-	lastLossAt time.Time
+	byIncarnation map[units.IncarnationID]Points
+	points        Points
+	lastLossAt    time.Time
 	// thresholdAt is when the points reached the threshold, zero while they are below it.
 	thresholdAt time.Time
 }
@@ -91,7 +91,7 @@
 	if at, ran := q.ran[loss.Request]; ran && now.Sub(at) < ranTTL {
 		return
 	}
-	if _, explained := q.explained[loss.Life]; explained {
+	if _, explained := q.explained[loss.IncarnationID]; explained {
 		return
 	}
 	if q.suspects == nil {
@@ -99,7 +99,7 @@
 	}
 	s := q.suspects[loss.Request]
 	if s == nil {
-		s = &suspect{lives: make(map[units.Life]Points)}
+		s = &suspect{byIncarnation: make(map[units.IncarnationID]Points)}
 		q.suspects[loss.Request] = s
 		q.version++
 	}
@@ -108,7 +108,7 @@
 		points = answeringLoss
 	}
 	// Several calls of one request at one upstream count as one loss.
-	s.lives[loss.Life] = max(points, s.lives[loss.Life])
+	s.byIncarnation[loss.IncarnationID] = max(points, s.byIncarnation[loss.IncarnationID])
 	s.lastLossAt = now
 	q.updatePoints(now, loss.Request, s)
 	if len(q.suspects) > maxSuspects {
@@ -119,7 +119,7 @@
 // updatePoints recomputes the points of a request and whether they reach the threshold.
 func (q *Quarantiner) updatePoints(now time.Time, request units.Fingerprint, s *suspect) {
 	s.points = 0
-	for _, points := range s.lives {
+	for _, points := range s.byIncarnation {
 		s.points += points
 	}
 	enough := s.points >= q.Threshold || q.WasQuarantined != nil && q.WasQuarantined(request) && s.points >= unansweredLoss
@@ -176,7 +176,7 @@
 		if !s.thresholdAt.IsZero() && now.Sub(s.thresholdAt) >= q.SettleDelay {
 			due = append(due, Verdict{
 				Request:   request,
-				Upstreams: len(s.lives),
+				Upstreams: len(s.byIncarnation),
 				Points:    s.points,
 			})
 		}
@@ -195,26 +195,27 @@
 	return kept
 }
 
-// explainLosses removes the lives that a request has ended from all suspects with fewer points.
+// explainLosses removes the incarnations that a request has ended from all suspects with fewer
+// points.
 func (q *Quarantiner) explainLosses(now time.Time, verdict Verdict) {
 	if q.explained == nil {
-		q.explained = make(map[units.Life]time.Time)
+		q.explained = make(map[units.IncarnationID]time.Time)
 	}
-	lives := q.suspects[verdict.Request].lives
+	incarnations := q.suspects[verdict.Request].byIncarnation
 	for request, s := range q.suspects {
 		if s.points >= verdict.Points {
 			continue
 		}
-		for life := range lives {
-			delete(s.lives, life)
+		for id := range incarnations {
+			delete(s.byIncarnation, id)
 		}
 		q.updatePoints(now, request, s)
-		if len(s.lives) == 0 {
+		if len(s.byIncarnation) == 0 {
 			q.Drop(request)
 		}
 	}
-	for life := range lives {
-		q.explained[life] = now
+	for id := range incarnations {
+		q.explained[id] = now
 		if len(q.explained) > maxExplained {
 			deleteOldest(q.explained)
 		}
@@ -229,7 +230,7 @@
 		}
 	}
 	maps.DeleteFunc(q.ran, func(_ units.Fingerprint, at time.Time) bool { return now.Sub(at) >= ranTTL })
-	maps.DeleteFunc(q.explained, func(_ units.Life, at time.Time) bool { return now.Sub(at) >= suspectTTL })
+	maps.DeleteFunc(q.explained, func(_ units.IncarnationID, at time.Time) bool { return now.Sub(at) >= suspectTTL })
 }
 
 // Suspects returns the requests with which upstreams were lost, in order, and a version that
--- a/src/quarantiner/quarantiner_test.go
+++ b/src/quarantiner/quarantiner_test.go
@@ -19,7 +19,7 @@
 type testEvent struct {
 	at        int
 	request   units.Fingerprint
-	life      units.Life
+	id        units.IncarnationID
 	answering bool
 	ran       bool
 }
@@ -34,9 +34,9 @@
 			continue
 		}
 		q.RecordLoss(at(e.at), Loss{
-			Request:   e.request,
-			Life:      e.life,
-			Answering: e.answering,
+			Request:       e.request,
+			IncarnationID: e.id,
+			Answering:     e.answering,
 		})
 	}
 	var due []units.Fingerprint
@@ -57,26 +57,26 @@
 		end  int
 		want []units.Fingerprint
 	}{
-		"one loss":                          {events: []testEvent{{request: 1, life: 1}}},
-		"two upstreams":                     {events: []testEvent{{request: 1, life: 1}, {at: 900, request: 1, life: 2}}, want: []units.Fingerprint{1}},
-		"one upstream, several calls":       {events: []testEvent{{request: 1, life: 1}, {request: 1, life: 1}, {at: 5, request: 1, life: 1}}},
-		"two upstreams, not yet settled":    {events: []testEvent{{request: 1, life: 1}, {at: 900, request: 1, life: 2}}, end: 950},
-		"different requests at each":        {events: []testEvent{{request: 1, life: 1}, {request: 2, life: 2}, {request: 3, life: 3}}},
-		"ran between the losses":            {events: []testEvent{{request: 1, life: 1}, {at: 400, request: 1, ran: true}, {at: 900, request: 1, life: 2}}},
-		"ran after the losses":              {events: []testEvent{{request: 1, life: 1}, {at: 900, request: 1, life: 2}, {at: 950, request: 1, ran: true}}},
-		"ran before the losses":             {events: []testEvent{{request: 1, ran: true}, {at: 400, request: 1, life: 1}, {at: 900, request: 1, life: 2}}},
-		"ran longer before than its TTL":    {events: []testEvent{{request: 1, ran: true}, {at: 70_000, request: 1, life: 1}, {at: 70_900, request: 1, life: 2}}, end: 80_000, want: []units.Fingerprint{1}},
-		"losses minutes apart":              {events: []testEvent{{request: 1, life: 1}, {at: 300_000, request: 1, life: 2}}, end: 301_000, want: []units.Fingerprint{1}},
-		"three losses while answering":      {events: []testEvent{{request: 1, life: 1, answering: true}, {request: 1, life: 2, answering: true}, {request: 1, life: 3, answering: true}}},
-		"four losses while answering":       {events: []testEvent{{request: 1, life: 1, answering: true}, {request: 1, life: 2, answering: true}, {request: 1, life: 3, answering: true}, {request: 1, life: 4, answering: true}}, want: []units.Fingerprint{1}},
-		"bystander at one of two crashes":   {events: []testEvent{{request: 1, life: 1}, {request: 2, life: 1}, {at: 900, request: 1, life: 2}}, want: []units.Fingerprint{1}},
-		"bystander at two of three crashes": {events: []testEvent{{request: 1, life: 1}, {request: 2, life: 1}, {request: 1, life: 2}, {request: 2, life: 2}, {request: 1, life: 3}}, want: []units.Fingerprint{1}},
-		"two fatal requests":                {events: []testEvent{{request: 1, life: 1}, {request: 2, life: 2}, {at: 900, request: 1, life: 3}, {at: 900, request: 2, life: 4}}, want: []units.Fingerprint{1, 2}},
-		"bystander at every crash":          {events: []testEvent{{request: 1, life: 1}, {request: 2, life: 1}, {request: 1, life: 2}, {request: 2, life: 2}}, want: []units.Fingerprint{1, 2}},
-		"bystander that was answering":      {events: []testEvent{{request: 1, life: 1}, {request: 2, life: 1, answering: true}, {request: 1, life: 2}, {request: 2, life: 2, answering: true}}, want: []units.Fingerprint{1}},
-		"frequent request that has run":     {events: []testEvent{{request: 1, ran: true}, {request: 1, life: 1}, {request: 1, life: 2}, {request: 1, life: 3}, {request: 1, life: 4}}},
-		"four upstreams at once":            {events: []testEvent{{request: 1, life: 1}, {request: 1, life: 2}, {request: 1, life: 3}, {request: 1, life: 4}}, want: []units.Fingerprint{1}},
-		"one loss reported twice":           {events: []testEvent{{request: 1, life: 1}, {at: 20, request: 1, life: 1, answering: true}}},
+		"one loss":                          {events: []testEvent{{request: 1, id: 1}}},
+		"two upstreams":                     {events: []testEvent{{request: 1, id: 1}, {at: 900, request: 1, id: 2}}, want: []units.Fingerprint{1}},
+		"one upstream, several calls":       {events: []testEvent{{request: 1, id: 1}, {request: 1, id: 1}, {at: 5, request: 1, id: 1}}},
+		"two upstreams, not yet settled":    {events: []testEvent{{request: 1, id: 1}, {at: 900, request: 1, id: 2}}, end: 950},
+		"different requests at each":        {events: []testEvent{{request: 1, id: 1}, {request: 2, id: 2}, {request: 3, id: 3}}},
+		"ran between the losses":            {events: []testEvent{{request: 1, id: 1}, {at: 400, request: 1, ran: true}, {at: 900, request: 1, id: 2}}},
+		"ran after the losses":              {events: []testEvent{{request: 1, id: 1}, {at: 900, request: 1, id: 2}, {at: 950, request: 1, ran: true}}},
+		"ran before the losses":             {events: []testEvent{{request: 1, ran: true}, {at: 400, request: 1, id: 1}, {at: 900, request: 1, id: 2}}},
+		"ran longer before than its TTL":    {events: []testEvent{{request: 1, ran: true}, {at: 70_000, request: 1, id: 1}, {at: 70_900, request: 1, id: 2}}, end: 80_000, want: []units.Fingerprint{1}},
+		"losses minutes apart":              {events: []testEvent{{request: 1, id: 1}, {at: 300_000, request: 1, id: 2}}, end: 301_000, want: []units.Fingerprint{1}},
+		"three losses while answering":      {events: []testEvent{{request: 1, id: 1, answering: true}, {request: 1, id: 2, answering: true}, {request: 1, id: 3, answering: true}}},
+		"four losses while answering":       {events: []testEvent{{request: 1, id: 1, answering: true}, {request: 1, id: 2, answering: true}, {request: 1, id: 3, answering: true}, {request: 1, id: 4, answering: true}}, want: []units.Fingerprint{1}},
+		"bystander at one of two crashes":   {events: []testEvent{{request: 1, id: 1}, {request: 2, id: 1}, {at: 900, request: 1, id: 2}}, want: []units.Fingerprint{1}},
+		"bystander at two of three crashes": {events: []testEvent{{request: 1, id: 1}, {request: 2, id: 1}, {request: 1, id: 2}, {request: 2, id: 2}, {request: 1, id: 3}}, want: []units.Fingerprint{1}},
+		"two fatal requests":                {events: []testEvent{{request: 1, id: 1}, {request: 2, id: 2}, {at: 900, request: 1, id: 3}, {at: 900, request: 2, id: 4}}, want: []units.Fingerprint{1, 2}},
+		"bystander at every crash":          {events: []testEvent{{request: 1, id: 1}, {request: 2, id: 1}, {request: 1, id: 2}, {request: 2, id: 2}}, want: []units.Fingerprint{1, 2}},
+		"bystander that was answering":      {events: []testEvent{{request: 1, id: 1}, {request: 2, id: 1, answering: true}, {request: 1, id: 2}, {request: 2, id: 2, answering: true}}, want: []units.Fingerprint{1}},
+		"frequent request that has run":     {events: []testEvent{{request: 1, ran: true}, {request: 1, id: 1}, {request: 1, id: 2}, {request: 1, id: 3}, {request: 1, id: 4}}},
+		"four upstreams at once":            {events: []testEvent{{request: 1, id: 1}, {request: 1, id: 2}, {request: 1, id: 3}, {request: 1, id: 4}}, want: []units.Fingerprint{1}},
+		"one loss reported twice":           {events: []testEvent{{request: 1, id: 1}, {at: 20, request: 1, id: 1, answering: true}}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -99,7 +99,7 @@
 		SettleDelay:    SettleDelay,
 		WasQuarantined: func(request units.Fingerprint) bool { return request == 1 },
 	}
-	got := dueRequests(q, []testEvent{{request: 1, life: 1}, {request: 2, life: 2}}, 1000)
+	got := dueRequests(q, []testEvent{{request: 1, id: 1}, {request: 2, id: 2}}, 1000)
 	if want := []units.Fingerprint{1}; !slices.Equal(got, want) {
 		t.Errorf("due: got %v, want %v", got, want)
 	}
@@ -109,12 +109,12 @@
 // explained, where the reports of their losses arrive late.
 func TestExplainedLossesAreNotCounted(t *testing.T) {
 	q := &Quarantiner{Threshold: FleetThreshold, SettleDelay: SettleDelay}
-	events := []testEvent{{request: 1, life: 1}, {request: 1, life: 2}, {request: 2, life: 1}}
+	events := []testEvent{{request: 1, id: 1}, {request: 1, id: 2}, {request: 2, id: 1}}
 	if got, want := dueRequests(q, events, 1000), []units.Fingerprint{1}; !slices.Equal(got, want) {
 		t.Fatalf("due: got %v, want %v", got, want)
 	}
 	q.Drop(1)
-	late := []testEvent{{at: 1100, request: 2, life: 2}, {at: 1100, request: 3, life: 1}, {at: 1100, request: 3, life: 2}}
+	late := []testEvent{{at: 1100, request: 2, id: 2}, {at: 1100, request: 3, id: 1}, {at: 1100, request: 3, id: 2}}
 	if got := dueRequests(q, late, 2000); len(got) > 0 {
 		t.Errorf("due after late reports: got %v, want none", got)
 	}
@@ -128,7 +128,7 @@
 	q := &Quarantiner{Threshold: FleetThreshold, SettleDelay: SettleDelay}
 	for n := range 5 * maxSuspects {
 		now := startTime.Add(time.Duration(n) * time.Millisecond)
-		q.RecordLoss(now, Loss{Request: units.Fingerprint(n), Life: units.Life(n)})
+		q.RecordLoss(now, Loss{Request: units.Fingerprint(n), IncarnationID: units.IncarnationID(n)})
 		q.RecordRun(now, units.Fingerprint(n+1_000_000))
 	}
 	if got := len(q.suspects); got > maxSuspects {
@@ -155,12 +155,12 @@
 		beside := rapid.IntRange(0, 20).Draw(t, "calls beside it")
 		q := &Quarantiner{Threshold: FleetThreshold, SettleDelay: SettleDelay}
 		const fatal units.Fingerprint = 1
-		next, life := fatal, units.Life(0)
+		next, id := fatal, units.IncarnationID(0)
 		// retried are the calls whose upstream has crashed and that are sent to another one.
 		var retried []units.Fingerprint
 		for ends := 1; ends <= 3; ends++ {
 			now := startTime.Add(time.Duration(ends) * time.Second)
-			life++
+			id++
 			lost := []units.Fingerprint{fatal}
 			for _, request := range retried {
 				if random.IntN(upstreams) == 0 {
@@ -174,7 +174,7 @@
 				lost = append(lost, next)
 			}
 			for _, request := range lost {
-				q.RecordLoss(now, Loss{Request: request, Life: life, Answering: request != fatal && random.IntN(2) == 0})
+				q.RecordLoss(now, Loss{Request: request, IncarnationID: id, Answering: request != fatal && random.IntN(2) == 0})
 			}
 			retried = lost[1:]
 			due := q.Due(now.Add(SettleDelay))
@@ -194,8 +194,8 @@
 func TestEvidenceObservationsAfter(t *testing.T) {
 	e := &Evidence{}
 	now := startTime
-	e.RecordLoss(now, Loss{Request: 1, Life: 1})
-	e.RecordLoss(now, Loss{Request: 2, Life: 1})
+	e.RecordLoss(now, Loss{Request: 1, IncarnationID: 1})
+	e.RecordLoss(now, Loss{Request: 2, IncarnationID: 1})
 	numbers := func(after Number) string {
 		text := ""
 		for _, n := range e.ObservationsAfter(now, after, 10) {
@@ -213,7 +213,7 @@
 		{name: "only new observations for a leader that has the first", after: 1, want: "2:2:false "},
 		{name: "a suspect runs", do: func() { e.RecordRun(now, 2) }, want: "1:1:false 3:2:true "},
 		{name: "it runs again", do: func() { e.RecordRun(now, 2) }, want: "1:1:false 3:2:true "},
-		{name: "it is lost after it has run", do: func() { e.RecordLoss(now, Loss{Request: 2, Life: 3}) }, want: "1:1:false 3:2:true "},
+		{name: "it is lost after it has run", do: func() { e.RecordLoss(now, Loss{Request: 2, IncarnationID: 3}) }, want: "1:1:false 3:2:true "},
 		{name: "a request that is not suspected runs", do: func() { e.RecordRun(now, 5) }, want: "1:1:false 3:2:true "},
 		{name: "other entries suspect a request that ran here", do: func() { e.SetSuspects(now, []units.Fingerprint{5, 6}) }, want: "1:1:false 3:2:true 4:5:true "},
 		{name: "a suspect of other entries runs here", do: func() { e.RecordRun(now, 6) }, want: "1:1:false 3:2:true 4:5:true 5:6:true "},
@@ -235,7 +235,7 @@
 func TestEvidenceIsBounded(t *testing.T) {
 	e := &Evidence{}
 	for n := range 10 * maxObservations {
-		e.RecordLoss(startTime, Loss{Request: units.Fingerprint(n), Life: units.Life(n)})
+		e.RecordLoss(startTime, Loss{Request: units.Fingerprint(n), IncarnationID: units.IncarnationID(n)})
 	}
 	if got := len(e.ObservationsAfter(startTime, 0, 100*maxObservations)); got != maxObservations {
 		t.Errorf("observations: got %d, want %d", got, maxObservations)
--- a/src/registrar/registrar.go
+++ b/src/registrar/registrar.go
@@ -234,7 +234,7 @@
 // all members, the owners of every record would change at once and no majority of the
 // previous owners could be read, so that answered calls would end as unknown. One view
 // therefore removes less than half of the previous one's members, and none while half
-// or more are silent, until Hold has passed and a transient partition is ruled out.
+// or more are silent, until HoldPeriod has passed and a transient partition is ruled out.
 func (r *Registrar) removableMembers(now time.Time, silent []*messages.EntryMember) ([]*messages.EntryMember, *RemovalHeld) {
 	total := len(r.view.GetMembers())
 	maxRemoved := max((total-1)/2, 0)
@@ -265,7 +265,7 @@
 	return time.Time{}
 }
 
-// evictStale removes the state of entries that are not members and have been silent for longer than Hold.
+// evictStale removes the state of entries that are not members and have been silent for longer than HoldPeriod.
 func (r *Registrar) evictStale(now time.Time) {
 	present := make(map[units.Instance]bool)
 	for _, member := range r.view.GetMembers() {
--- a/src/releaser/sample.go
+++ b/src/releaser/sample.go
@@ -37,7 +37,7 @@
 type Sample struct {
 	Answers  float64
 	Failures float64
-	// FirstByte holds the logarithms of the seconds to the first byte, Pace those of the mean
+	// FirstByte holds the logarithms of the seconds to the first byte, EventInterval those of the mean
 	// seconds from one event to the next.
 	FirstByte     Moments
 	EventInterval Moments
@@ -45,8 +45,8 @@
 	Running float64
 }
 
-// RecordAnswer records one answer; a pace of 0 stands for an answer without events.
-func (s *Sample) RecordAnswer(failed bool, first, pace time.Duration) {
+// RecordAnswer records one answer; an eventInterval of 0 means an answer without events.
+func (s *Sample) RecordAnswer(failed bool, first, eventInterval time.Duration) {
 	s.Answers++
 	if failed {
 		s.Failures++
@@ -55,8 +55,8 @@
 	if first > 0 {
 		s.FirstByte.Add(math.Log(first.Seconds()))
 	}
-	if pace > 0 {
-		s.EventInterval.Add(math.Log(pace.Seconds()))
+	if eventInterval > 0 {
+		s.EventInterval.Add(math.Log(eventInterval.Seconds()))
 	}
 }
 
--- a/src/releaser/simulation_test.go
+++ b/src/releaser/simulation_test.go
@@ -62,13 +62,13 @@
 
 // pendingAnswer is an answer in flight.
 type pendingAnswer struct {
-	at     time.Duration
-	hash   UpstreamHash
-	route  Route
-	failed bool
-	bad    bool
-	first  time.Duration
-	pace   time.Duration
+	at            time.Duration
+	hash          UpstreamHash
+	route         Route
+	failed        bool
+	bad           bool
+	first         time.Duration
+	eventInterval time.Duration
 }
 
 // testRoutes are the routes of a simulation; plain answers have no events, and a fraction of
@@ -135,7 +135,7 @@
 		}
 		sample := p.byUpstream[a.hash][a.route]
 		sample.Running--
-		sample.RecordAnswer(a.failed, a.first, a.pace)
+		sample.RecordAnswer(a.failed, a.first, a.eventInterval)
 		if !a.bad {
 			continue
 		}
@@ -191,9 +191,9 @@
 	a.bad = bad && (a.failed || v.slowdown > 1)
 	a.first = time.Duration(float64(100*time.Millisecond) * slowdown * math.Exp(0.6*p.random.NormFloat64()))
 	if route != "plain" {
-		a.pace = time.Duration(float64(30*time.Millisecond) * slowdown * math.Exp(0.25*p.random.NormFloat64()))
+		a.eventInterval = time.Duration(float64(30*time.Millisecond) * slowdown * math.Exp(0.25*p.random.NormFloat64()))
 	}
-	a.at = at + a.first + 20*a.pace
+	a.at = at + a.first + 20*a.eventInterval
 	if p.byUpstream[hash] == nil {
 		p.byUpstream[hash] = make(map[Route]*Sample)
 		for _, testRoute := range testRoutes {
--- a/src/releaser/watch.go
+++ b/src/releaser/watch.go
@@ -120,7 +120,7 @@
 	w.reports[reporter] = figures
 }
 
-// Step returns the decision for now, by the clock of Ordered.
+// Step returns the decision for now, by the clock of OrderedAt.
 func (w *Monitor) Step(now time.Time, status FleetStatus) Decision {
 	aggregate := w.aggregate()
 	d := Decision{
--- a/src/replicator/node.go
+++ b/src/replicator/node.go
@@ -51,7 +51,7 @@
 	retainedDivisor = 4
 )
 
-// Options configures a voter; every field but Joining is required.
+// Options configures a voter; every field but JoinOnly is required.
 type Options struct {
 	ID         units.VoterID
 	DataCentre units.DataCentre
--- a/src/router/explain.go
+++ b/src/router/explain.go
@@ -6,7 +6,7 @@
 	"github.com/rosecroft/rosecroft/src/dispatcher"
 )
 
-// explain records the eligible candidates and their scores in the call's trail.
+// explain records the eligible candidates and their scores in the call's trace.
 func (s *subset) explain(call *dispatcher.Call, scores []float64) {
 	if call.Trace == nil {
 		return
--- a/src/server/adoption.go
+++ b/src/server/adoption.go
@@ -117,7 +117,7 @@
 }
 
 // disableStreaming turns a model call into one without streaming, since no caller is
-// connected to read the stream. RecordedBody keeps the body that the caller sent, which
+// connected to read the stream. OriginalBody keeps the body that the caller sent, which
 // is what the record compares.
 func disableStreaming(call *dispatcher.Call) error {
 	var fields map[string]json.RawMessage
--- a/src/server/server.go
+++ b/src/server/server.go
@@ -47,7 +47,7 @@
 	// DrainTimeout is how long a planned shutdown waits for calls to finish.
 	DrainTimeout time.Duration
 	// UnreadyPeriod is how long a planned shutdown still accepts calls while the entry
-	// reports itself unready, so that the load balancer can notice; a quarter of Drain at
+	// reports itself unready, so that the load balancer can notice; a quarter of DrainTimeout at
 	// most.
 	UnreadyPeriod time.Duration
 	// BodyTimeout bounds the reading of a whole request body, WriteTimeout each write to
@@ -200,7 +200,7 @@
 func (s *Server) dispatch(request *http.Request, writer http.ResponseWriter, service *indexer.Service, call *dispatcher.Call) {
 	startedAt := time.Now()
 	setServiceFields(call, service, startedAt)
-	s.openTrail(call)
+	s.startTrace(call)
 	callerSink := s.newSink(writer, call, startedAt)
 	ctx, cancel := context.WithCancel(request.Context())
 	defer cancel()
--- a/src/server/trail.go
+++ b/src/server/trace.go
@@ -6,8 +6,8 @@
 	"github.com/rosecroft/rosecroft/src/dispatcher"
 )
 
-// openTrail opens the call's trail and records the call's properties in it.
-func (s *Server) openTrail(call *dispatcher.Call) {
+// startTrace starts the call's trace and records the call's properties in it.
+func (s *Server) startTrace(call *dispatcher.Call) {
 	if s.Explainer == nil {
 		return
 	}
@@ -17,7 +17,7 @@
 		call.Account.Name, call.Brand, call.Service, call.Policy, call.Repeatable, call.Stream, call.PromptTokens, call.MaxOutput))
 }
 
-// recordOutcome records the call's outcome in its trail.
+// recordOutcome records the call's outcome in its trace.
 func (s *Server) recordOutcome(call *dispatcher.Call, outcome string, err error) {
 	if err != nil {
 		outcome += ": " + err.Error()
