--- a/src/stager/stage.go
+++ b/src/stager/cluster.go
@@ -30,9 +30,9 @@
 	settingsFileMode = 0o600
 )
 
-// Stage is a fleet of real processes on loopback; its exported fields are set
+// Cluster is a fleet of real processes on loopback; its exported fields are set
 // before use, except Controls and Entries, which StartFleet fills.
-type Stage struct {
+type Cluster struct {
 	// Folder holds the settings, data and log files of all processes.
 	Folder string
 	// Program and Standin are the paths of the built programs.
@@ -54,7 +54,7 @@
 	processes   []*Process
 	portsMu     sync.Mutex
 	usedPorts   map[int]bool
-	// portLocks are Unix sockets whose names keep other stages from choosing this one's ports.
+	// portLocks are Unix sockets whose names keep other clusters from choosing this one's ports.
 	portLocks []net.Listener
 }
 
@@ -72,8 +72,8 @@
 // CallerURL returns an entry's base URL for callers.
 func (n *Node) CallerURL() string { return baseURL(n.Settings.Callers) }
 
-// FreeAddress returns a free loopback address and locks its port for this stage.
-func (s *Stage) FreeAddress() string {
+// FreeAddress returns a free loopback address and locks its port for this cluster.
+func (s *Cluster) FreeAddress() string {
 	s.portsMu.Lock()
 	defer s.portsMu.Unlock()
 	if s.usedPorts == nil {
@@ -95,11 +95,11 @@
 	}
 }
 
-// lockPort keeps other stages on this machine from choosing a port until this one
-// stops. A port is unbound between its choice and its program's start: two stages
+// lockPort keeps other clusters on this machine from choosing a port until this one
+// stops. A port is unbound between its choice and its program's start: two clusters
 // that chose the same one would each lose a process, and a test would wait for it
 // until its timeout.
-func (s *Stage) lockPort(port int) bool {
+func (s *Cluster) lockPort(port int) bool {
 	listener, err := net.Listen("unix", fmt.Sprintf("@rosecroft-port-%d", port))
 	if err != nil {
 		return false
@@ -109,7 +109,7 @@
 }
 
 // StartFleet starts control and entry processes, assigned to the data centres round-robin.
-func (s *Stage) StartFleet(controls, entries int, dataCentres []units.DataCentre) error {
+func (s *Cluster) StartFleet(controls, entries int, dataCentres []units.DataCentre) error {
 	var addresses []parser.ControlAddress
 	for i := range controls {
 		addresses = append(addresses, parser.ControlAddress{
@@ -155,7 +155,7 @@
 }
 
 // Start starts a node, or restarts it with the settings that it had.
-func (s *Stage) Start(node *Node) error {
+func (s *Cluster) Start(node *Node) error {
 	if node.Settings.Operators.Address == "" {
 		node.Settings.Operators.Address = s.FreeAddress()
 	}
@@ -178,12 +178,12 @@
 }
 
 // StartUpstream starts a stand-in that announces itself to every entry; kind is "engine" or "plain".
-func (s *Stage) StartUpstream(kind, name string, arguments ...string) (*Upstream, error) {
+func (s *Cluster) StartUpstream(kind, name string, arguments ...string) (*Upstream, error) {
 	return s.StartUpstreamFor(s.Entries, kind, name, arguments...)
 }
 
 // StartUpstreamFor starts a stand-in that announces itself only to the given entries.
-func (s *Stage) StartUpstreamFor(announceTo []*Node, kind, name string, arguments ...string) (*Upstream, error) {
+func (s *Cluster) StartUpstreamFor(announceTo []*Node, kind, name string, arguments ...string) (*Upstream, error) {
 	address := s.FreeAddress()
 	entryURLs := make([]string, 0, len(announceTo))
 	for _, entry := range announceTo {
@@ -209,7 +209,7 @@
 
 // StartCloud starts the stand-in for the platform's cloud API, whose instances
 // announce themselves to every entry.
-func (s *Stage) StartCloud(arguments ...string) (*Upstream, error) {
+func (s *Cluster) StartCloud(arguments ...string) (*Upstream, error) {
 	return s.StartUpstreamFor(s.Entries, "cloud", "cloud", arguments...)
 }
 
@@ -220,7 +220,7 @@
 }
 
 // AwaitReady waits until every running entry reports that it is ready for calls.
-func (s *Stage) AwaitReady(ctx context.Context) error {
+func (s *Cluster) AwaitReady(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for _, entry := range s.Entries {
@@ -236,7 +236,7 @@
 
 // AwaitHealthy waits until every control and entry process passes its health check
 // on the operators' listener.
-func (s *Stage) AwaitHealthy(ctx context.Context) error {
+func (s *Cluster) AwaitHealthy(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for _, node := range append(append([]*Node{}, s.Controls...), s.Entries...) {
@@ -247,7 +247,7 @@
 	return nil
 }
 
-func (s *Stage) awaitStatusOK(ctx context.Context, url string) error {
+func (s *Cluster) awaitStatusOK(ctx context.Context, url string) error {
 	client, err := s.OperatorClient()
 	if err != nil {
 		return err
@@ -273,7 +273,7 @@
 }
 
 // ControlURLs returns the control instances' base URLs, separated by commas.
-func (s *Stage) ControlURLs() string {
+func (s *Cluster) ControlURLs() string {
 	urls := make([]string, 0, len(s.Controls))
 	for _, control := range s.Controls {
 		urls = append(urls, control.OperatorURL())
@@ -281,9 +281,9 @@
 	return strings.Join(urls, ",")
 }
 
-// Stop kills every running process that the stage started, by its ID, also suspended ones,
+// Stop kills every running process that the cluster started, by its ID, also suspended ones,
 // and releases its ports.
-func (s *Stage) Stop() {
+func (s *Cluster) Stop() {
 	for _, process := range s.processes {
 		if process.Running() {
 			process.Signal(syscall.SIGCONT)
--- a/src/stager/process.go
+++ b/src/stager/process.go
@@ -13,7 +13,7 @@
 // stopTimeout is how long a process may take to exit after SIGTERM before it is killed.
 const stopTimeout = 30 * time.Second
 
-// Process is an operating system process that a Stage started.
+// Process is an operating system process that a Cluster started.
 type Process struct {
 	Name string
 
@@ -22,8 +22,8 @@
 	exited  chan struct{}
 }
 
-// startProcess runs a program and appends its output to NAME.log in the stage's folder.
-func (s *Stage) startProcess(name, program string, arguments ...string) (*Process, error) {
+// startProcess runs a program and appends its output to NAME.log in the cluster's folder.
+func (s *Cluster) startProcess(name, program string, arguments ...string) (*Process, error) {
 	log, err := os.OpenFile(filepath.Join(s.Folder, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return nil, fmt.Errorf("open the log file of %s: %w", name, err)
@@ -31,7 +31,7 @@
 	command := exec.Command(program, arguments...)
 	command.Stdout = log
 	command.Stderr = log
-	// The kernel kills the child when the stage's own process dies, so that none is left behind.
+	// The kernel kills the child when the cluster's own process dies, so that none is left behind.
 	command.SysProcAttr = &syscall.SysProcAttr{
 		Pdeathsig: syscall.SIGKILL,
 	}
--- a/src/stager/secure.go
+++ b/src/stager/secure.go
@@ -13,7 +13,7 @@
 const (
 	certificateLifetime = 24 * time.Hour
 	loopbackAddress     = "127.0.0.1"
-	// operatorName is the operator whose certificate the stage's own requests present.
+	// operatorName is the operator whose certificate the cluster's own requests present.
 	operatorName = "stage"
 )
 
@@ -24,7 +24,7 @@
 	return "https://" + l.Address
 }
 
-func (s *Stage) scheme() string {
+func (s *Cluster) scheme() string {
 	if s.TLS {
 		return "https://"
 	}
@@ -32,8 +32,8 @@
 }
 
 // configureTLS issues a node's certificate and sets it on all of its listeners,
-// unless the node already has one or the stage runs without TLS.
-func (s *Stage) configureTLS(node *Node) error {
+// unless the node already has one or the cluster runs without TLS.
+func (s *Cluster) configureTLS(node *Node) error {
 	if !s.TLS || node.Settings.Peers.Certificate != "" {
 		return nil
 	}
@@ -56,15 +56,15 @@
 	return nil
 }
 
-// IssueCertificate issues a certificate for an identity; the first call generates the stage's authority.
-func (s *Stage) IssueCertificate(identity certifier.Identity) (parser.Listener, error) {
+// IssueCertificate issues a certificate for an identity; the first call generates the cluster's authority.
+func (s *Cluster) IssueCertificate(identity certifier.Identity) (parser.Listener, error) {
 	if s.authority == nil {
 		issuer := &certifier.Authority{
 			Folder:   filepath.Join(s.Folder, "certificates"),
 			Lifetime: certificateLifetime,
 		}
 		if err := issuer.Generate(); err != nil {
-			return parser.Listener{}, fmt.Errorf("generate the stage's certificate authority: %w", err)
+			return parser.Listener{}, fmt.Errorf("generate the cluster's certificate authority: %w", err)
 		}
 		s.authority = issuer
 	}
@@ -72,8 +72,8 @@
 }
 
 // TLSFlags returns the command-line flags with which a program presents a
-// certificate for an identity, or none where the stage runs without TLS.
-func (s *Stage) TLSFlags(identity certifier.Identity) ([]string, error) {
+// certificate for an identity, or none where the cluster runs without TLS.
+func (s *Cluster) TLSFlags(identity certifier.Identity) ([]string, error) {
 	if !s.TLS {
 		return nil, nil
 	}
@@ -84,7 +84,7 @@
 	return tlsFlags(files), nil
 }
 
-func (s *Stage) upstreamFlags(name string) ([]string, error) {
+func (s *Cluster) upstreamFlags(name string) ([]string, error) {
 	return s.TLSFlags(certifier.Identity{
 		Role: certifier.Upstream,
 		Name: name,
@@ -98,7 +98,7 @@
 }
 
 // OperatorClient returns an HTTP client that presents the certificate of an operator.
-func (s *Stage) OperatorClient() (*http.Client, error) {
+func (s *Cluster) OperatorClient() (*http.Client, error) {
 	return s.ClientFor(certifier.Identity{
 		Role: certifier.Operator,
 		Name: operatorName,
@@ -106,7 +106,7 @@
 }
 
 // ClientFor returns an HTTP client that presents the certificate of an identity.
-func (s *Stage) ClientFor(identity certifier.Identity) (*http.Client, error) {
+func (s *Cluster) ClientFor(identity certifier.Identity) (*http.Client, error) {
 	if !s.TLS {
 		return http.DefaultClient, nil
 	}
@@ -118,7 +118,7 @@
 		Files: files,
 	}
 	if _, err := source.Load(); err != nil {
-		return nil, fmt.Errorf("load the stage's certificate: %w", err)
+		return nil, fmt.Errorf("load the cluster's certificate: %w", err)
 	}
 	return &http.Client{
 		Transport: &http.Transport{
--- a/src/standin/orders.go
+++ b/src/standin/orders.go
@@ -28,7 +28,7 @@
 	About *messages.Announcement
 	// ChecksFencing makes the engine refuse orders with a fencing number lower than one it has seen.
 	ChecksFencing bool
-	// StoreURL is the weight store's base URL; if it is empty, a load takes LoadTime.
+	// StoreURL is the weight store's base URL; if it is empty, a load takes LoadDuration.
 	StoreURL     string
 	LoadDuration time.Duration
 
--- a/src/standin/reporter.go
+++ b/src/standin/reporter.go
@@ -27,7 +27,7 @@
 }
 
 // Load measures the current load and returns the newest measurement that is at
-// least Lag old, or the oldest one.
+// least MinLoadAge old, or the oldest one.
 func (r *Reporter) Load() *messages.Load {
 	now := time.Now()
 	running, queued, tokens := r.Engine.Load()
--- a/src/tracker/upstream.go
+++ b/src/tracker/upstream.go
@@ -116,7 +116,7 @@
 	return 0
 }
 
-// subtractOwnCalls sets Others by subtracting this entry's own calls, which it knows more
+// subtractOwnCalls sets PeerCalls by subtracting this entry's own calls, which it knows more
 // exactly and without delay.
 func (l *Load) subtractOwnCalls(live *LocalState) {
 	own := live.inFlightAt(l.MeasuredAt)
--- a/src/units/units.go
+++ b/src/units/units.go
@@ -69,16 +69,16 @@
 // CallRate is a number of calls per second.
 type CallRate float64
 
-// Life identifies one incarnation of one upstream by a hash of both.
-type Life uint64
+// IncarnationID identifies one incarnation of one upstream; it is a hash of both.
+type IncarnationID uint64
 
 // incarnationMultiplier is odd, so that different incarnations have different products, and
-// has its bits spread, so that small incarnations change all bits of a Life.
+// has its bits spread, so that small incarnations change all bits of an IncarnationID.
 const incarnationMultiplier = 0x9e3779b97f4a7c15
 
-// NewLife returns the Life of an incarnation of an upstream.
-func NewLife(upstream Upstream, incarnation Incarnation) Life {
-	return Life(xxhash.Sum64String(string(upstream)) ^ uint64(incarnation)*incarnationMultiplier)
+// NewIncarnationID returns the id of an incarnation of an upstream.
+func NewIncarnationID(upstream Upstream, incarnation Incarnation) IncarnationID {
+	return IncarnationID(xxhash.Sum64String(string(upstream)) ^ uint64(incarnation)*incarnationMultiplier)
 }
 
 // Term numbers a leadership period and serves as the fencing number of orders.
