--- a/src/aggregator/aggregator_test.go
+++ b/src/aggregator/aggregator_test.go
@@ -98,7 +98,7 @@
 }
 
 // Some entries are cut off from control, continue to serve for a while, and are back before
-// the report is due. Their counts must be in it. An entry that is gone for good must not
+// the report is due. Their counts must be in it. An entry that never returns must not
 // delay a window for which it cannot have counts.
 func TestWindowWaitsForUnreachableEntries(t *testing.T) {
 	const maxWait, maxServing = 7 * time.Second, 4 * time.Second
--- a/src/allocator/allocator_test.go
+++ b/src/allocator/allocator_test.go
@@ -431,7 +431,7 @@
 	}
 }
 
-// A silent entry goes on admitting at its share. What it admits must be charged to
+// A silent entry continues to admit at its share. What it admits must be charged to
 // the account in the meantime, and charged only once when the entry polls again.
 func TestSilentEntryIsCharged(t *testing.T) {
 	account := &matcher.Account{Name: "a", Rate: 1_000_000, Burst: 1_000_000}
--- a/src/buyer/buyer_test.go
+++ b/src/buyer/buyer_test.go
@@ -174,7 +174,7 @@
 	}
 }
 
-// The demand falls to a third for good. Instances are released one at a time after the
+// The demand falls to a third permanently. Instances are released one at a time after the
 // cool-down, and never below what the remaining demand needs.
 func TestSurplusIsGivenBack(t *testing.T) {
 	s := newSimulation(8)
--- a/src/exchanger/exchanger_test.go
+++ b/src/exchanger/exchanger_test.go
@@ -288,7 +288,7 @@
 }
 
 // A caller leaves while its call waits. The connection must be closed; otherwise the
-// upstream would continue to work for nobody.
+// upstream would continue to work although no caller waits.
 func TestCallerWhoLeavesEndsTheExchange(t *testing.T) {
 	reached := make(chan struct{})
 	release := make(chan struct{})
--- a/src/exchanger/pool.go
+++ b/src/exchanger/pool.go
@@ -283,7 +283,7 @@
 }
 
 // isUsable reports whether a connection has not been idle for too long, is open, and has
-// no unrequested bytes waiting, which would be taken for the next call's answer.
+// no unrequested bytes waiting, which would be read as the next call's answer.
 func (c *conn) isUsable() bool {
 	if time.Since(c.idleSince) > time.Duration(float64(c.idleTimeout)*idleTimeoutFraction) || c.reader.Buffered() > 0 {
 		return false
--- a/src/forwarder/exchange.go
+++ b/src/forwarder/exchange.go
@@ -100,7 +100,7 @@
 }
 
 // cancelUpstream asks the upstream to end the call, so that its slot and memory are freed
-// when nobody reads the answer any more.
+// when the answer is no longer read.
 func (e *exchange) cancelUpstream(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, cancelTimeout)
 	defer cancel()
--- a/src/forwarder/pool.go
+++ b/src/forwarder/pool.go
@@ -49,7 +49,7 @@
 // Discard removes an address's client, so that further exchanges use new connections. It
 // does nothing if the client has been replaced already.
 //
-// Connections that go silent for good usually do so together, because a device between
+// Connections that become permanently silent usually do so together, because a device between
 // the two ends has lost their state. Without Discard, each idle connection of the pool
 // would make one more call wait for its watchdog.
 func (p *Pools) Discard(address string, client *http.Client) {
--- a/src/gateway/loss_detector.go
+++ b/src/gateway/loss_detector.go
@@ -94,7 +94,7 @@
 	calls, checking := l.pending[lost.loss.IncarnationID]
 	l.pending[lost.loss.IncarnationID] = append(calls, lost)
 	if !checking {
-		// The check goes on if the caller leaves.
+		// The check continues if the caller leaves.
 		go l.checkUpstream(context.WithoutCancel(ctx), upstream, lost.loss.IncarnationID)
 	}
 }
--- a/src/gateway/loss_detector_test.go
+++ b/src/gateway/loss_detector_test.go
@@ -84,7 +84,7 @@
 		if checking == 0 {
 			return
 		}
-		time.Sleep(time.Millisecond) // Between two looks at what another goroutine does.
+		time.Sleep(time.Millisecond) // The interval between two checks.
 	}
 }
 
--- a/src/gateway/rollout.go
+++ b/src/gateway/rollout.go
@@ -14,7 +14,7 @@
 // a small fraction of the time within which calls to a bad version must end.
 const shareLease = 1500 * time.Millisecond
 
-// rollout is the state of a rollout as known to this entry.
+// rollout is the state of a roll-out as known to this entry.
 type rollout struct {
 	number uint64
 	target units.Release
@@ -24,10 +24,10 @@
 	shareUntil time.Time
 }
 
-// rollouts holds the last rollout of each service; it is immutable once published.
+// rollouts holds the last roll-out of each service; it is immutable once published.
 type rollouts map[units.Service]rollout
 
-// updated returns the rollouts after a response. A rollout never goes back, whichever instance
+// updated returns the roll-outs after a response. A roll-out never goes back, whichever instance
 // reports it; the share of its target is accepted from the leader alone and expires soon, so
 // that an entry that is cut off sends no calls to a version that may be bad.
 func (r rollouts) updated(sentAt time.Time, response *messages.EntryPollResponse) rollouts {
--- a/src/gateway/rollout_stats.go
+++ b/src/gateway/rollout_stats.go
@@ -24,7 +24,7 @@
 	services map[units.Service]*rolloutSamples
 }
 
-// rolloutSamples holds the samples since a rollout began.
+// rolloutSamples holds the samples since a roll-out began.
 type rolloutSamples struct {
 	number  uint64
 	samples map[sampleKey]*releaser.Sample
@@ -35,7 +35,7 @@
 	route          releaser.Route
 }
 
-// update applies a change to a sample of a running rollout.
+// update applies a change to a sample of a running roll-out.
 func (rs *rolloutStats) update(service units.Service, number uint64, key sampleKey, apply func(*releaser.Sample)) {
 	rs.mu.Lock()
 	defer rs.mu.Unlock()
@@ -61,7 +61,7 @@
 	apply(sample)
 }
 
-// report returns the samples of the running rollouts, for a poll.
+// report returns the samples of the running roll-outs, for a poll.
 func (rs *rolloutStats) report(known rollouts) []*messages.VersionFigures {
 	var reports []*messages.VersionFigures
 	for service, r := range known {
--- a/src/gateway/snapshot.go
+++ b/src/gateway/snapshot.go
@@ -25,10 +25,10 @@
 	fleet   placer.Fleet
 	leaving placer.Fleet
 	entries int
-	// lease is when the entry must stop serving calls with keys, on the clock that goes on
-	// while the instance is suspended.
+	// lease is when the entry must stop serving calls with keys, on the clock that
+	// continues while the instance is suspended.
 	lease time.Time
-	// rollouts holds the last rollout of each service that had one.
+	// rollouts holds the last roll-out of each service that had one.
 	rollouts rollouts
 	// trueTimeOffset is the time of day agreed on by the fleet, minus that clock.
 	trueTimeOffset time.Duration
--- a/src/gateway/startup_barrier.go
+++ b/src/gateway/startup_barrier.go
@@ -24,7 +24,7 @@
 // When all processes end at once and restart, callers come back before control has elected a
 // leader. A caller that is told to retry in a second would miss its deadline, while an election
 // takes some tenths of a second. An entry that loses control while running refuses calls at
-// once, since nobody knows when control will be back.
+// once, since it is unknown when control will return.
 type startupBarrier struct {
 	startedAt time.Time
 	released  chan struct{}
--- a/src/measurer/repair.go
+++ b/src/measurer/repair.go
@@ -27,7 +27,7 @@
 )
 
 // Repair measures how soon the replicated log can tolerate the loss of another voter
-// after one was lost for good, and how much time and traffic a process that restarts
+// after one was lost permanently, and how much time and traffic a process that restarts
 // 500 changes behind takes to catch up.
 func (b *Bench) Repair(ctx context.Context) (*Result, error) {
 	result := b.newResult("repair", fmt.Sprintf("A voter of %d is killed and its disk removed; a spare takes its place after timing.repair (%s here). Then processes that restart %d changes behind.", repairVoters, repairDelay, missedChanges))
--- a/src/placer/placer.go
+++ b/src/placer/placer.go
@@ -96,8 +96,8 @@
 	// Leaving returns the upstreams that take no more calls but still hold their cached
 	// prefixes; it may be nil.
 	Leaving func() Fleet
-	// Split returns how a service's calls are divided during a rollout, and false where no
-	// rollout is running; it may be nil.
+	// Split returns how a service's calls are divided during a roll-out, and false where no
+	// roll-out is running; it may be nil.
 	Split func(service units.Service) (Split, bool)
 	// PrefillTime returns the prefill time of one token at a service's upstreams, 0 where it is
 	// unknown; it may be nil.
--- a/src/quarantiner/fingerprint.go
+++ b/src/quarantiner/fingerprint.go
@@ -10,7 +10,7 @@
 
 // FingerprintOf returns the fingerprint of a request.
 //
-// Callers control the hashed content, so the hash is cryptographic: nobody can craft a request
+// Callers control the hashed content, so the hash is cryptographic: no caller can craft a request
 // that collides with one of another account.
 func FingerprintOf(account units.Account, method, host, path string, body []byte) units.Fingerprint {
 	hash := sha256.New()
--- a/src/recorder/owner_test.go
+++ b/src/recorder/owner_test.go
@@ -31,7 +31,7 @@
 
 // An owner sends its records to an owner in a newer view; then a proposer that does not have
 // that view yet stores an intent. If the old owner accepted it, the new owner would have read
-// the records too early and would let the call run again.
+// the records too early and the call would run again.
 func TestOwnerRefusesOlderViewAfterFill(t *testing.T) {
 	owner := singleOwner()
 	owner.Step(testTime, FillRequested{
--- a/src/server/adoption.go
+++ b/src/server/adoption.go
@@ -148,7 +148,7 @@
 	return nil
 }
 
-// runAdopted runs a handed-over call until it is answered, fails for good or reaches its
+// runAdopted runs a handed-over call until it is answered, fails permanently or reaches its
 // deadline. A refusal that did not run the call and allows a retry is retried here, since
 // the caller was told to collect the answer later.
 func (s *Server) runAdopted(ctx context.Context, call *dispatcher.Call) {
--- a/src/tracker/liveness.go
+++ b/src/tracker/liveness.go
@@ -246,8 +246,8 @@
 // canEnter reports whether an announcement may enter its upstream into the table.
 //
 // An entry that resumes after a pause relays announcements of upstreams that ended in the
-// meantime. They arrive in one burst, so an upstream counts as live only if it goes on
-// announcing itself for reviveSpan after its recorded end.
+// meantime. They arrive in one burst, so an upstream counts as live only if it continues
+// to announce itself for reviveSpan after its recorded end.
 func (t *Tracker) canEnter(now time.Time, next *Upstream) bool {
 	ended := t.tombstones[next.Name]
 	if ended == nil || next.Incarnation > ended.incarnation {
--- a/src/tracker/tracker.go
+++ b/src/tracker/tracker.go
@@ -153,7 +153,7 @@
 // isSignificant reports whether an announcement says more than that its upstream is live.
 //
 // That an upstream has moved its announcements to this entry is significant: the entry that
-// received them before would otherwise take it for dead.
+// received them before would otherwise treat it as failed.
 func isSignificant(known, next *Upstream) bool {
 	moved := next.Direct && !known.Direct
 	return known.Suspected || moved || !hasSameStaticFields(known.Announcement, next.Announcement)
--- a/src/tracker/tracker_test.go
+++ b/src/tracker/tracker_test.go
@@ -67,8 +67,8 @@
 }
 
 // An upstream is removed for its silence; then one of its announcements arrives that was
-// delayed in transit. It must not return by that one, or calls would go to a dead machine. It
-// must return if it goes on announcing itself, since the silence may have been a network
+// delayed in transit. It must not return by that one, or calls would go to a failed machine. It
+// must return if it continues to announce itself, since the silence may have been a network
 // partition.
 func TestExpiredUpstreamReturnsAfterSteadyAnnouncements(t *testing.T) {
 	now := time.Unix(0, 0)
