--- a/src/dispatcher/backoff_test.go
+++ b/src/dispatcher/backoff_test.go
@@ -69,8 +69,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		fake := &refusingUpstreams{budget: 2}
 		d := &Dispatcher{Limiter: fake, Recorder: fake, Router: fake, Exchanger: fake, Budget: fake}
-		began := time.Now()
-		err := d.Do(t.Context(), &Call{Deadline: began.Add(time.Minute)}, noSink{})
+		startedAt := time.Now()
+		err := d.Do(t.Context(), &Call{Deadline: startedAt.Add(time.Minute)}, noSink{})
 		var refusal *Refusal
 		if !errors.As(err, &refusal) || refusal.Executed != ExecutedNo || refusal.RetryAfter != 3*time.Second {
 			t.Errorf("error: got %v, want a refusal with executed no and retry after 3s", err)
@@ -78,7 +78,7 @@
 		if got, want := fake.attempts, 3; got != want {
 			t.Errorf("attempts: got %d, want %d", got, want)
 		}
-		if got, minWait, maxWait := time.Since(began), 3*initialBackoff/2, 3*initialBackoff; got < minWait || got > maxWait {
+		if got, minWait, maxWait := time.Since(startedAt), 3*initialBackoff/2, 3*initialBackoff; got < minWait || got > maxWait {
 			t.Errorf("total backoff: got %s, want %s to %s", got, minWait, maxWait)
 		}
 		if fake.earned != 0 {
@@ -179,9 +179,9 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				began := time.Now()
-				budget := &delayedBudget{availableAt: began.Add(c.availableAfter)}
-				fleet := &outageFleet{recoveredAt: began}
+				startedAt := time.Now()
+				budget := &delayedBudget{availableAt: startedAt.Add(c.availableAfter)}
+				fleet := &outageFleet{recoveredAt: startedAt}
 				d := &Dispatcher{
 					Limiter:   fleet,
 					Recorder:  fleet,
@@ -191,7 +191,7 @@
 				}
 				call := &Call{
 					ID:         "call-1",
-					Deadline:   began.Add(time.Minute),
+					Deadline:   startedAt.Add(time.Minute),
 					Repeatable: true,
 					Stream:     true,
 				}
@@ -203,7 +203,7 @@
 				if errors.As(err, &refusal) && refusal.Executed != ExecutedUnknown {
 					t.Errorf("refusal: got executed %s, want unknown", refusal.Executed)
 				}
-				if got, want := time.Since(began), min(c.availableAfter, resumeTimeout)+2*resumePollInterval; got > want {
+				if got, want := time.Since(startedAt), min(c.availableAfter, resumeTimeout)+2*resumePollInterval; got > want {
 					t.Errorf("call duration: got %s, want at most %s", got, want)
 				}
 				if budget.requests == 0 {
--- a/src/dispatcher/dispatcher_test.go
+++ b/src/dispatcher/dispatcher_test.go
@@ -167,17 +167,17 @@
 // an upstream instead of ending.
 func TestStartedStreamWaitsForAnUpstream(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		began := time.Now()
+		startedAt := time.Now()
 		d := &Dispatcher{
 			Limiter:   &outageFleet{},
 			Recorder:  &outageFleet{},
 			Router:    &outageFleet{},
-			Exchanger: &outageFleet{recoveredAt: began.Add(5 * time.Second)},
+			Exchanger: &outageFleet{recoveredAt: startedAt.Add(5 * time.Second)},
 		}
 		d.Router = d.Exchanger.(*outageFleet)
 		call := &Call{
 			ID:         "call-1",
-			Deadline:   began.Add(time.Minute),
+			Deadline:   startedAt.Add(time.Minute),
 			Repeatable: true,
 			Stream:     true,
 		}
--- a/src/forwarder/migrator.go
+++ b/src/forwarder/migrator.go
@@ -189,7 +189,7 @@
 // The stream continues at its old upstream in the meantime; only the tokens generated
 // after the export began are computed again.
 func (s *StreamMigrator) export(ctx context.Context, e *exchange) {
-	began := time.Now()
+	startedAt := time.Now()
 	target := s.Router.Pick(e.call, []units.Upstream{e.upstream.Name})
 	var tokens units.Tokens
 	err := errMoved
@@ -208,7 +208,7 @@
 		Upstream: incarnationOf(e.upstream),
 		Stream:   e.streamID,
 		Tokens:   tokens,
-		Duration: time.Since(began),
+		Duration: time.Since(startedAt),
 		Failed:   err != nil,
 	})
 }
--- a/src/gateway/control_session_test.go
+++ b/src/gateway/control_session_test.go
@@ -51,23 +51,23 @@
 	first := &polledTable{Table: &enroller.Table{ID: 1, Interval: interval}}
 	second := &polledTable{Table: &enroller.Table{ID: 2, Interval: interval}}
 	entry := &enroller.Table{ID: 3, Interval: interval}
-	beat := enroller.Registration{
+	heartbeat := enroller.Registration{
 		ID:          "u",
 		Address:     "x",
 		State:       enroller.Ready,
 		Incarnation: 1,
 		Sequence:    1,
 	}
-	first.Record(now, beat, 0)
-	second.Record(now, beat, 0)
+	first.Record(now, heartbeat, 0)
+	second.Record(now, heartbeat, 0)
 	// The entry has the whole table of the second instance from an earlier leadership of that
 	// instance.
 	second.poll(now, entry, true, true)
 	second.poll(now, entry, true, false)
 	first.poll(now, entry, true, true)
 	now = now.Add(5 * interval)
-	beat.Sequence++
-	second.Record(now, beat, 0)
+	heartbeat.Sequence++
+	second.Record(now, heartbeat, 0)
 	first.Expire(now)
 	first.poll(now, entry, true, false)
 	if got := entry.Upstreams()[0].Silent; !got {
@@ -84,9 +84,9 @@
 // Upstreams that it has received from an instance must not be sent again with every response.
 func TestSearchForALeaderRepeatsNoUpstreams(t *testing.T) {
 	now := time.Unix(1000, 0)
-	c := &polledTable{Table: &enroller.Table{ID: 1, Interval: time.Second}}
+	control := &polledTable{Table: &enroller.Table{ID: 1, Interval: time.Second}}
 	for _, id := range []units.Upstream{"a", "b", "c"} {
-		c.Record(now, enroller.Registration{
+		control.Record(now, enroller.Registration{
 			ID:          id,
 			Address:     string(id),
 			State:       enroller.Ready,
@@ -96,15 +96,15 @@
 	}
 	entry := &enroller.Table{ID: 2, Interval: time.Second}
 	for range 20 {
-		c.poll(now, entry, false, false)
+		control.poll(now, entry, false, false)
 	}
-	if got, want := c.sent, 0; got != want {
+	if got, want := control.sent, 0; got != want {
 		t.Errorf("upstreams sent in 20 answers without a leader: got %d, want %d", got, want)
 	}
 	for n := range 20 {
-		c.poll(now, entry, true, n == 0)
+		control.poll(now, entry, true, n == 0)
 	}
-	if got, want := c.sent, 3; got != want {
+	if got, want := control.sent, 3; got != want {
 		t.Errorf("upstreams sent in 20 answers of the leader: got %d, want %d", got, want)
 	}
 	if got, want := len(entry.Upstreams()), 3; got != want {
@@ -115,12 +115,12 @@
 // An instance whose disk has failed answers without a voter, and has kept nothing of what was
 // reported to it.
 func TestResponseWithoutAVoterAcknowledgesNothing(t *testing.T) {
-	e := controlSession{
+	session := controlSession{
 		counts:     []aggregator.Count{{Window: 1, Account: "a", Calls: 1}},
 		unreported: []aggregator.Count{{Window: 1, Account: "a", Calls: 1}},
 	}
-	e.handleResponse(&messages.EntryPollResponse{})
-	if got, want := len(e.usageReporter.Unacknowledged(e.counts)), 1; got != want {
+	session.handleResponse(&messages.EntryPollResponse{})
+	if got, want := len(session.usageReporter.Unacknowledged(session.counts)), 1; got != want {
 		t.Errorf("counts to report again: got %d, want %d", got, want)
 	}
 }
--- a/src/gateway/poller.go
+++ b/src/gateway/poller.go
@@ -94,14 +94,14 @@
 			return
 		case <-timer.C:
 		}
-		began := timekeeper.Now()
+		startedAt := timekeeper.Now()
 		p.pollRound(ctx)
 		now := timekeeper.Now()
 		if p.hasMore {
 			timer.Reset(pageDelay)
 			continue
 		}
-		timer.Reset(pollDelay(pollInterval(p.snapshot.entries), now.Sub(began), now.Sub(p.controlLostAt), p.controlLost))
+		timer.Reset(pollDelay(pollInterval(p.snapshot.entries), now.Sub(startedAt), now.Sub(p.controlLostAt), p.controlLost))
 	}
 }
 
--- a/src/gateway/rollout_test.go
+++ b/src/gateway/rollout_test.go
@@ -55,8 +55,8 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			var known rollouts
-			for _, h := range c.received {
-				known = known.updated(timekeeper.Now().Add(-h.ago), h.response)
+			for _, r := range c.received {
+				known = known.updated(timekeeper.Now().Add(-r.ago), r.response)
 			}
 			g := &Gateway{}
 			g.snapshot.Store(&snapshot{rollouts: known})
--- a/src/gateway/snapshot.go
+++ b/src/gateway/snapshot.go
@@ -37,29 +37,29 @@
 // candidateBuilder builds each service's candidates from the table of upstreams, and keeps the
 // counters of calls in flight of upstreams that stay.
 type candidateBuilder struct {
-	live map[liveKey]*tracker.LocalState
+	localStates map[upstreamKey]*tracker.LocalState
 }
 
-type liveKey struct {
-	name units.Upstream
-	born units.Incarnation
+type upstreamKey struct {
+	name        units.Upstream
+	incarnation units.Incarnation
 }
 
 // fleet returns the upstreams that take new calls, and those that are leaving.
 func (c *candidateBuilder) fleet(now time.Time, table *enroller.Table, p *placer.Placer) (fleet, leaving placer.Fleet) {
 	fleet = make(placer.Fleet)
 	leaving = make(placer.Fleet)
-	kept := make(map[liveKey]*tracker.LocalState)
+	kept := make(map[upstreamKey]*tracker.LocalState)
 	for _, e := range table.Upstreams() {
-		key := liveKey{
-			name: e.ID,
-			born: e.Incarnation,
+		key := upstreamKey{
+			name:        e.ID,
+			incarnation: e.Incarnation,
 		}
-		live := c.live[key]
-		if live == nil {
-			live = &tracker.LocalState{FirstSeenAt: now}
+		local := c.localStates[key]
+		if local == nil {
+			local = &tracker.LocalState{FirstSeenAt: now}
 		}
-		kept[key] = live
+		kept[key] = local
 		if e.State == enroller.Gone {
 			continue
 		}
@@ -74,7 +74,7 @@
 			Slots:       e.Slots,
 			Release:     e.Release,
 			AnnouncedAt: e.HeartbeatAt,
-			Local:       live,
+			Local:       local,
 		}, e.ColdFor > 0, e.Silent)
 		if e.State == enroller.Ready {
 			fleet[e.Service] = append(fleet[e.Service], candidate)
@@ -83,6 +83,6 @@
 		candidate.TerminatesAt = e.HeartbeatAt.Add(cmp.Or(e.LeavesIn, defaultLeavingTime))
 		leaving[e.Service] = append(leaving[e.Service], candidate)
 	}
-	c.live = kept
+	c.localStates = kept
 	return fleet, leaving
 }
--- a/src/gateway/startup_barrier_test.go
+++ b/src/gateway/startup_barrier_test.go
@@ -31,15 +31,15 @@
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithTimeout(t.Context(), c.goneAfter)
 				defer cancel()
-				began := time.Now()
-				o := newStartupBarrier(began.Add(-c.age))
+				startedAt := time.Now()
+				o := newStartupBarrier(startedAt.Add(-c.age))
 				if c.releasedAfter == 0 {
 					o.release()
 				} else {
 					time.AfterFunc(c.releasedAfter, o.release)
 				}
-				o.await(ctx, began, c.remaining)
-				if got := time.Since(began); got != c.want {
+				o.await(ctx, startedAt, c.remaining)
+				if got := time.Since(startedAt); got != c.want {
 					t.Errorf("wait: got %v, want %v", got, c.want)
 				}
 				cancel()
@@ -52,14 +52,14 @@
 // memory holds are refused at once, and must not stay counted as waiting.
 func TestWaitingCallsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		began := time.Now()
-		o := newStartupBarrier(began)
+		startedAt := time.Now()
+		o := newStartupBarrier(startedAt)
 		for range maxWaiting {
-			go o.await(t.Context(), began, 0)
+			go o.await(t.Context(), startedAt, 0)
 		}
 		synctest.Wait()
-		o.await(t.Context(), began, 0)
-		if got, want := time.Since(began), time.Duration(0); got != want {
+		o.await(t.Context(), startedAt, 0)
+		if got, want := time.Since(startedAt), time.Duration(0); got != want {
 			t.Errorf("wait of a call beyond the limit: got %v, want %v", got, want)
 		}
 		o.release()
--- a/src/injector/injector.go
+++ b/src/injector/injector.go
@@ -35,13 +35,13 @@
 func (inj *Injector) Run(ctx context.Context) error {
 	inj.affected = make(map[*stager.Node]bool)
 	inj.lastVersion = 1
-	began := time.Now()
+	startedAt := time.Now()
 	for _, step := range inj.Schedule {
 		select {
 		case <-ctx.Done():
 			inj.pending.Wait()
 			return ctx.Err()
-		case <-time.After(time.Until(began.Add(step.At))):
+		case <-time.After(time.Until(startedAt.Add(step.At))):
 		}
 		_, _ = fmt.Fprintln(inj.Log, step)
 		inj.execute(ctx, step)
--- a/src/mover/mover_test.go
+++ b/src/mover/mover_test.go
@@ -196,14 +196,14 @@
 
 // finishExport ends the export in progress. A stream whose export succeeded leaves this engine.
 func (sim *simulation) finishExport(t *rapid.T, failed bool) {
-	for id, began := range sim.exporting {
+	for id, startedAt := range sim.exporting {
 		tokens := sim.streams[id].Context
 		delete(sim.exporting, id)
 		sim.step(t, ExportEnded{
 			Upstream: sim.notice.Upstream,
 			Stream:   id,
 			Tokens:   tokens,
-			Duration: sim.now.Sub(began),
+			Duration: sim.now.Sub(startedAt),
 			Failed:   failed,
 		})
 		if !failed {
--- a/src/pacer/pacer_test.go
+++ b/src/pacer/pacer_test.go
@@ -11,8 +11,8 @@
 	"github.com/rosecroft/rosecroft/src/units"
 )
 
-// began is the start time of the tests.
-var began = time.Unix(1000, 0)
+// startTime is the start time of the tests.
+var startTime = time.Unix(1000, 0)
 
 const life units.IncarnationID = 7
 
@@ -43,7 +43,7 @@
 func newFleet(random *rand.Rand, entries int, rate units.CallRate) *testFleet {
 	f := &testFleet{
 		random:    random,
-		now:       began,
+		now:       startTime,
 		allocator: &Allocator{},
 		rate:      rate,
 	}
@@ -51,7 +51,7 @@
 		f.entries = append(f.entries, &testEntry{
 			name:     units.Instance(fmt.Sprint("e", i)),
 			gate:     &Gate{},
-			nextPoll: began.Add(time.Duration(random.Int64N(int64(200 * time.Millisecond)))),
+			nextPoll: startTime.Add(time.Duration(random.Int64N(int64(200 * time.Millisecond)))),
 			interval: time.Duration(50+random.IntN(150)) * time.Millisecond,
 		})
 	}
@@ -204,7 +204,7 @@
 	}
 }
 
-func at(ms int) time.Time { return began.Add(time.Duration(ms) * time.Millisecond) }
+func at(ms int) time.Time { return startTime.Add(time.Duration(ms) * time.Millisecond) }
 
 // Guards against a limit that an older response withdraws or restates, and against one that
 // remains after its withdrawal, whichever entry reports first.
--- a/src/persister/persister.go
+++ b/src/persister/persister.go
@@ -53,20 +53,20 @@
 			Err:    err,
 		}
 	}
-	held, err := lock(folder)
+	lockFile, err := lock(folder)
 	if err != nil {
 		return nil, nil, err
 	}
-	k := &Persister{
+	p := &Persister{
 		folder:       folder,
 		stableInodes: stableInodes,
-		lock:         held,
+		lock:         lockFile,
 	}
-	kept, err := k.open(instance)
+	contents, err := p.open(instance)
 	if err != nil {
-		return nil, nil, errors.Join(err, k.Close())
+		return nil, nil, errors.Join(err, p.Close())
 	}
-	return k, kept, nil
+	return p, contents, nil
 }
 
 // Close closes the files and unlocks the data folder.
@@ -89,10 +89,10 @@
 	if err != nil {
 		return nil, err
 	}
-	kept := &Contents{
+	contents := &Contents{
 		ID: units.NewVoterID(instance, identity.GetIdentity()),
 	}
-	return kept, p.read(kept)
+	return contents, p.read(contents)
 }
 
 // create initializes a new folder. The identity is written last, so that a folder
@@ -111,36 +111,36 @@
 	return identity, nil
 }
 
-func (p *Persister) read(kept *Contents) error {
-	kept.State = &messages.HardState{}
-	kept.Base = &messages.RecordsHeader{}
-	found, err := readFile(filepath.Join(p.folder, stateFile), kindState, kept.State)
+func (p *Persister) read(contents *Contents) error {
+	contents.State = &messages.HardState{}
+	contents.Base = &messages.RecordsHeader{}
+	found, err := readFile(filepath.Join(p.folder, stateFile), kindState, contents.State)
 	if err != nil {
 		return err
 	}
 	if !found {
 		return p.missingFileError(stateFile)
 	}
-	p.state = kept.State
-	if !kept.State.GetFounded() {
+	p.state = contents.State
+	if !contents.State.GetFounded() {
 		return nil
 	}
-	kept.Snapshot = &messages.LogSnapshot{}
-	found, err = readFile(filepath.Join(p.folder, snapshotFile), kindSnapshot, kept.Snapshot)
+	contents.Snapshot = &messages.LogSnapshot{}
+	found, err = readFile(filepath.Join(p.folder, snapshotFile), kindSnapshot, contents.Snapshot)
 	if err != nil {
 		return err
 	}
 	if !found {
 		return p.missingFileError(snapshotFile)
 	}
-	p.records, kept.Base, kept.Records, err = openRecords(p.folder)
+	p.records, contents.Base, contents.Records, err = openRecords(p.folder)
 	if errors.Is(err, os.ErrNotExist) {
 		return p.missingFileError(recordsFile)
 	}
 	if err != nil {
 		return err
 	}
-	return p.dropReplacedRecords(kept)
+	return p.dropReplacedRecords(contents)
 }
 
 // missingFileError returns a DamageError for a file that is never removed but is
@@ -154,33 +154,33 @@
 
 // dropReplacedRecords drops the records if the snapshot has replaced them, which is the
 // case after a crash between the writes of the two files.
-func (p *Persister) dropReplacedRecords(kept *Contents) error {
-	index, term := kept.Snapshot.GetIndex(), kept.Snapshot.GetTerm()
-	base := kept.Base
+func (p *Persister) dropReplacedRecords(contents *Contents) error {
+	index, term := contents.Snapshot.GetIndex(), contents.Snapshot.GetTerm()
+	base := contents.Base
 	if base.GetBaseIndex() > index {
 		return p.records.damageError("the records begin behind the snapshot")
 	}
 	heldTerm := base.GetBaseTerm()
 	position := index - base.GetBaseIndex()
 	switch {
-	case position > uint64(len(kept.Records)):
-		return p.resetRecords(kept)
+	case position > uint64(len(contents.Records)):
+		return p.resetRecords(contents)
 	case position > 0:
-		heldTerm = kept.Records[position-1].GetTerm()
+		heldTerm = contents.Records[position-1].GetTerm()
 	}
 	if heldTerm != term {
-		return p.resetRecords(kept)
+		return p.resetRecords(contents)
 	}
 	return nil
 }
 
-func (p *Persister) resetRecords(kept *Contents) error {
-	kept.Records = nil
-	kept.Base = &messages.RecordsHeader{
-		BaseIndex: kept.Snapshot.GetIndex(),
-		BaseTerm:  kept.Snapshot.GetTerm(),
+func (p *Persister) resetRecords(contents *Contents) error {
+	contents.Records = nil
+	contents.Base = &messages.RecordsHeader{
+		BaseIndex: contents.Snapshot.GetIndex(),
+		BaseTerm:  contents.Snapshot.GetTerm(),
 	}
-	return p.replaceRecordFile(kept.Base, nil)
+	return p.replaceRecordFile(contents.Base, nil)
 }
 
 // Save stores the state and the records and returns once both are synced.
--- a/src/persister/persister_test.go
+++ b/src/persister/persister_test.go
@@ -19,11 +19,11 @@
 
 func open(t *testing.T, folder string) (*Persister, *Contents) {
 	t.Helper()
-	k, kept, err := Open(folder, testInstance)
+	p, contents, err := Open(folder, testInstance)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return k, kept
+	return p, contents
 }
 
 func record(index, term uint64) *messages.LogRecord {
@@ -52,7 +52,7 @@
 func newFilledFolder(t *testing.T) string {
 	t.Helper()
 	folder := filepath.Join(t.TempDir(), "data")
-	k, _ := open(t, folder)
+	p, _ := open(t, folder)
 	snapshot := &messages.LogSnapshot{
 		Index: 2,
 		Term:  1,
@@ -62,15 +62,15 @@
 		BaseIndex: 2,
 		BaseTerm:  1,
 	}
-	if err := k.SaveSnapshot(state(1), snapshot, base, nil); err != nil {
+	if err := p.SaveSnapshot(state(1), snapshot, base, nil); err != nil {
 		t.Fatal(err)
 	}
 	for index := uint64(3); index <= 6; index++ {
-		if err := k.Save(state(1), []*messages.LogRecord{record(index, 1)}); err != nil {
+		if err := p.Save(state(1), []*messages.LogRecord{record(index, 1)}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := k.Close(); err != nil {
+	if err := p.Close(); err != nil {
 		t.Fatal(err)
 	}
 	return folder
@@ -93,19 +93,19 @@
 		if err := os.WriteFile(filepath.Join(folder, recordsFile), append(bytes.Clone(records), next[:length]...), fileMode); err != nil {
 			t.Fatal(err)
 		}
-		k, kept := open(t, folder)
-		if got, want := len(kept.Records), 4; got != want {
+		p, contents := open(t, folder)
+		if got, want := len(contents.Records), 4; got != want {
 			t.Errorf("records after an interrupted write of %d bytes: got %d, want %d", length, got, want)
 		}
-		if err := k.Save(state(1), []*messages.LogRecord{record(7, 2)}); err != nil {
+		if err := p.Save(state(1), []*messages.LogRecord{record(7, 2)}); err != nil {
 			t.Errorf("save after an interrupted write of %d bytes: %v", length, err)
 		}
-		_ = k.Close()
-		k, kept = open(t, folder)
-		if got, want := len(kept.Records), 5; got != want {
+		_ = p.Close()
+		p, contents = open(t, folder)
+		if got, want := len(contents.Records), 5; got != want {
 			t.Errorf("records after an interrupted write of %d bytes and a save: got %d, want %d", length, got, want)
 		}
-		_ = k.Close()
+		_ = p.Close()
 	}
 }
 
@@ -115,8 +115,8 @@
 // refused, or everything acknowledged must still be there.
 func TestDamageIsRefusedOrHarmless(t *testing.T) {
 	folder := newFilledFolder(t)
-	k, want := open(t, folder)
-	_ = k.Close()
+	p, want := open(t, folder)
+	_ = p.Close()
 	for _, name := range []string{identityFile, stateFile, snapshotFile, recordsFile} {
 		path := filepath.Join(folder, name)
 		content, err := os.ReadFile(path)
@@ -140,7 +140,7 @@
 
 func checkDamage(t *testing.T, folder, name string, offset int, want *Contents) {
 	t.Helper()
-	k, kept, err := Open(folder, testInstance)
+	p, contents, err := Open(folder, testInstance)
 	var damage *DamageError
 	if errors.As(err, &damage) {
 		return
@@ -148,16 +148,16 @@
 	if err != nil {
 		t.Fatalf("%s with byte %d damaged: got %v, want a DamageError", name, offset, err)
 	}
-	defer func() { _ = k.Close() }()
-	if got, want := len(kept.Records), len(want.Records); got != want {
+	defer func() { _ = p.Close() }()
+	if got, want := len(contents.Records), len(want.Records); got != want {
 		t.Fatalf("%s with byte %d damaged: got %d records, want %d", name, offset, got, want)
 	}
-	for i, record := range kept.Records {
+	for i, record := range contents.Records {
 		if !proto.Equal(record, want.Records[i]) {
 			t.Errorf("%s with byte %d damaged: record %d differs", name, offset, record.GetIndex())
 		}
 	}
-	if !proto.Equal(kept.State, want.State) || !proto.Equal(kept.Snapshot, want.Snapshot) {
+	if !proto.Equal(contents.State, want.State) || !proto.Equal(contents.Snapshot, want.Snapshot) {
 		t.Errorf("%s with byte %d damaged: state or snapshot differs", name, offset)
 	}
 }
@@ -208,8 +208,8 @@
 		},
 		"folder in use": {
 			prepare: func(t *testing.T, folder string) string {
-				k, _ := open(t, folder)
-				t.Cleanup(func() { _ = k.Close() })
+				p, _ := open(t, folder)
+				t.Cleanup(func() { _ = p.Close() })
 				return folder
 			},
 			instance: testInstance,
@@ -252,13 +252,13 @@
 // attributed to it.
 func TestEmptyFolderGivesAnotherIdentity(t *testing.T) {
 	folder := newFilledFolder(t)
-	k, before := open(t, folder)
-	_ = k.Close()
+	p, before := open(t, folder)
+	_ = p.Close()
 	if err := os.RemoveAll(folder); err != nil {
 		t.Fatal(err)
 	}
-	k, after := open(t, folder)
-	_ = k.Close()
+	p, after := open(t, folder)
+	_ = p.Close()
 	if before.ID == after.ID {
 		t.Errorf("identity after the loss: got %s again, want another", after.ID)
 	}
@@ -268,12 +268,12 @@
 // would acknowledge a write that is not on disk.
 func TestFullDiskIsReported(t *testing.T) {
 	folder := newFilledFolder(t)
-	k, _ := open(t, folder)
-	defer func() { _ = k.Close() }()
+	p, _ := open(t, folder)
+	defer func() { _ = p.Close() }()
 	if err := os.Symlink("/dev/full", filepath.Join(folder, stateFile+nextSuffix)); err != nil {
 		t.Fatal(err)
 	}
-	err := k.Save(state(9), nil)
+	err := p.Save(state(9), nil)
 	var failure *WriteError
 	if !errors.As(err, &failure) || !errors.Is(err, syscall.ENOSPC) {
 		t.Errorf("save on a full disk: got %v, want a WriteError for ENOSPC", err)
@@ -284,17 +284,17 @@
 // ones must be there, without the later ones of the old leader.
 func TestReplacedRecordsStayReplaced(t *testing.T) {
 	folder := newFilledFolder(t)
-	k, _ := open(t, folder)
-	if err := k.Save(state(2), []*messages.LogRecord{record(4, 2)}); err != nil {
+	p, _ := open(t, folder)
+	if err := p.Save(state(2), []*messages.LogRecord{record(4, 2)}); err != nil {
 		t.Fatal(err)
 	}
-	_ = k.Close()
-	k, kept := open(t, folder)
-	_ = k.Close()
-	if got, want := len(kept.Records), 2; got != want {
+	_ = p.Close()
+	p, contents := open(t, folder)
+	_ = p.Close()
+	if got, want := len(contents.Records), 2; got != want {
 		t.Fatalf("records: got %d, want %d", got, want)
 	}
-	if got, want := kept.Records[1].GetTerm(), uint64(2); got != want {
+	if got, want := contents.Records[1].GetTerm(), uint64(2); got != want {
 		t.Errorf("term of record 4: got %d, want %d", got, want)
 	}
 }
@@ -320,9 +320,9 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			k, kept := open(t, folder)
-			_ = k.Close()
-			if got := len(kept.Records); got != c.want {
+			p, contents := open(t, folder)
+			_ = p.Close()
+			if got := len(contents.Records); got != c.want {
 				t.Errorf("records: got %d, want %d", got, c.want)
 			}
 		})
@@ -334,11 +334,11 @@
 // A folder of another instance must still be refused.
 func TestFolderWithoutStableInodesIsOpenedAgain(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "data")
-	k, kept, err := OpenWithoutInodeCheck(folder, "c1")
+	p, contents, err := OpenWithoutInodeCheck(folder, "c1")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := k.Close(); err != nil {
+	if err := p.Close(); err != nil {
 		t.Fatal(err)
 	}
 	// A new file at the same path has another inode number.
@@ -361,7 +361,7 @@
 	if err != nil {
 		t.Fatalf("without inode check: got error %v, want none", err)
 	}
-	if got, want := keptReopened.ID, kept.ID; got != want {
+	if got, want := keptReopened.ID, contents.ID; got != want {
 		t.Errorf("voter: got %s, want %s", got, want)
 	}
 	if err := reopened.Close(); err != nil {
--- a/src/persister/records.go
+++ b/src/persister/records.go
@@ -97,8 +97,8 @@
 	if first <= r.base || first > r.base+uint64(len(r.offsets))+1 {
 		return fmt.Errorf("record %d does not follow the %d records after index %d", first, len(r.offsets), r.base)
 	}
-	if kept := int(first - r.base - 1); kept < len(r.offsets) {
-		if err := r.truncate(kept); err != nil {
+	if contents := int(first - r.base - 1); contents < len(r.offsets) {
+		if err := r.truncate(contents); err != nil {
 			return err
 		}
 	}
@@ -120,9 +120,9 @@
 // truncate removes the records after the first kept ones. It syncs before anything
 // else is written: otherwise a crash could leave incomplete new frames before old
 // seals, which looks like damage.
-func (r *recordFile) truncate(kept int) error {
-	r.end = r.offsets[kept]
-	r.offsets = r.offsets[:kept]
+func (r *recordFile) truncate(contents int) error {
+	r.end = r.offsets[contents]
+	r.offsets = r.offsets[:contents]
 	if err := r.file.Truncate(r.end); err != nil {
 		return err
 	}
--- a/src/prover/control_test.go
+++ b/src/prover/control_test.go
@@ -285,7 +285,7 @@
 			t.Fatalf("version %d: got %s, want %s", version, got, want)
 		}
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	if err := cluster.Start(behind); err != nil {
 		t.Fatal(err)
 	}
@@ -296,11 +296,11 @@
 		dump := controlDump(t, behind)
 		return dump.AcceptedVersion == 501 && dump.SnapshotIndex > 0
 	})
-	t.Logf("voter 500 changes behind caught up within %s of its start", time.Since(began).Round(time.Millisecond))
+	t.Logf("voter 500 changes behind caught up within %s of its start", time.Since(startedAt).Round(time.Millisecond))
 	await(t, "entry has the newest version in force", func() bool {
 		return entryDump(t, cluster.Entries[0]).VersionInForce == 501
 	})
-	t.Logf("entry 500 changes behind within %s of its start", time.Since(began).Round(time.Millisecond))
+	t.Logf("entry 500 changes behind within %s of its start", time.Since(startedAt).Round(time.Millisecond))
 	for _, node := range cluster.Controls {
 		info, err := os.Stat(node.Settings.DataFolder + "/records")
 		if err != nil {
--- a/src/prover/controlpartition_test.go
+++ b/src/prover/controlpartition_test.go
@@ -290,7 +290,7 @@
 		return viewSizeInForce(t, cluster, cluster.Entries) == 3
 	})
 	frozen.Signal(syscall.SIGSTOP)
-	began := time.Now()
+	startedAt := time.Now()
 	awaitAccepted(t, cluster.Controls, 2)
 	var missing *messages.EntryStatus
 	await(t, "frozen entry counted as fenced", func() bool {
@@ -306,7 +306,7 @@
 		}
 		return true
 	})
-	if got, minElapsed := time.Since(began), fenceTime(cluster); got < minElapsed {
+	if got, minElapsed := time.Since(startedAt), fenceTime(cluster); got < minElapsed {
 		t.Errorf("counted as fenced after %s, want at least %s", got, minElapsed)
 	}
 	if got, want := missing.GetEntry(), string(frozen.Settings.Name); got != want {
--- a/src/prover/limit_test.go
+++ b/src/prover/limit_test.go
@@ -66,14 +66,14 @@
 	all := cluster.Entries
 	for name, entries := range map[string][]*stager.Node{"three entries": all, "one entry": all[:1]} {
 		t.Run(name, func(t *testing.T) {
-			began := time.Now()
+			startedAt := time.Now()
 			ctx, stop := context.WithCancel(t.Context())
 			defer stop()
 			answered, wait := startCallers(ctx, entries, 3)
 			await(t, "enough answers", func() bool { return answered.Load() >= 4*rate })
 			stop()
 			wait()
-			elapsed := time.Since(began)
+			elapsed := time.Since(startedAt)
 			// The burst is two seconds' worth of the limit, plus one call for each entry.
 			want := rate*(elapsed.Seconds()+2) + float64(len(all))
 			if got := float64(answered.Load()); got > want {
--- a/src/prover/recordcost_test.go
+++ b/src/prover/recordcost_test.go
@@ -42,9 +42,9 @@
 				if key != "" {
 					key = fmt.Sprintf("%s-%d", c.key, i)
 				}
-				began := time.Now()
+				startedAt := time.Now()
 				got := sendBooking(b.Context(), cluster.Entries[0], key, `{"flue":1}`)
-				latencies = append(latencies, time.Since(began))
+				latencies = append(latencies, time.Since(startedAt))
 				if want := http.StatusOK; got.status != want {
 					b.Fatalf("status: got %d (%s), want %d", got.status, got.body, want)
 				}
--- a/src/recorder/simulation_test.go
+++ b/src/recorder/simulation_test.go
@@ -143,16 +143,16 @@
 	for _, action := range node.owner.Step(s.now, event) {
 		switch a := action.(type) {
 		case Reply:
-			w := a.Token.(simMessage)
-			w.isReply = true
-			w.answer = a.Response
-			s.recordStored(node.id, w)
-			s.inFlight = append(s.inFlight, w)
+			m := a.Token.(simMessage)
+			m.isReply = true
+			m.answer = a.Response
+			s.recordStored(node.id, m)
+			s.inFlight = append(s.inFlight, m)
 		case FillReply:
-			w := a.Token.(simMessage)
-			w.isReply = true
-			w.filled = a.Response
-			s.inFlight = append(s.inFlight, w)
+			m := a.Token.(simMessage)
+			m.isReply = true
+			m.filled = a.Response
+			s.inFlight = append(s.inFlight, m)
 		case AskFill:
 			s.inFlight = append(s.inFlight, simMessage{
 				isFill:   true,
@@ -164,17 +164,17 @@
 }
 
 // recordStored records which owners have stored an intent in which view.
-func (s *simulation) recordStored(id Identity, w simMessage) {
-	record := w.ask.Request.GetRecord()
-	if w.answer.GetStatus() != messages.RecordStatus_RECORD_STATUS_DONE || record.GetState() != messages.CallState_CALL_STATE_DISPATCHING {
+func (s *simulation) recordStored(id Identity, m simMessage) {
+	record := m.ask.Request.GetRecord()
+	if m.answer.GetStatus() != messages.RecordStatus_RECORD_STATUS_DONE || record.GetState() != messages.CallState_CALL_STATE_DISPATCHING {
 		return
 	}
-	views := s.stored[w.call.proposer.Call]
+	views := s.stored[m.call.proposer.Call]
 	if views == nil {
 		views = make(map[uint64]map[Identity]bool)
-		s.stored[w.call.proposer.Call] = views
+		s.stored[m.call.proposer.Call] = views
 	}
-	number := w.ask.Request.GetViewNumber()
+	number := m.ask.Request.GetViewNumber()
 	if views[number] == nil {
 		views[number] = make(map[Identity]bool)
 	}
@@ -279,37 +279,37 @@
 }
 
 func (s *simulation) deliver(index int, keep bool) {
-	w := s.inFlight[index]
+	m := s.inFlight[index]
 	if !keep {
 		s.inFlight = slices.Delete(s.inFlight, index, index+1)
 	}
 	switch {
-	case w.isFill && w.isReply:
-		if node := s.node(w.fillFrom.Name); node.id == w.fillFrom && !node.frozen {
+	case m.isFill && m.isReply:
+		if node := s.node(m.fillFrom.Name); node.id == m.fillFrom && !node.frozen {
 			s.stepOwner(node, FillResponded{
-				Ask:      w.fill,
-				Response: w.filled,
+				Ask:      m.fill,
+				Response: m.filled,
 			})
 		}
-	case w.isFill:
-		if node := s.node(w.fill.To.Name); !node.frozen {
+	case m.isFill:
+		if node := s.node(m.fill.To.Name); !node.frozen {
 			s.stepOwner(node, FillRequested{
-				Token:   w,
-				Request: w.fill.Request,
+				Token:   m,
+				Request: m.fill.Request,
 			})
 		}
-	case w.isReply:
-		if !s.node(w.call.home.Name).frozen {
-			s.stepCall(w.call, OwnerResponded{
-				Ask:      w.ask,
-				Response: w.answer,
+	case m.isReply:
+		if !s.node(m.call.home.Name).frozen {
+			s.stepCall(m.call, OwnerResponded{
+				Ask:      m.ask,
+				Response: m.answer,
 			})
 		}
 	default:
-		if node := s.node(w.ask.To.Name); !node.frozen {
+		if node := s.node(m.ask.To.Name); !node.frozen {
 			s.stepOwner(node, RequestReceived{
-				Token:   w,
-				Request: w.ask.Request,
+				Token:   m,
+				Request: m.ask.Request,
 			})
 		}
 	}
