--- a/src/auditor/auditor_test.go
+++ b/src/auditor/auditor_test.go
@@ -39,14 +39,14 @@
 	audit := NewAudit(calls, 4*time.Second)
 	entries := map[string]struct {
 		calls, answered, upstreams int
-		underWay                   float64
+		concurrency                float64
 	}{
-		"e1": {calls: 2, answered: 2, upstreams: 2, underWay: 0.75},
-		"e2": {calls: 3, answered: 1, upstreams: 2, underWay: 1.05 / 4},
+		"e1": {calls: 2, answered: 2, upstreams: 2, concurrency: 0.75},
+		"e2": {calls: 3, answered: 1, upstreams: 2, concurrency: 1.05 / 4},
 	}
 	for _, got := range audit.Entries {
 		want := entries[got.Name]
-		if got.Calls != want.calls || got.Answered != want.answered || got.Counterparts != want.upstreams || fmt.Sprintf("%.3f", got.Concurrency) != fmt.Sprintf("%.3f", want.underWay) {
+		if got.Calls != want.calls || got.Answered != want.answered || got.Counterparts != want.upstreams || fmt.Sprintf("%.3f", got.Concurrency) != fmt.Sprintf("%.3f", want.concurrency) {
 			t.Errorf("entry %s: got %+v, want %+v", got.Name, got, want)
 		}
 	}
--- a/src/gateway/poller.go
+++ b/src/gateway/poller.go
@@ -171,17 +171,17 @@
 	callContext, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
 	response := &messages.EntryPollResponse{}
-	e := p.controlSession(address)
-	if err := p.gateway.Client.Call(callContext, address, governor.MethodPoll, p.poll(sentAt, e), response); err != nil {
+	session := p.controlSession(address)
+	if err := p.gateway.Client.Call(callContext, address, governor.MethodPoll, p.poll(sentAt, session), response); err != nil {
 		if p.leader == address {
 			p.gateway.Log.Warn().Err(err).Str("control", address).Msg("leader-not-reached")
 			p.leader = ""
 		}
 		return false
 	}
-	e.handleResponse(response)
+	session.handleResponse(response)
 	if response.GetLeads() && response.GetTableId() != p.leaderTableID {
-		e.requestFullTable()
+		session.requestFullTable()
 		p.leaderTableID = response.GetTableId()
 	}
 	p.handleResponse(sentAt, response)
@@ -189,15 +189,15 @@
 }
 
 func (p *poller) controlSession(address string) *controlSession {
-	e := p.controlSessions[address]
-	if e == nil {
-		e = &controlSession{}
-		p.controlSessions[address] = e
+	session := p.controlSessions[address]
+	if session == nil {
+		session = &controlSession{}
+		p.controlSessions[address] = session
 	}
-	return e
+	return session
 }
 
-func (p *poller) poll(now time.Time, e *controlSession) *messages.EntryPoll {
+func (p *poller) poll(now time.Time, session *controlSession) *messages.EntryPoll {
 	g := p.gateway
 	poll := &messages.EntryPoll{
 		Entry:              string(g.Settings.Name),
@@ -205,16 +205,16 @@
 		DataCentre:         string(g.Settings.DataCentre),
 		WallNs:             time.Now().UnixNano(),
 		DeclarationVersion: uint64(p.version),
-		TableId:            e.tableID,
-		TableCursor:        e.cursor,
+		TableId:            session.tableID,
+		TableCursor:        session.cursor,
 		Serving:            !g.stopping.Load(),
 	}
-	if e.cursor == 0 && p.snapshot.fleet != nil {
+	if session.cursor == 0 && p.snapshot.fleet != nil {
 		poll.TableDigest = p.table.Digest()
 	}
-	e.counts = g.usageCounter.Counts(now.Add(p.snapshot.trueTimeOffset))
-	e.unreported = e.usageReporter.Unacknowledged(e.counts)
-	for _, c := range e.unreported {
+	session.counts = g.usageCounter.Counts(now.Add(p.snapshot.trueTimeOffset))
+	session.unreported = session.usageReporter.Unacknowledged(session.counts)
+	for _, c := range session.unreported {
 		poll.Usage = append(poll.Usage, &messages.WindowUsage{
 			Window:  int64(c.Window),
 			Account: string(c.Account),
@@ -304,7 +304,7 @@
 	now := timekeeper.Now()
 	p.leader = r.GetLeader()
 	p.updateControls(r.GetControls())
-	changed := p.applyDeclaration(r.GetDeclaration())
+	changed := p.applyConfiguration(r.GetDeclaration())
 	for _, m := range p.upstreamChanges(r) {
 		if p.table.Merge(now, m) {
 			changed = true
@@ -383,8 +383,8 @@
 	return max(known, reported)
 }
 
-// updateControls remembers the control instances, those of the settings first: they may be
-// gone, and they may be all that is left once the others are.
+// updateControls stores the control instances, those of the settings first: they may be gone,
+// or they may be the only ones left once the others are gone.
 func (p *poller) updateControls(controls []string) {
 	if len(controls) == 0 {
 		return
@@ -403,9 +403,9 @@
 	}
 }
 
-// applyDeclaration applies a newer configuration; if it cannot be decoded, the last one stays
+// applyConfiguration applies a newer configuration; if it cannot be decoded, the last one stays
 // in force.
-func (p *poller) applyDeclaration(d *messages.Declaration) bool {
+func (p *poller) applyConfiguration(d *messages.Declaration) bool {
 	version := units.Version(d.GetVersion())
 	if d == nil || version <= p.version {
 		return false
--- a/src/informer/informer.go
+++ b/src/informer/informer.go
@@ -35,7 +35,7 @@
 	case MessageReceived:
 		i.handleReceived(now, &out, e.Gossip)
 	case ResponseReceived:
-		i.handleAnswered(now, &out, e)
+		i.handleResponse(now, &out, e)
 	case SendFailed:
 		i.Gossiper.Step(now, gossiper.SendFailed{
 			To:       e.To,
@@ -99,7 +99,7 @@
 	return wanted
 }
 
-func (i *Informer) handleAnswered(now time.Time, out *Outcome, e ResponseReceived) {
+func (i *Informer) handleResponse(now time.Time, out *Outcome, e ResponseReceived) {
 	for _, rumour := range e.Gossip.GetRumours() {
 		if rumour.GetState() == messages.UpstreamState_UPSTREAM_STATE_LEAVING {
 			out.Confirmed = append(out.Confirmed, units.Upstream(rumour.GetAnnouncement().GetUpstream()))
--- a/src/mover/mover.go
+++ b/src/mover/mover.go
@@ -75,7 +75,7 @@
 		}
 	case ExportEnded:
 		if d := m.leaving[e.Upstream]; d != nil {
-			d.handleExported(e)
+			d.handleExportEnded(e)
 			return d.plan(now)
 		}
 	case Ticked:
@@ -150,7 +150,7 @@
 	}
 }
 
-func (d *departure) handleExported(e ExportEnded) {
+func (d *departure) handleExportEnded(e ExportEnded) {
 	if d.exporting == e.Stream {
 		d.exporting = 0
 	}
--- a/src/registrar/registrar.go
+++ b/src/registrar/registrar.go
@@ -39,7 +39,7 @@
 	entries map[units.Instance]*entryState
 	// changePendingSince is when the wanted members first differed from the view's.
 	changePendingSince time.Time
-	viewAppliedAt      time.Time
+	viewCommittedAt    time.Time
 	proposedAt         time.Time
 	proposedNumber     uint64
 	heldSince          time.Time
@@ -85,7 +85,7 @@
 // one is assumed now, since a previous leader that received theirs can have proposed the view.
 func (r *Registrar) applyView(now time.Time, view *messages.EntryView) {
 	r.view = view
-	r.viewAppliedAt = now
+	r.viewCommittedAt = now
 	r.changePendingSince = time.Time{}
 	if !r.leading {
 		return
@@ -168,7 +168,7 @@
 		return false
 	}
 	first := r.view.GetNumber() == 0
-	if !first && now.Sub(r.viewAppliedAt) < r.Options.MinViewInterval {
+	if !first && now.Sub(r.viewCommittedAt) < r.Options.MinViewInterval {
 		return false
 	}
 	proposalPending := r.proposedNumber == r.view.GetNumber()+1
--- a/src/tracker/tracker.go
+++ b/src/tracker/tracker.go
@@ -120,13 +120,13 @@
 	}
 	// Leaving is final for an incarnation: after a repeated older announcement, new calls
 	// would go to a machine that is being reclaimed.
-	sameLife := known != nil && known.Incarnation == next.Incarnation
-	if sameLife && known.Leaving {
+	sameIncarnation := known != nil && known.Incarnation == next.Incarnation
+	if sameIncarnation && known.Leaving {
 		return nil
 	}
 	delete(t.tombstones, next.Name)
 	urgent := known == nil || isSignificant(known, next)
-	if sameLife {
+	if sameIncarnation {
 		next.inheritFrom(known)
 	} else {
 		t.lastNumber++
