--- a/src/informer/informer.go
+++ b/src/informer/informer.go
@@ -33,7 +33,7 @@
 	case ViewChanged:
 		i.Gossiper.Step(now, gossiper.ViewChanged{View: e.View})
 	case MessageReceived:
-		i.handleReceived(now, &out, e.Gossip)
+		i.handleMessage(now, &out, e.Gossip)
 	case ResponseReceived:
 		i.handleResponse(now, &out, e)
 	case SendFailed:
@@ -76,7 +76,7 @@
 	return aliveRumours
 }
 
-func (i *Informer) handleReceived(now time.Time, out *Outcome, gossip *messages.Gossip) {
+func (i *Informer) handleMessage(now time.Time, out *Outcome, gossip *messages.Gossip) {
 	from := source{
 		from:   units.Instance(gossip.GetFrom()),
 		passOn: gossip.GetPassOn(),
