--- a/src/buyer/event.go
+++ b/src/buyer/event.go
@@ -21,7 +21,7 @@
 // Demand is the capacity that one service needs.
 type Demand struct {
 	Service units.Service
-	// MinSlots is the minimum capacity, Used the number of slots in use now.
+	// MinSlots is the minimum capacity, UsedSlots the number of slots in use now.
 	MinSlots         int
 	UsedSlots        int
 	MinOnDemandSlots int
@@ -61,14 +61,14 @@
 // LeadershipLost reports that this instance is no longer the leader.
 type LeadershipLost struct{}
 
-// Listed is the platform's list of instances as of At.
-type Listed struct {
+// InstancesListed is the platform's list of instances as of At.
+type InstancesListed struct {
 	At        time.Time
 	Instances []Instance
 }
 
-// Answered is the platform's answer to a launch; Instance is empty if the platform refused.
-type Answered struct {
+// LaunchAnswered is the platform's answer to a launch; Instance is empty if the platform refused.
+type LaunchAnswered struct {
 	Token    string
 	Instance string
 	Reason   string
@@ -86,8 +86,8 @@
 
 func (LeadershipGained) event() {}
 func (LeadershipLost) event()   {}
-func (Listed) event()           {}
-func (Answered) event()         {}
+func (InstancesListed) event()  {}
+func (LaunchAnswered) event()   {}
 func (Ticked) event()           {}
 
 // Action is an effect that the caller of Step must carry out.
@@ -119,7 +119,7 @@
 	WarmUp time.Duration
 	// RetryInterval is the interval between two requests for one purchase.
 	RetryInterval time.Duration
-	// Backoff is how long an offer is excluded after a refusal; it doubles up to MostBackoff.
+	// Backoff is how long an offer is excluded after a refusal; it doubles up to MaxBackoff.
 	Backoff    time.Duration
 	MaxBackoff time.Duration
 	// CoolDown is how long capacity must be surplus before it is released.
--- a/src/dispatcher/backoff_test.go
+++ b/src/dispatcher/backoff_test.go
@@ -69,8 +69,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		fake := &refusingUpstreams{budget: 2}
 		d := &Dispatcher{Limiter: fake, Recorder: fake, Router: fake, Exchanger: fake, Budget: fake}
-		began := time.Now()
-		err := d.Do(t.Context(), &Call{Deadline: began.Add(time.Minute)}, noSink{})
+		startedAt := time.Now()
+		err := d.Do(t.Context(), &Call{Deadline: startedAt.Add(time.Minute)}, noSink{})
 		var refusal *Refusal
 		if !errors.As(err, &refusal) || refusal.Executed != ExecutedNo || refusal.RetryAfter != 3*time.Second {
 			t.Errorf("error: got %v, want a refusal with executed no and retry after 3s", err)
@@ -78,7 +78,7 @@
 		if got, want := fake.attempts, 3; got != want {
 			t.Errorf("attempts: got %d, want %d", got, want)
 		}
-		if got, minWait, maxWait := time.Since(began), 3*initialBackoff/2, 3*initialBackoff; got < minWait || got > maxWait {
+		if got, minWait, maxWait := time.Since(startedAt), 3*initialBackoff/2, 3*initialBackoff; got < minWait || got > maxWait {
 			t.Errorf("total backoff: got %s, want %s to %s", got, minWait, maxWait)
 		}
 		if fake.earned != 0 {
@@ -123,9 +123,9 @@
 	refusingUpstreams
 }
 
-func (r *interruptingUpstreams) Exchange(_ context.Context, _ *Call, _ units.Attempt, _ *tracker.Upstream, stream *Stream) Result {
-	r.attempts++
-	_ = stream.Event(units.Tokens(r.attempts), nil, nil)
+func (i *interruptingUpstreams) Exchange(_ context.Context, _ *Call, _ units.Attempt, _ *tracker.Upstream, stream *Stream) Result {
+	i.attempts++
+	_ = stream.Event(units.Tokens(i.attempts), nil, nil)
 	return Result{Kind: NotRun, ConnectFailed: true, Unsent: true}
 }
 
@@ -154,13 +154,13 @@
 	requests    int
 }
 
-func (s *delayedBudget) RecordAnswer(units.Service) {}
+func (d *delayedBudget) RecordAnswer(units.Service) {}
 
-func (s *delayedBudget) AllowRetry(units.Service) bool { return false }
+func (d *delayedBudget) AllowRetry(units.Service) bool { return false }
 
-func (s *delayedBudget) AllowResume(units.Service) bool {
-	s.requests++
-	return !time.Now().Before(s.availableAt)
+func (d *delayedBudget) AllowResume(units.Service) bool {
+	d.requests++
+	return !time.Now().Before(d.availableAt)
 }
 
 // Many upstreams are lost at once with their streams, and the budget of all entries is
@@ -179,9 +179,9 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				began := time.Now()
-				budget := &delayedBudget{availableAt: began.Add(c.availableAfter)}
-				fleet := &outageFleet{recoveredAt: began}
+				startedAt := time.Now()
+				budget := &delayedBudget{availableAt: startedAt.Add(c.availableAfter)}
+				fleet := &outageFleet{recoveredAt: startedAt}
 				d := &Dispatcher{
 					Limiter:   fleet,
 					Recorder:  fleet,
@@ -191,7 +191,7 @@
 				}
 				call := &Call{
 					ID:         "call-1",
-					Deadline:   began.Add(time.Minute),
+					Deadline:   startedAt.Add(time.Minute),
 					Repeatable: true,
 					Stream:     true,
 				}
@@ -203,7 +203,7 @@
 				if errors.As(err, &refusal) && refusal.Executed != ExecutedUnknown {
 					t.Errorf("refusal: got executed %s, want unknown", refusal.Executed)
 				}
-				if got, want := time.Since(began), min(c.availableAfter, resumeTimeout)+2*resumePollInterval; got > want {
+				if got, want := time.Since(startedAt), min(c.availableAfter, resumeTimeout)+2*resumePollInterval; got > want {
 					t.Errorf("call duration: got %s, want at most %s", got, want)
 				}
 				if budget.requests == 0 {
--- a/src/gateway/poller.go
+++ b/src/gateway/poller.go
@@ -94,14 +94,14 @@
 			return
 		case <-timer.C:
 		}
-		began := timekeeper.Now()
+		startedAt := timekeeper.Now()
 		p.pollRound(ctx)
 		now := timekeeper.Now()
 		if p.hasMore {
 			timer.Reset(pageDelay)
 			continue
 		}
-		timer.Reset(pollDelay(pollInterval(p.snapshot.entries), now.Sub(began), now.Sub(p.controlLostAt), p.controlLost))
+		timer.Reset(pollDelay(pollInterval(p.snapshot.entries), now.Sub(startedAt), now.Sub(p.controlLostAt), p.controlLost))
 	}
 }
 
@@ -171,17 +171,17 @@
 	callContext, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
 	response := &messages.EntryPollResponse{}
-	e := p.controlSession(address)
-	if err := p.gateway.Client.Call(callContext, address, governor.MethodPoll, p.poll(sentAt, e), response); err != nil {
+	session := p.controlSession(address)
+	if err := p.gateway.Client.Call(callContext, address, governor.MethodPoll, p.poll(sentAt, session), response); err != nil {
 		if p.leader == address {
 			p.gateway.Log.Warn().Err(err).Str("control", address).Msg("leader-not-reached")
 			p.leader = ""
 		}
 		return false
 	}
-	e.handleResponse(response)
+	session.handleResponse(response)
 	if response.GetLeads() && response.GetTableId() != p.leaderTableID {
-		e.requestFullTable()
+		session.requestFullTable()
 		p.leaderTableID = response.GetTableId()
 	}
 	p.handleResponse(sentAt, response)
@@ -189,15 +189,15 @@
 }
 
 func (p *poller) controlSession(address string) *controlSession {
-	e := p.controlSessions[address]
-	if e == nil {
-		e = &controlSession{}
-		p.controlSessions[address] = e
+	session := p.controlSessions[address]
+	if session == nil {
+		session = &controlSession{}
+		p.controlSessions[address] = session
 	}
-	return e
+	return session
 }
 
-func (p *poller) poll(now time.Time, e *controlSession) *messages.EntryPoll {
+func (p *poller) poll(now time.Time, session *controlSession) *messages.EntryPoll {
 	g := p.gateway
 	poll := &messages.EntryPoll{
 		Entry:              string(g.Settings.Name),
@@ -205,16 +205,16 @@
 		DataCentre:         string(g.Settings.DataCentre),
 		WallNs:             time.Now().UnixNano(),
 		DeclarationVersion: uint64(p.version),
-		TableId:            e.tableID,
-		TableCursor:        e.cursor,
+		TableId:            session.tableID,
+		TableCursor:        session.cursor,
 		Serving:            !g.stopping.Load(),
 	}
-	if e.cursor == 0 && p.snapshot.fleet != nil {
+	if session.cursor == 0 && p.snapshot.fleet != nil {
 		poll.TableDigest = p.table.Digest()
 	}
-	e.counts = g.usageCounter.Counts(now.Add(p.snapshot.trueTimeOffset))
-	e.unreported = e.usageTeller.Unacknowledged(e.counts)
-	for _, c := range e.unreported {
+	session.counts = g.usageCounter.Counts(now.Add(p.snapshot.trueTimeOffset))
+	session.unreported = session.usageReporter.Unacknowledged(session.counts)
+	for _, c := range session.unreported {
 		poll.Usage = append(poll.Usage, &messages.WindowUsage{
 			Window:  int64(c.Window),
 			Account: string(c.Account),
@@ -258,7 +258,7 @@
 		p.sentObservation = n.Number
 		reports = append(reports, &messages.UpstreamLoss{
 			Request:   uint64(n.Loss.Request),
-			Life:      uint64(n.Loss.Life),
+			Life:      uint64(n.Loss.IncarnationID),
 			Answering: n.Loss.Answering,
 			Ran:       n.Ran,
 		})
@@ -304,7 +304,7 @@
 	now := timekeeper.Now()
 	p.leader = r.GetLeader()
 	p.updateControls(r.GetControls())
-	changed := p.applyDeclaration(r.GetDeclaration())
+	changed := p.applyConfiguration(r.GetDeclaration())
 	for _, m := range p.upstreamChanges(r) {
 		if p.table.Merge(now, m) {
 			changed = true
@@ -383,8 +383,8 @@
 	return max(known, reported)
 }
 
-// updateControls remembers the control instances, those of the settings first: they may be
-// gone, and they may be all that is left once the others are.
+// updateControls stores the control instances, those of the settings first: they may be gone,
+// or they may be the only ones left once the others are gone.
 func (p *poller) updateControls(controls []string) {
 	if len(controls) == 0 {
 		return
@@ -403,9 +403,9 @@
 	}
 }
 
-// applyDeclaration applies a newer configuration; if it cannot be decoded, the last one stays
+// applyConfiguration applies a newer configuration; if it cannot be decoded, the last one stays
 // in force.
-func (p *poller) applyDeclaration(d *messages.Declaration) bool {
+func (p *poller) applyConfiguration(d *messages.Declaration) bool {
 	version := units.Version(d.GetVersion())
 	if d == nil || version <= p.version {
 		return false
@@ -415,19 +415,19 @@
 		p.gateway.Log.Error().Err(err).Uint64("version", uint64(version)).Msg("configuration-unreadable")
 		return false
 	}
-	declaration, err := p.gateway.Decode(document)
+	configuration, err := p.gateway.Decode(document)
 	if err != nil {
 		p.gateway.Log.Error().Err(err).Uint64("version", uint64(version)).Msg("configuration-unreadable")
 		return false
 	}
 	p.version = version
-	p.configuration = matcher.NewTable(declaration)
+	p.configuration = matcher.NewTable(configuration)
 	p.snapshot.table = p.configuration
 	p.gateway.quota.UpdateLimits(timekeeper.Now(), p.configuration)
 	p.gateway.Log.Info().
 		Uint64("version", uint64(version)).
-		Int("routes", len(declaration.Routes)).
-		Int("accounts", len(declaration.Accounts)).
+		Int("routes", len(configuration.Routes)).
+		Int("accounts", len(configuration.Accounts)).
 		Msg("configuration-in-force")
 	return true
 }
--- a/src/governor/coordinator.go
+++ b/src/governor/coordinator.go
@@ -66,7 +66,7 @@
 	// unsent are the upstreams whose changes were not sent to the other control instances yet.
 	unsent      map[units.Upstream]bool
 	ticks       int
-	divider     *allocator.Allocator
+	allocator   *allocator.Allocator
 	estimator   timekeeper.Estimator
 	inFlight    placer.LoadSum
 	pollSummary *pollSummary
@@ -124,7 +124,7 @@
 		// All control instances may have started at the same time, so there may be no leader
 		// yet.
 		leaderSeenAt:     timekeeper.Now().Add(startGraceHeartbeats * g.Settings.HeartbeatInterval),
-		divider:          &allocator.Allocator{},
+		allocator:        &allocator.Allocator{},
 		proposalsByToken: make(map[uint64]chan<- declareReply),
 		proposalsByIndex: make(map[units.Index]pendingProposal),
 	}
@@ -201,7 +201,7 @@
 		if e == nil {
 			return nil
 		}
-		if err := c.handle(e); err != nil {
+		if err := c.handleEvent(e); err != nil {
 			return err
 		}
 	}
@@ -218,7 +218,7 @@
 	case <-ctx.Done():
 		return nil
 	case <-ticks:
-		return timeTick{}
+		return ticked{}
 	case e := <-c.events:
 		return e
 	default:
@@ -227,7 +227,7 @@
 	case <-ctx.Done():
 		return nil
 	case <-ticks:
-		return timeTick{}
+		return ticked{}
 	case e := <-c.events:
 		return e
 	case p := <-c.polls:
@@ -298,7 +298,7 @@
 	c.leaderUntil.Store(end.UnixNano())
 	if c.leaderSince.IsZero() {
 		c.leaderSince = now
-		c.divider = &allocator.Allocator{
+		c.allocator = &allocator.Allocator{
 			Lease:  c.settings.RevocationTimeout,
 			Window: allocator.NewWindow(c.settings.Quota),
 			Since:  now,
@@ -313,29 +313,29 @@
 	return true
 }
 
-func (c *coordinator) handle(e event) error {
+func (c *coordinator) handleEvent(e event) error {
 	switch e := e.(type) {
 	case logMessageReceived:
-		return c.step(replicator.Received{Message: e.message})
+		return c.step(replicator.MessageReceived{Message: e.message})
 	case declareRequested:
 		return c.handleDeclare(e)
 	case readRequested:
 		e.reply <- c.read()
-	case timeTick:
+	case ticked:
 		return c.tick(c.ctx)
 	case pollReceived:
 		return c.handlePoll(e)
-	case announcement:
+	case announcementReceived:
 		e.reply <- c.handleAnnouncement(e)
-	case syncUpstreams:
+	case upstreamBatchReceived:
 		e.reply <- c.syncUpstreams(e.batch)
 	case rolloutRequested:
 		return c.rollouts.start(e)
 	case rolloutReadRequested:
 		e.reply <- c.rollouts.read(e.service)
-	case usageReportDone:
+	case usageReportEnded:
 		c.duties.handleReportResult(e)
-	case orderDone:
+	case orderEnded:
 		c.duties.orders.handleResult(e, c.duties)
 	case settingsReloaded:
 		for _, seed := range e.settings.SeedPeers() {
@@ -354,7 +354,7 @@
 		e.reply <- declareReply{leader: string(c.node.LeaderID())}
 		return nil
 	}
-	if e.declaration.GetVersion() <= c.state.declaration.GetVersion() {
+	if e.declaration.GetVersion() <= c.state.configuration.GetVersion() {
 		e.reply <- declareReply{accepted: true}
 		return nil
 	}
@@ -377,7 +377,7 @@
 	}
 	return readReply{
 		authoritative: true,
-		declaration:   c.state.declaration,
+		declaration:   c.state.configuration,
 	}
 }
 
--- a/src/informer/informer.go
+++ b/src/informer/informer.go
@@ -32,15 +32,15 @@
 		i.flushLeaving(now, &out, e.Announcement)
 	case ViewChanged:
 		i.Gossiper.Step(now, gossiper.ViewChanged{View: e.View})
-	case Received:
-		i.handleReceived(now, &out, e.Gossip)
-	case Answered:
-		i.handleAnswered(now, &out, e)
-	case Failed:
+	case MessageReceived:
+		i.handleMessage(now, &out, e.Gossip)
+	case ResponseReceived:
+		i.handleResponse(now, &out, e)
+	case SendFailed:
 		i.Gossiper.Step(now, gossiper.SendFailed{
-			To:     e.To,
-			Gossip: e.Gossip,
-			Took:   e.Took,
+			To:       e.To,
+			Gossip:   e.Gossip,
+			Duration: e.Duration,
 		})
 	case Ticked:
 		i.stepTracker(now, &out, source{}, tracker.Ticked{})
@@ -76,7 +76,7 @@
 	return aliveRumours
 }
 
-func (i *Informer) handleReceived(now time.Time, out *Outcome, gossip *messages.Gossip) {
+func (i *Informer) handleMessage(now time.Time, out *Outcome, gossip *messages.Gossip) {
 	from := source{
 		from:   units.Instance(gossip.GetFrom()),
 		passOn: gossip.GetPassOn(),
@@ -99,7 +99,7 @@
 	return wanted
 }
 
-func (i *Informer) handleAnswered(now time.Time, out *Outcome, e Answered) {
+func (i *Informer) handleResponse(now time.Time, out *Outcome, e ResponseReceived) {
 	for _, rumour := range e.Gossip.GetRumours() {
 		if rumour.GetState() == messages.UpstreamState_UPSTREAM_STATE_LEAVING {
 			out.Confirmed = append(out.Confirmed, units.Upstream(rumour.GetAnnouncement().GetUpstream()))
--- a/src/mover/mover.go
+++ b/src/mover/mover.go
@@ -57,7 +57,7 @@
 		m.leaving = make(map[Upstream]*departure)
 	}
 	switch e := event.(type) {
-	case Noticed:
+	case NoticeReceived:
 		return m.handleNotice(now, e)
 	case StreamStarted:
 		if d := m.leaving[e.Upstream]; d != nil {
@@ -75,7 +75,7 @@
 		}
 	case ExportEnded:
 		if d := m.leaving[e.Upstream]; d != nil {
-			d.handleExported(e)
+			d.handleExportEnded(e)
 			return d.plan(now)
 		}
 	case Ticked:
@@ -90,7 +90,7 @@
 // IsLeaving reports whether the mover has received the upstream's notice.
 func (m *Mover) IsLeaving(upstream Upstream) bool { return m.leaving[upstream] != nil }
 
-func (m *Mover) handleNotice(now time.Time, e Noticed) []Action {
+func (m *Mover) handleNotice(now time.Time, e NoticeReceived) []Action {
 	d := m.leaving[e.Notice.Upstream]
 	if d == nil {
 		d = &departure{
@@ -150,13 +150,13 @@
 	}
 }
 
-func (d *departure) handleExported(e ExportEnded) {
+func (d *departure) handleExportEnded(e ExportEnded) {
 	if d.exporting == e.Stream {
 		d.exporting = 0
 	}
 	if nominal := d.nominalTransferTime(e.Tokens); !e.Failed && nominal > 0 {
 		// Other entries share the upstream's link, so an export can take longer than announced.
-		measured := float64(e.Took) / float64(nominal)
+		measured := float64(e.Duration) / float64(nominal)
 		d.slowdown += slowdownGain * (max(1, measured) - d.slowdown)
 	}
 	if s := d.streams[e.Stream]; s != nil && !e.Failed {
--- a/src/registrar/registrar.go
+++ b/src/registrar/registrar.go
@@ -39,7 +39,7 @@
 	entries map[units.Instance]*entryState
 	// changePendingSince is when the wanted members first differed from the view's.
 	changePendingSince time.Time
-	viewAppliedAt      time.Time
+	viewCommittedAt    time.Time
 	proposedAt         time.Time
 	proposedNumber     uint64
 	heldSince          time.Time
@@ -61,7 +61,7 @@
 	case LeadershipLost:
 		r.leading = false
 		r.entries = nil
-	case ViewApplied:
+	case ViewCommitted:
 		r.applyView(now, e.View)
 	case HeartbeatReceived:
 		r.onHeartbeat(now, e)
@@ -85,7 +85,7 @@
 // one is assumed now, since a previous leader that received theirs can have proposed the view.
 func (r *Registrar) applyView(now time.Time, view *messages.EntryView) {
 	r.view = view
-	r.viewAppliedAt = now
+	r.viewCommittedAt = now
 	r.changePendingSince = time.Time{}
 	if !r.leading {
 		return
@@ -168,7 +168,7 @@
 		return false
 	}
 	first := r.view.GetNumber() == 0
-	if !first && now.Sub(r.viewAppliedAt) < r.Options.MinViewInterval {
+	if !first && now.Sub(r.viewCommittedAt) < r.Options.MinViewInterval {
 		return false
 	}
 	proposalPending := r.proposedNumber == r.view.GetNumber()+1
@@ -234,7 +234,7 @@
 // all members, the owners of every record would change at once and no majority of the
 // previous owners could be read, so that answered calls would end as unknown. One view
 // therefore removes less than half of the previous one's members, and none while half
-// or more are silent, until Hold has passed and a transient partition is ruled out.
+// or more are silent, until HoldPeriod has passed and a transient partition is ruled out.
 func (r *Registrar) removableMembers(now time.Time, silent []*messages.EntryMember) ([]*messages.EntryMember, *RemovalHeld) {
 	total := len(r.view.GetMembers())
 	maxRemoved := max((total-1)/2, 0)
@@ -265,7 +265,7 @@
 	return time.Time{}
 }
 
-// evictStale removes the state of entries that are not members and have been silent for longer than Hold.
+// evictStale removes the state of entries that are not members and have been silent for longer than HoldPeriod.
 func (r *Registrar) evictStale(now time.Time) {
 	present := make(map[units.Instance]bool)
 	for _, member := range r.view.GetMembers() {
--- a/src/replicator/node.go
+++ b/src/replicator/node.go
@@ -51,7 +51,7 @@
 	retainedDivisor = 4
 )
 
-// Options configures a voter; every field but Joining is required.
+// Options configures a voter; every field but JoinOnly is required.
 type Options struct {
 	ID         units.VoterID
 	DataCentre units.DataCentre
@@ -189,7 +189,7 @@
 	switch e := event.(type) {
 	case Ticked:
 		n.tick(now)
-	case Received:
+	case MessageReceived:
 		n.receive(now, e.Message)
 	case Proposed:
 		n.propose(now, e)
--- a/src/server/adoption.go
+++ b/src/server/adoption.go
@@ -117,7 +117,7 @@
 }
 
 // disableStreaming turns a model call into one without streaming, since no caller is
-// connected to read the stream. RecordedBody keeps the body that the caller sent, which
+// connected to read the stream. OriginalBody keeps the body that the caller sent, which
 // is what the record compares.
 func disableStreaming(call *dispatcher.Call) error {
 	var fields map[string]json.RawMessage
@@ -148,7 +148,7 @@
 	return nil
 }
 
-// runAdopted runs a handed-over call until it is answered, fails for good or reaches its
+// runAdopted runs a handed-over call until it is answered, fails permanently or reaches its
 // deadline. A refusal that did not run the call and allows a retry is retried here, since
 // the caller was told to collect the answer later.
 func (s *Server) runAdopted(ctx context.Context, call *dispatcher.Call) {
--- a/src/stager/secure.go
+++ b/src/stager/secure.go
@@ -13,7 +13,7 @@
 const (
 	certificateLifetime = 24 * time.Hour
 	loopbackAddress     = "127.0.0.1"
-	// operatorName is the operator whose certificate the stage's own requests present.
+	// operatorName is the operator whose certificate the cluster's own requests present.
 	operatorName = "stage"
 )
 
@@ -24,20 +24,20 @@
 	return "https://" + l.Address
 }
 
-func (s *Stage) scheme() string {
-	if s.TLS {
+func (c *Cluster) scheme() string {
+	if c.TLS {
 		return "https://"
 	}
 	return "http://"
 }
 
 // configureTLS issues a node's certificate and sets it on all of its listeners,
-// unless the node already has one or the stage runs without TLS.
-func (s *Stage) configureTLS(node *Node) error {
-	if !s.TLS || node.Settings.Peers.Certificate != "" {
+// unless the node already has one or the cluster runs without TLS.
+func (c *Cluster) configureTLS(node *Node) error {
+	if !c.TLS || node.Settings.Peers.Certificate != "" {
 		return nil
 	}
-	files, err := s.IssueCertificate(certifier.Identity{
+	files, err := c.IssueCertificate(certifier.Identity{
 		Role: certifier.Role(node.role),
 		Name: string(node.Settings.Name),
 	})
@@ -56,36 +56,36 @@
 	return nil
 }
 
-// IssueCertificate issues a certificate for an identity; the first call generates the stage's authority.
-func (s *Stage) IssueCertificate(identity certifier.Identity) (parser.Listener, error) {
-	if s.authority == nil {
+// IssueCertificate issues a certificate for an identity; the first call generates the cluster's authority.
+func (c *Cluster) IssueCertificate(identity certifier.Identity) (parser.Listener, error) {
+	if c.authority == nil {
 		issuer := &certifier.Authority{
-			Folder:   filepath.Join(s.Folder, "certificates"),
+			Folder:   filepath.Join(c.Folder, "certificates"),
 			Lifetime: certificateLifetime,
 		}
 		if err := issuer.Generate(); err != nil {
-			return parser.Listener{}, fmt.Errorf("generate the stage's certificate authority: %w", err)
+			return parser.Listener{}, fmt.Errorf("generate the cluster's certificate authority: %w", err)
 		}
-		s.authority = issuer
+		c.authority = issuer
 	}
-	return s.authority.Issue(identity, loopbackAddress)
+	return c.authority.Issue(identity, loopbackAddress)
 }
 
 // TLSFlags returns the command-line flags with which a program presents a
-// certificate for an identity, or none where the stage runs without TLS.
-func (s *Stage) TLSFlags(identity certifier.Identity) ([]string, error) {
-	if !s.TLS {
+// certificate for an identity, or none where the cluster runs without TLS.
+func (c *Cluster) TLSFlags(identity certifier.Identity) ([]string, error) {
+	if !c.TLS {
 		return nil, nil
 	}
-	files, err := s.IssueCertificate(identity)
+	files, err := c.IssueCertificate(identity)
 	if err != nil {
 		return nil, err
 	}
 	return tlsFlags(files), nil
 }
 
-func (s *Stage) upstreamFlags(name string) ([]string, error) {
-	return s.TLSFlags(certifier.Identity{
+func (c *Cluster) upstreamFlags(name string) ([]string, error) {
+	return c.TLSFlags(certifier.Identity{
 		Role: certifier.Upstream,
 		Name: name,
 	})
@@ -98,19 +98,19 @@
 }
 
 // OperatorClient returns an HTTP client that presents the certificate of an operator.
-func (s *Stage) OperatorClient() (*http.Client, error) {
-	return s.ClientFor(certifier.Identity{
+func (c *Cluster) OperatorClient() (*http.Client, error) {
+	return c.ClientFor(certifier.Identity{
 		Role: certifier.Operator,
 		Name: operatorName,
 	})
 }
 
 // ClientFor returns an HTTP client that presents the certificate of an identity.
-func (s *Stage) ClientFor(identity certifier.Identity) (*http.Client, error) {
-	if !s.TLS {
+func (c *Cluster) ClientFor(identity certifier.Identity) (*http.Client, error) {
+	if !c.TLS {
 		return http.DefaultClient, nil
 	}
-	files, err := s.IssueCertificate(identity)
+	files, err := c.IssueCertificate(identity)
 	if err != nil {
 		return nil, err
 	}
@@ -118,7 +118,7 @@
 		Files: files,
 	}
 	if _, err := source.Load(); err != nil {
-		return nil, fmt.Errorf("load the stage's certificate: %w", err)
+		return nil, fmt.Errorf("load the cluster's certificate: %w", err)
 	}
 	return &http.Client{
 		Transport: &http.Transport{
