--- a/src/distributor/update.go
+++ b/src/distributor/update.go
@@ -91,7 +91,7 @@
 
 // Error includes the remedy.
 func (e *BaseError) Error() string {
-	return fmt.Sprintf("version %d cannot be computed from version %d; the next heartbeat brings the full document", e.Version, e.Base)
+	return fmt.Sprintf("version %d cannot be formed from version %d; the next heartbeat brings it whole", e.Version, e.Base)
 }
 
 // Apply returns the document that results from an update to the receiver's own document, which
--- a/src/entry/adoption.go
+++ b/src/entry/adoption.go
@@ -17,7 +17,7 @@
 // maxAdoptAttempts is how many entries are asked to adopt a call.
 const maxAdoptAttempts = 3
 
-var errNotAdopted = errors.New("no other entry adopted the call")
+var errNotAdopted = errors.New("no other entry took the call")
 
 // Adopt hands a call over to another entry of the view.
 func (e *Entry) Adopt(ctx context.Context, call *dispatcher.Call) error {
--- a/src/entry/validation.go
+++ b/src/entry/validation.go
@@ -40,7 +40,7 @@
 func parseAnnouncement(content []byte) (*messages.Announcement, error) {
 	announcement := &messages.Announcement{}
 	if err := protojson.Unmarshal(content, announcement); err != nil {
-		return nil, fmt.Errorf("read the announcement: %w; send only the fields of the announcement's schema", err)
+		return nil, fmt.Errorf("read the announcement: %w; send the fields of the announcement's schema alone", err)
 	}
 	if err := checkNumbers(announcement); err != nil {
 		return nil, err
--- a/src/forwarder/request.go
+++ b/src/forwarder/request.go
@@ -70,7 +70,7 @@
 		return p, nil
 	}
 	if err := json.Unmarshal(call.Body, &p.fields); err != nil {
-		return nil, fmt.Errorf("decode the request body: %w", err)
+		return nil, fmt.Errorf("read the request: %w", err)
 	}
 	p.resumable = isSingle(p.fields["n"]) && isSingle(p.fields["best_of"])
 	p.collects = !call.Stream && p.resumable
--- a/src/parser/configuration_test.go
+++ b/src/parser/configuration_test.go
@@ -32,7 +32,7 @@
 		},
 		"duplicate key": {
 			document: "version: 1\nversion: 2\n",
-			want:     []string{`f:2:1: version: "version" is not allowed: each key at most once`},
+			want:     []string{`f:2:1: version: "version" is not allowed: each key once`},
 		},
 		"bad duration": {
 			document: "version: 1\nrecord:\n  keep-for: 10\n",
@@ -64,7 +64,7 @@
 		},
 		"infinite rate": {
 			document: "version: 1\nbrands: [{name: b}]\nclient-accounts:\n  - {name: a, brand: b, limits: {requests-per-second: inf}}\n",
-			want:     []string{`f:4:55: client-accounts[0].limits.requests-per-second: "inf" is not allowed: a number of at least 0`},
+			want:     []string{`f:4:55: client-accounts[0].limits.requests-per-second: "inf" is not allowed: a number from 0`},
 		},
 		"host in upper case": {
 			document: "version: 1\nbrands: [{name: b, hosts: [A.example]}]\n",
--- a/src/parser/decoder.go
+++ b/src/parser/decoder.go
@@ -51,7 +51,7 @@
 	}
 	if len(tree.Docs) != 1 || tree.Docs[0].Body == nil {
 		d.report("document", fmt.Sprintf("%d documents", len(tree.Docs)),
-			"exactly one non-empty document", "write one document in the file")
+			"exactly one document that is not empty", "write one document in the file")
 		return d
 	}
 	d.unreadable = false
@@ -140,7 +140,7 @@
 func (d *document) decodeStruct(path string, node ast.Node, target reflect.Value) {
 	pairs, ok := mappingPairs(node)
 	if !ok {
-		d.report(path, nodeText(node), "a mapping", "write its keys indented below it")
+		d.report(path, nodeText(node), "a mapping", "indent its keys below it")
 		return
 	}
 	fields := fieldsByKey(target)
@@ -155,7 +155,7 @@
 			d.report(fieldPath, key, "one of the keys "+keyList(target.Type()), "correct or remove the key")
 		case seen[key]:
 			d.positions[fieldPath] = *pair.Key.GetToken().Position
-			d.report(fieldPath, key, "each key at most once", "remove the second one")
+			d.report(fieldPath, key, "each key once", "remove the second one")
 		default:
 			d.decodeValue(fieldPath, pair.Value, field)
 		}
@@ -166,7 +166,7 @@
 func (d *document) decodeSlice(path string, node ast.Node, target reflect.Value) {
 	sequence, ok := node.(*ast.SequenceNode)
 	if !ok {
-		d.report(path, nodeText(node), "a list", "start each item with '- '")
+		d.report(path, nodeText(node), "a list", "begin each item with '- '")
 		return
 	}
 	items := reflect.MakeSlice(target.Type(), len(sequence.Values), len(sequence.Values))
@@ -188,7 +188,7 @@
 func (d *document) decodeScalar(path string, node ast.Node, target reflect.Value) {
 	value := nodeText(node)
 	if _, scalar := node.(ast.ScalarNode); !scalar {
-		d.report(path, value, "a scalar value", "write the value on the line of its key")
+		d.report(path, value, "a single value", "write the value on the key's line")
 		return
 	}
 	switch target.Kind() {
@@ -204,21 +204,21 @@
 	case reflect.Int, reflect.Int64:
 		parsed, err := strconv.ParseInt(value, 10, 64)
 		if err != nil || parsed < 0 {
-			d.report(path, value, "an integer of at least 0", "write it in digits")
+			d.report(path, value, "a whole number from 0", "write it in digits")
 			return
 		}
 		target.SetInt(parsed)
 	case reflect.Uint64:
 		parsed, err := strconv.ParseUint(value, 10, 64)
 		if err != nil {
-			d.report(path, value, "an integer of at least 0", "write it in digits")
+			d.report(path, value, "a whole number from 0", "write it in digits")
 			return
 		}
 		target.SetUint(parsed)
 	case reflect.Float64:
 		parsed, err := strconv.ParseFloat(value, 64)
 		if err != nil || parsed < 0 || math.IsNaN(parsed) || math.IsInf(parsed, 0) {
-			d.report(path, value, "a number of at least 0", "write it in digits")
+			d.report(path, value, "a number from 0", "write it in digits")
 			return
 		}
 		target.SetFloat(parsed)
--- a/src/parser/deployment.go
+++ b/src/parser/deployment.go
@@ -141,18 +141,18 @@
 		d.report("name", "", "a name", "name the instance")
 	}
 	if _, err := netip.ParseAddr(s.Address); err != nil {
-		d.report("address", s.Address, "an IP address", "set the address at which other instances reach this one")
+		d.report("address", s.Address, "an IP address", "give the address that other instances reach this one at")
 	}
 	if len(s.PeerPorts) != 2 || s.PeerPorts[1]-s.PeerPorts[0]+1 < minPeerPorts {
 		d.report("peer-ports", fmt.Sprint(s.PeerPorts), fmt.Sprintf("the first and last of at least %d ports", minPeerPorts),
-			"set a free range that is the same on all instances")
+			"give a free range that is the same on all instances")
 	}
 	if len(s.Seeds) == 0 {
-		d.report("seeds", "", "at least one address", "list the addresses of some control instances")
+		d.report("seeds", "", "at least one address", "name some control instances")
 	}
 	if share := s.Rollouts.ExposureShare; share < 0 || share > 1 || s.Rollouts.ExposureSlack < 0 {
 		d.report("rollouts", fmt.Sprint(s.Rollouts), "an exposure-share from 0 to 1 and an exposure-slack of 0 or more",
-			"set how many of a service's calls a faulty version may receive")
+			"give what a bad version may get of a service's calls")
 	}
 	for i, seed := range s.Seeds {
 		d.checkAddrPort(fmt.Sprintf("seeds[%d]", i), seed)
@@ -164,7 +164,7 @@
 	case Control:
 		d.checkAddrPort("operators", s.Operators)
 		if s.DataFolder == "" {
-			d.report("data-folder", "", "a folder on a disk", "set the folder that control writes its data to")
+			d.report("data-folder", "", "a folder on a disk", "name the folder that control may write to")
 		}
 	}
 }
--- a/src/parser/fleet.go
+++ b/src/parser/fleet.go
@@ -121,7 +121,7 @@
 		checkName(d, classPath+".name", string(class.Name), classes[class.Name])
 		classes[class.Name] = true
 		if class.Slots == 0 {
-			d.report(classPath+".slots", "0", "an integer of at least 1", "set the number of sequences that a machine runs within the latency target")
+			d.report(classPath+".slots", "0", "a whole number from 1", "count the sequences that a machine runs at the latency target")
 		}
 	}
 	d.validateOffers(f, classes)
@@ -151,16 +151,16 @@
 		s := &c.Services[i]
 		servicePath := fmt.Sprintf("services[%d]", i)
 		if s.Kind != ModelService && (s.Fleet.AllowOrders || s.Fleet.MaxInstances > 0) {
-			d.report(servicePath+".fleet", string(s.Kind), "orders and purchases for model services only", "remove them")
+			d.report(servicePath+".fleet", string(s.Kind), "orders and purchases for model services alone", "remove them")
 		}
 		if s.NextVersion != "" && s.ModelVersion == "" {
-			d.report(servicePath+".next-version", string(s.NextVersion), "a next version in addition to a model-version", "set model-version to the version in service")
+			d.report(servicePath+".next-version", string(s.NextVersion), "a next version beside a model-version", "name the version in service too")
 		}
 		if s.Fleet.AllowOrders && s.ModelVersion == "" {
-			d.report(servicePath+".model-version", "", "a version where orders are allowed", "set the version that upstreams should load")
+			d.report(servicePath+".model-version", "", "a version, since orders are allowed", "name the version that upstreams shall load")
 		}
 		if s.Fleet.MaxInstances > 0 && (!s.Fleet.AllowOrders || len(c.Fleet.DataCentres) == 0) {
-			d.report(servicePath+".fleet.most", fmt.Sprint(s.Fleet.MaxInstances), "purchases only with orders and offers", "allow orders and list the data centres under fleet")
+			d.report(servicePath+".fleet.most", fmt.Sprint(s.Fleet.MaxInstances), "purchases with orders and with offers", "allow orders and list the data centres under fleet")
 		}
 	}
 }
--- a/src/parser/settings.go
+++ b/src/parser/settings.go
@@ -120,18 +120,18 @@
 		d.checkAuthorities("upstreams", s.Upstreams)
 	}
 	if role == Control && s.DataFolder == "" {
-		d.report("data-folder", "", "a folder on a disk", "set the folder that control writes its data to")
+		d.report("data-folder", "", "a folder on a disk", "name the folder that control may write to")
 	}
 	d.validateControl(s, role)
 }
 
 func (d *document) validateControl(s *Settings, role Role) {
 	if len(s.Control) == 0 {
-		d.report("control", "", "at least one instance", "list the control instances")
+		d.report("control", "", "at least one instance", "list the instances that carry control")
 	}
 	if s.Voters < 0 || s.Voters > len(s.Control) || s.Voters != 0 && s.Voters%2 == 0 {
-		d.report("voters", strconv.Itoa(s.Voters), "an odd number, at most the number of control instances",
-			"write 3 or 5, or omit it")
+		d.report("voters", strconv.Itoa(s.Voters), "an odd number, at most that of the control instances",
+			"write 3 or 5, or leave it out")
 	}
 	names := make(map[units.Instance]bool)
 	for i, control := range s.Control {
@@ -141,7 +141,7 @@
 		names[control.Name] = true
 	}
 	if role == Control && !names[s.Name] {
-		d.report("name", string(s.Name), "a name listed under control", "add this instance to control")
+		d.report("name", string(s.Name), "a name listed under control", "add this instance to the list")
 	}
 }
 
@@ -152,7 +152,7 @@
 	}
 	if l.Certificate+l.PrivateKey+l.Authorities != "" {
 		d.report(listenerPath+".certificate", l.Certificate, "a certificate and its private key",
-			"name both files, or neither on a loopback address with insecure-loopback")
+			"name both files, or none on a loopback address with insecure-loopback")
 		return
 	}
 	address, err := netip.ParseAddrPort(l.Address)
@@ -166,7 +166,7 @@
 // checkAuthorities requires peer verification on a listener whose clients can change state.
 func (d *document) checkAuthorities(listenerPath string, l Listener) {
 	if l.Certificate != "" && l.Authorities == "" {
-		d.report(listenerPath+".authorities", "", "a file with the CA certificates that verify the peer's certificate",
-			"set the path of this file")
+		d.report(listenerPath+".authorities", "", "the authorities that sign the other end's certificates",
+			"name the file with their certificates")
 	}
 }
--- a/src/parser/validator.go
+++ b/src/parser/validator.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	allowedName   = "1 to 63 letters, digits, '.', '_' or '-'"
+	allowedName   = "letters, digits, '.', '_' and '-', 1 to 63 of them"
 	maxNameLength = 63
 	hashBytes     = 32
 	minSaltBytes  = 8
@@ -27,7 +27,7 @@
 
 func (d *document) validate(c *Configuration) {
 	if c.Version == 0 {
-		d.report("version", "0", "an integer of at least 1", "increase it with each change")
+		d.report("version", "0", "a whole number from 1", "raise it with each change")
 	}
 	brands := d.validateBrands(c.Brands)
 	d.validateAccounts(c.ClientAccounts, brands)
@@ -45,13 +45,13 @@
 		for j, host := range brand.Hosts {
 			hostPath := fmt.Sprintf("%s.hosts[%d]", brandPath, j)
 			if host == "" || strings.ContainsAny(host, "/: ") {
-				d.report(hostPath, host, "a host name without port or path", "write only the name")
+				d.report(hostPath, host, "a host name without port or path", "write the name alone")
 			}
 			if host != strings.ToLower(host) {
-				d.report(hostPath, host, "a host name in lower case", "write it in lower case; hosts are compared in lower case")
+				d.report(hostPath, host, "a host name in lower case", "write it in lower case, as it is compared")
 			}
 			if hosts[host] {
-				d.report(hostPath, host, "each host in one brand only", "remove the duplicate")
+				d.report(hostPath, host, "each host with one brand", "remove it from one of them")
 			}
 			hosts[host] = true
 		}
@@ -80,7 +80,7 @@
 func (d *document) checkHex(fieldPath, value string, minBytes int) {
 	content, err := hex.DecodeString(value)
 	if err != nil || len(content) < minBytes {
-		d.report(fieldPath, value, fmt.Sprintf("hexadecimal of at least %d bytes", minBytes), "generate it with `rosecroft make-key`")
+		d.report(fieldPath, value, fmt.Sprintf("hexadecimal of at least %d bytes", minBytes), "make it with `rosecroft make-key`")
 	}
 }
 
@@ -119,7 +119,7 @@
 		d.report(servicePath+".models", "", "at least one model", "list the names that callers write")
 	}
 	if service.Route != "" {
-		d.report(servicePath+".route", service.Route, "no route for a model service", "remove the route")
+		d.report(servicePath+".route", service.Route, "nothing for a model service", "remove the route")
 	}
 	for j, model := range service.Models {
 		checkName(d, fmt.Sprintf("%s.models[%d]", servicePath, j), string(model), models[model])
@@ -130,7 +130,7 @@
 func (d *document) checkRoute(servicePath string, index int, list []Service) {
 	route := list[index].Route
 	if !strings.HasPrefix(route, "/") || path.Clean(route) != route || route == "/" {
-		d.report(servicePath+".route", route, "a normalized absolute path below /", "write it like /diary")
+		d.report(servicePath+".route", route, "a clean absolute path below /", "write it like /diary")
 		return
 	}
 	if route == "/v1" || strings.HasPrefix(route, "/v1/") {
@@ -138,7 +138,7 @@
 	}
 	for _, earlier := range list[:index] {
 		if earlier.Kind == PlainService && sharesBrand(earlier, list[index]) && routesOverlap(earlier.Route, route) {
-			d.report(servicePath+".route", route, "routes of one brand that do not overlap",
+			d.report(servicePath+".route", route, "no route within another of the same brand",
 				"change it or the route of "+string(earlier.Name))
 		}
 	}
@@ -147,7 +147,7 @@
 func (d *document) checkPolicy(servicePath string, policy Policy) {
 	allowed := []Policy{"", PrefixCost, RoundRobin, LeastLoaded}
 	if !slices.Contains(allowed, policy) {
-		d.report(servicePath+".policy", string(policy), "prefix-cost, round-robin or least-loaded", "write one of them or omit it")
+		d.report(servicePath+".policy", string(policy), "prefix-cost, round-robin or least-loaded", "write one of them or leave it out")
 	}
 }
 
@@ -167,7 +167,7 @@
 			d.report(rulePath+".method", rule.Method, strings.Join(methods, ", "), "write one of them")
 		}
 		if !strings.HasPrefix(rule.Path, "/") {
-			d.report(rulePath+".path", rule.Path, "an absolute path", "start it with /")
+			d.report(rulePath+".path", rule.Path, "an absolute path", "begin it with /")
 		}
 		for _, earlier := range rules[:j] {
 			if earlier.Method == rule.Method && earlier.Path == rule.Path {
@@ -182,7 +182,7 @@
 		d.report(fieldPath, name, allowedName, "choose another name")
 	}
 	if duplicate {
-		d.report(fieldPath, name, "each name at most once", "rename one of the two")
+		d.report(fieldPath, name, "each name once", "rename one of the two")
 	}
 }
 
@@ -211,6 +211,6 @@
 	host, port, found := strings.Cut(address, ":")
 	number, err := strconv.Atoi(port)
 	if !found || host == "" || err != nil || number < 0 || number > 65535 {
-		d.report(fieldPath, address, "a host and a port", "write it like 127.0.0.1:8080")
+		d.report(fieldPath, address, "an IP number and a port", "write it like 127.0.0.1:8080")
 	}
 }
--- a/src/persister/records.go
+++ b/src/persister/records.go
@@ -59,7 +59,7 @@
 			return records, r.truncateTail(content, reason)
 		}
 		if want := r.base + uint64(len(records)) + 1; record.GetIndex() != want {
-			return nil, r.damageError(fmt.Sprintf("record %d found where record %d was expected", record.GetIndex(), want))
+			return nil, r.damageError(fmt.Sprintf("record %d stands where %d belongs", record.GetIndex(), want))
 		}
 		r.offsets = append(r.offsets, r.end)
 		r.end += int64(size)
--- a/src/server/adoption.go
+++ b/src/server/adoption.go
@@ -84,11 +84,11 @@
 func newAdoptedCall(snapshot *indexer.Snapshot, request *messages.AdoptRequest) (*dispatcher.Call, error) {
 	service, known := snapshot.Service(units.Service(request.GetService()))
 	if !known {
-		return nil, fmt.Errorf("service %s is not in this entry's configuration", request.GetService())
+		return nil, fmt.Errorf("service %s is not in force here", request.GetService())
 	}
 	account := findAccount(snapshot, units.Account(request.GetAccount()))
 	if account == nil {
-		return nil, fmt.Errorf("client account %s is not in this entry's configuration", request.GetAccount())
+		return nil, fmt.Errorf("client account %s is not in force here", request.GetAccount())
 	}
 	call := &dispatcher.Call{
 		ID:           units.CallID(uuid.NewString()),
@@ -108,7 +108,7 @@
 	}
 	setServiceFields(call, service, time.Now())
 	if !call.Repeatable {
-		return nil, fmt.Errorf("this call of service %s is not repeatable in this entry's configuration", service.Name)
+		return nil, fmt.Errorf("calls of service %s like this one may not be repeated here", service.Name)
 	}
 	if call.Kind != parser.ModelService {
 		return call, nil
@@ -128,7 +128,7 @@
 	fields["stream"] = json.RawMessage("false")
 	body, err := json.Marshal(fields)
 	if err != nil {
-		return fmt.Errorf("encode the handed-over request: %w", err)
+		return fmt.Errorf("form the handed-over request: %w", err)
 	}
 	call.Body = body
 	parsed, err := parseModelRequest(body)
